--- a/benchmarks/capacity/measure/settings_probe.py
+++ b/benchmarks/capacity/measure/settings_probe.py
@@ -11,8 +11,8 @@
 import time
 from pathlib import Path
 
-from poststall.logic import CONTROL_EVERY, Policy
-from poststall.wire import parse_settings
+from chutepin.decision.policy import CONTROL_EVERY, Policy
+from chutepin.decision.simulator_protocol import parse_settings
 
 from .tools import resident_bytes
 
--- a/benchmarks/capacity/measure/tenants.py
+++ b/benchmarks/capacity/measure/tenants.py
@@ -6,8 +6,8 @@
 import tempfile
 from typing import Any
 
+from chutepin.decision.policy import CONTROL_EVERY
 from chutepin.lab.standins import EXAMPLE
-from poststall.logic import CONTROL_EVERY
 
 from .tools import Measured, Table, in_fresh_process
 
--- a/chutepin/broker.py
+++ b/chutepin/broker.py
@@ -15,10 +15,9 @@
 from enum import Enum
 from typing import Protocol
 
-from poststall import api
-from poststall.api import Repeat
-
 from . import facade
+from .decision import api
+from .decision.api import Repeat
 from .facade import CallEnded, CallWanted, Drain, End, Facade, Left, Offer, RunEnded
 from .figures import Figures
 from .keys import Entry, Single, Standing, Table, Twin
--- a/chutepin/config/platform.py
+++ b/chutepin/config/platform.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 from typing import Any
 
-from poststall import api, wire
-
+from ..decision import api
+from ..decision import simulator_protocol as wire
 from .checks import Address, ConfigError, address, text
 
 
--- a/poststall/api.py
+++ b/chutepin/decision/api.py
@@ -1,7 +1,7 @@
 """The interface of the decision module: settings, events and actions.
 
 All times are seconds; clock times come from the host and never run backwards. Memory is in
-kilobytes. Work is seconds on a standard core. `poststall.logic.Policy` takes `Settings` and a
+kilobytes. Work is seconds on a standard core. `chutepin.decision.policy.Policy` takes `Settings` and a
 seed, then answers each `handle(now, events)` with a list of actions that take effect at `now`.
 """
 
--- a/poststall/logic.py
+++ b/chutepin/decision/policy.py
@@ -1,6 +1,6 @@
 """The decision module: what a server takes, runs, turns away and tells its callers.
 
-Its interface (settings, events, actions) is `poststall/api.py`. The ordinary path is the AIMD limit of
+Its interface (settings, events, actions) is `chutepin/decision/api.py`. The ordinary path is the AIMD limit of
 "RFC 1858 - Automatically Adjust Request Limits"; `docs/design.md` says what was kept and what was added.
 """
 
--- a/poststall/simhost.py
+++ b/chutepin/decision/simulator_adapter.py
@@ -5,8 +5,9 @@
 import sys
 from typing import TextIO
 
-from . import api, wire
-from .logic import Policy
+from . import api
+from . import simulator_protocol as wire
+from .policy import Policy
 
 
 class Host:
@@ -71,13 +72,13 @@
 
 
 def main() -> int:
-    """Entry of `python -m poststall.simhost`."""
+    """Entry of `python -m chutepin.decision.simulator_adapter`."""
     for stream in (sys.stdin, sys.stdout):
         stream.reconfigure(encoding="utf-8")  # type: ignore[union-attr]
     try:
         Host().run(sys.stdin, sys.stdout)
     except (wire.WireError, UnicodeDecodeError) as error:
-        print(f"poststall: {error}", file=sys.stderr)
+        print(f"chutepin: {error}", file=sys.stderr)
         return 2
     except BrokenPipeError:
         return 1
--- a/chutepin/facade.py
+++ b/chutepin/facade.py
@@ -10,8 +10,8 @@
 from enum import Enum
 from typing import Any, Protocol
 
-from poststall import api
-from poststall.logic import Policy
+from .decision import api
+from .decision.policy import Policy
 
 
 class End(Enum):
--- a/chutepin/node.py
+++ b/chutepin/node.py
@@ -12,13 +12,12 @@
 from collections.abc import Awaitable, Callable
 from typing import TYPE_CHECKING
 
-from poststall import api
-
 from . import signals
 from .admission import Ledger, Rules, Share
 from .admission.addresses import Networks
 from .broker import Broker
 from .config import AdmissionSetup, AmqpConfig, Config, ConfigError, Setup, StoreSetup, load, load_setup
+from .decision import api
 from .handover import Dialogue, Handover, Succession, meeting_place
 from .keys import Entry
 from .lifecycle import Lifecycle, Move
--- a/poststall/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""poststall: admission and scheduling decisions for servers behind other people's balancers."""
--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -18,12 +18,12 @@
 from pamqp import base, body, commands, frame, header
 
 from chutepin.config import Address, ConfigError, load_amqp
+from chutepin.decision import simulator_protocol as wire
 from chutepin.facade import End
 from chutepin.lab.standins import eventually
 from chutepin.net.amqp import GREETING, Consumer, Content, FrameParser, Session, State, decode
 from chutepin.net.lines import ProtocolError
 from chutepin.ops import Log
-from poststall import wire
 
 from .helper import ENV, ROOT, STEPS, Core, Standins
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -30,9 +30,9 @@
 from benchmarks.capacity.slopes import Estimate, Model, TooFewSizesError, fit
 from benchmarks.capacity.verdicts import NOT_MEASURED, UNDECIDED, Verdict, judge
 from benchmarks.fleet_size import ASSUMPTIONS, TARGET, rows
+from chutepin.decision.simulator_protocol import parse_settings
 from chutepin.net.lines import line
 from chutepin.net.resp import array
-from poststall.wire import parse_settings
 
 RUN = Run("python -m made.up", (1,), "abc1234", "2026-12-02", True, "3.11.7")
 LIMIT = Limit(100.0, "ms/s", "made up")
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from poststall import api
-from poststall.api import Outcome, Repeat, RequestClass, Settings, Signal, Tenant
-from poststall.logic import CALLERS, HEAP, IDLE, LEAST_SHARE, PATIENCE, AimdLimit, Policy, State
+from chutepin.decision import api
+from chutepin.decision.api import Outcome, Repeat, RequestClass, Settings, Signal, Tenant
+from chutepin.decision.policy import CALLERS, HEAP, IDLE, LEAST_SHARE, PATIENCE, AimdLimit, Policy, State
 
 VIEW = RequestClass("view", Repeat.SAFE, 1.0, 1.0, 4.0)
 PAY = RequestClass("pay", Repeat.KEYED, 1.0, 1.0, 4.0, window=5.0)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from poststall import api
-from poststall.api import Halt, Settings, Signal, Tenant
-from poststall.logic import CALLERS, PATIENCE, AimdLimit, Job, Policy
+from chutepin.decision import api
+from chutepin.decision.api import Halt, Settings, Signal, Tenant
+from chutepin.decision.policy import CALLERS, PATIENCE, AimdLimit, Job, Policy
 from tests.world import BASE, KEYED, SAFE, UNSAFE, RuleBrokenError, cold, play
 
 ODD: dict[str, Settings] = {
--- a/tests/world.py
+++ b/tests/world.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass, field, replace
 from itertools import pairwise
 
-from poststall import api
-from poststall.api import Halt, Outcome, Repeat, RequestClass, Settings, Signal, Tenant
-from poststall.logic import Policy
+from chutepin.decision import api
+from chutepin.decision.api import Halt, Outcome, Repeat, RequestClass, Settings, Signal, Tenant
+from chutepin.decision.policy import Policy
 
 SAFE = RequestClass("view", Repeat.SAFE, 1.0, 0.8, 2.0, 0.2, 0.0, True, 0.5)
 KEYED = RequestClass("pay", Repeat.KEYED, 4.0, 1.0, 2.5, 0.2, 3.0, True)
