--- a/chutepin/decision/policy.py
+++ b/chutepin/decision/policy.py
@@ -50,9 +50,27 @@
 CALL_PAUSE = 0.05  # seconds before a failed call is repeated, doubled each time
 # What experience teaches about callers, work and cores; a process that takes over begins with it.
 LEARNED = (
-    "work", "turned", "waits", "patience", "tries", "parts", "heard", "returned", "silent", "first", "served",
-    "buckets", "share", "refused_share", "unread", "reading", "slowness", "core_use", "usual_use",
-    "again_share")
+    "work",
+    "turned",
+    "waits",
+    "patience",
+    "tries",
+    "parts",
+    "heard",
+    "returned",
+    "silent",
+    "first",
+    "served",
+    "buckets",
+    "share",
+    "refused_share",
+    "unread",
+    "reading",
+    "slowness",
+    "core_use",
+    "usual_use",
+    "again_share",
+)
 LIMITS = ("limit", "average", "deviation", "time")
 
 
@@ -69,8 +87,25 @@
 class Job:
     """One request from its reading to its end."""
 
-    __slots__ = ("aim_at", "answered", "arrived", "cls", "due", "id", "kept", "promise", "ran", "req",
-                 "since", "started", "state", "tenant", "tries", "waited", "work")
+    __slots__ = (
+        "aim_at",
+        "answered",
+        "arrived",
+        "cls",
+        "due",
+        "id",
+        "kept",
+        "promise",
+        "ran",
+        "req",
+        "since",
+        "started",
+        "state",
+        "tenant",
+        "tries",
+        "waited",
+        "work",
+    )
 
     def __init__(self, req: api.Request, cls: int, tenant: int, arrived: float, work: float) -> None:
         self.req, self.id, self.cls, self.tenant = req, req.id, cls, tenant
@@ -89,8 +124,9 @@
         self.average, self.deviation, self.time = slowness, slowness * 0.5, time
         self.next_update = 0.0
 
-    def finished(self, now: float, rtt: float, work: float, in_use: int, pressure: bool,
-                 full: bool = False, idle: bool = False) -> None:
+    def finished(
+        self, now: float, rtt: float, work: float, in_use: int, pressure: bool, full: bool = False, idle: bool = False
+    ) -> None:
         """A run succeeded: at most once per average run time the limit moves, then the averages do.
 
         While the cores are full no run can be added without slowing the others: then it does not grow. While
@@ -206,8 +242,18 @@
     def snapshot(self) -> api.Snapshot:
         """What the mechanism is doing; cheap, changes nothing."""
         state = "draining" if self.stop_at is not None else "hung" if self.hung else "serving"
-        return api.Snapshot(self.runs.limit, self.in_use, self.parked, len(self.held), self.runs.time,
-                            self.slowness, self.limited, self.announced, state, dict(self.refusals))
+        return api.Snapshot(
+            self.runs.limit,
+            self.in_use,
+            self.parked,
+            len(self.held),
+            self.runs.time,
+            self.slowness,
+            self.limited,
+            self.announced,
+            state,
+            dict(self.refusals),
+        )
 
     def learned(self) -> dict[str, object]:
         """What another process may begin with."""
@@ -251,8 +297,13 @@
             raise api.UsageError(f"unknown class: {req.cls}")
         index = self.classes[req.cls]
         cls = self.settings.classes[index]
-        job = Job(req, index, self.tenants.get(req.tenant or "", -1), self.now - req.unread,
-                  max(2 * self.settings.tick, req.hint or self.work[index]))
+        job = Job(
+            req,
+            index,
+            self.tenants.get(req.tenant or "", -1),
+            self.now - req.unread,
+            max(2 * self.settings.tick, req.hint or self.work[index]),
+        )
         self.jobs[job.id] = self.held[job.id] = job
         self.memory += req.size
         due = req.due if req.due is not None else job.arrived + cls.deadline
@@ -307,7 +358,8 @@
         self.returned += self.heard.pop(caller, None) is not None
         self.heard[caller] = self.now
         while (oldest := next(iter(self.heard))) != caller and (
-                len(self.heard) > CALLERS or self.now - self.heard[oldest] > self.settings.idle_max):
+            len(self.heard) > CALLERS or self.now - self.heard[oldest] > self.settings.idle_max
+        ):
             del self.heard[oldest]
 
     def _close_idle(self, step: float) -> None:
@@ -532,8 +584,9 @@
             own = rtt * min(1.0, self.settings.cores / max(1, self.in_use + self.other_use))
             self.work[job.cls] += ALPHA * (own - self.work[job.cls])
         self.waits[job.cls] += ALPHA * (job.waited - self.waits[job.cls])
-        self.runs.finished(self.now, rtt, job.work, self.in_use + self.other_use, late,
-                           self.core_use >= 1 - MARGIN, self.cores_idle)
+        self.runs.finished(
+            self.now, rtt, job.work, self.in_use + self.other_use, late, self.core_use >= 1 - MARGIN, self.cores_idle
+        )
 
     def _progressed(self) -> None:
         self.progress = self.now
@@ -835,6 +888,7 @@
 
         Guards against callers that restart and come back under new numbers: counted over the same time as
         those that stay, each of their numbers would seem to send little, and the credit would starve them."""
+
         def seen(since: float) -> float:  # share of the memory that this time fills
             return 1 - math.exp(-max(NEWCOMER, self.now - since) / MEMORY_OF_SERVICE)
 
