--- /dev/null
+++ b/tests/data/make_stored_bytes.py
@@ -0,0 +1,354 @@
+"""Write the kept bytes: `python -m tests.data.make_stored_bytes [DIRECTORY]`, by default beside this file.
+
+The store's and the journal's sequences are also what the tests carry out again. Kinds of messages go by their number
+on the wire; the names in `frames.json` are those that they had when the data was made."""
+
+from __future__ import annotations
+
+import hashlib
+import json
+import math
+import shutil
+import sys
+import zlib
+from collections.abc import Iterable, Iterator
+from dataclasses import fields, is_dataclass
+from pathlib import Path
+from typing import Any
+
+import msgpack
+
+from chutepin.agree.codec import PREFACE, WORDS
+from chutepin.agree.codec import encode as consensus_frame
+from chutepin.agree.facts import Facts, set_fact
+from chutepin.agree.identity import IDENTITY_KEY, MET_KEY, Standing, StoredIdentity
+from chutepin.agree.journal import Journal
+from chutepin.agree.messages import Entry, Kind, Persist, Snapshot, Voters
+from chutepin.agree.replica import Proposal, Replica, new_id, pack
+from chutepin.cluster.frames import BODIES, cluster_id, stream_frame
+from chutepin.cluster.frames import encode as gossip_frame
+from chutepin.cluster.messages import Packet
+from chutepin.cluster.records import BadLink, Links, Record, ShortRecord, Status
+from chutepin.facade import End
+from chutepin.handover.frames import frame, key_frame
+from chutepin.keys import Entry as KeyEntry
+from chutepin.store.engine import Engine
+from chutepin.store.files import RealFiles
+from chutepin.store.plan import Limits
+
+from ..helper import Core
+
+DATA = Path(__file__).parent
+BORN = 1_700_000_000.0  # Unix seconds: when the kept store begins
+ENDS = BORN + 60  # when it was closed
+SEGMENT, MAX_BYTES, MAX_MEMORY = 1024, 64 * 1024, 2**20
+CLUSTER = "kept-cluster"
+Model = dict[bytes, tuple[bytes, float]]
+Change = tuple[bytes, bytes | None]
+
+
+class StoreWriter:
+    """A store driven step by step, without its thread: so the same operations lay out the same bytes."""
+
+    def __init__(self, directory: Path) -> None:
+        self.now = BORN
+        self.model: Model = {}
+        self._engine = Engine.open(
+            RealFiles(directory), Limits(SEGMENT, MAX_BYTES, MAX_MEMORY), lambda: self.now, lambda name, **fields: None
+        )
+        self._engine.settle()
+
+    def put(self, key: bytes, value: bytes, expires: float = math.inf) -> None:
+        assert self._engine.put(key, value, expires)
+        self.model[key] = (value, expires)
+
+    def put_many(self, items: list[tuple[bytes, bytes]], expires: float) -> None:
+        assert self._engine.put_many(items, expires) == len(items)
+        self.model |= {key: (value, expires) for key, value in items}
+
+    def delete(self, key: bytes) -> None:
+        assert self._engine.delete(key)
+        self.model.pop(key, None)
+
+    def settle(self) -> None:
+        """Make all durable and do what is to be done beside the writers."""
+        self._engine.settle()
+
+    def compact(self) -> None:
+        self._engine.compact()
+        self._engine.settle()
+
+    def figures(self) -> dict[str, int]:
+        return self._engine.figures()
+
+    def close(self) -> None:
+        self._engine.close()
+
+
+def live(model: Model, now: float) -> dict[str, str]:
+    """What has not expired, as the kept JSON has it."""
+    return {key.hex(): value.hex() for key, (value, expires) in sorted(model.items()) if expires > now}
+
+
+def write_store(directory: Path) -> Model:
+    """Puts, overrulings, deletes, expiries and a compaction, over several segments."""
+    store = StoreWriter(directory)
+    for number in range(24):
+        store.put(b"early/%02d" % number, bytes([number]) * (20 + number), math.inf if number % 3 else BORN + 30)
+        store.settle()
+    store.put_many([(b"run/%03d" % number, b"of one shape %d" % number) for number in range(8)], BORN + 600)
+    store.settle()
+    for number in range(0, 24, 2):
+        store.delete(b"early/%02d" % number)
+        store.settle()
+    store.now = BORN + 40  # the third ones have expired
+    for number in range(1, 24, 4):
+        store.put(b"early/%02d" % number, b"anew %d" % number, BORN + 500.125)
+    store.settle()
+    store.compact()
+    store.put(b"", b"an empty key")
+    store.put(b"\x00\xff\n", bytes(range(256)))
+    store.put(b"no value", b"", BORN + 61.5)
+    store.settle()
+    store.delete(b"run/003")
+    store.put(b"run/004", b"replaced", BORN + 700)
+    store.settle()
+    for number in range(10):
+        store.put(b"late/%d" % number, b"#" * (number * 11), BORN + 55 + number)
+        store.settle()
+    store.now = ENDS
+    store.delete(b"late/9")
+    store.put(b"last", b"in the segment that is written to", math.inf)
+    assert store.figures()["segments.compacted"] > 0 and store.figures()["copied_bytes"] > 0
+    store.close()
+    return store.model
+
+
+def proposal(index: int, key: str, value: str) -> Entry:
+    """An entry as a member proposes it."""
+    data = pack(Proposal(new_id(index - 1, 1000 + index), 1, set_fact(key, value.encode())))
+    return Entry(index, 2 + index // 4, Kind.PROPOSAL, data)
+
+
+def journal_changes() -> list[Persist]:
+    """What a member makes durable, in order: entries, a vote, a log replaced at its end, a snapshot, entries on."""
+    voters = Voters(("anna", "bert~0a1b", "carl"), ("dora",))
+    first = Entry(1, 1, Kind.VOTERS, b"", voters)
+    empty = Entry(2, 2, Kind.EMPTY)
+    entries = [proposal(index, f"key {index % 3}", f"value {index}") for index in range(3, 10)]
+    copy = Replica(Facts())
+    copy.apply([first, empty, *entries[:4]])
+    snapshot = Snapshot(6, entries[3].term, voters, copy.snapshot())
+    return [
+        Persist(1, "anna", 1, (first,)),
+        Persist(2, "bert~0a1b", 2, (empty, *entries[:3])),
+        Persist(3, "", 6, (Entry(6, 3, Kind.EMPTY), Entry(7, 3, Kind.EMPTY))),
+        Persist(4, "carl", 6, tuple(entries[3:5])),
+        Persist(4, "carl", 8, (), snapshot, 5),
+        Persist(4, "carl", 8, tuple(entries[5:])),
+        Persist(5, "dora", 10, (Entry(10, 5, Kind.VOTERS, b"", Voters(("anna", "dora"), ("carl", "bert~0a1b"))),)),
+    ]
+
+
+def large_changes() -> list[Persist]:
+    """A snapshot of more than one piece that takes the place of another, with nothing left of the log before."""
+    data = b"".join(zlib.crc32(b"%d" % number).to_bytes(4) for number in range(17_000))
+    earlier, members = Snapshot(4, 1, Voters(("anna",)), data[:40_000]), Voters(("anna", "bert"), ("carl",))
+    return [
+        Persist(1, "anna", 1, tuple(Entry(index, 1, Kind.EMPTY) for index in range(1, 6))),
+        Persist(1, "anna", 6, (), earlier, 3),
+        Persist(7, "bert", 21, (), Snapshot(20, 6, members, data), 20, True),
+        Persist(7, "bert", 21, (Entry(21, 7, Kind.EMPTY),)),
+    ]
+
+
+def identity_changes() -> list[Change]:
+    """Whose journal it is."""
+    stored = StoredIdentity(CLUSTER, "anna", "00c0ffee00c0ffee", Standing.SETTLED)
+    return [(IDENTITY_KEY, stored.pack()), (MET_KEY, bytes(msgpack.packb({"bert": "0a1b", "carl": "2c3d"})))]
+
+
+def identities() -> Iterator[bytes]:
+    """One of each standing."""
+    for standing in Standing:
+        yield StoredIdentity(CLUSTER, "anna", "00c0ffee00c0ffee", standing).pack()
+
+
+def write_journal(directory: Path) -> None:
+    """The journal's changes, each made durable, on a store."""
+    store = StoreWriter(directory)
+    for changes in [identity_changes(), *written(journal_changes())]:
+        for key, value in changes:
+            if value is None:
+                store.delete(key)
+            else:
+                store.put(key, value)
+        store.settle()
+        store.now += 1
+    store.close()
+
+
+def gossip_frames() -> Iterator[tuple[str, bytes]]:
+    """All kinds by their number, then the ways in which a frame may be written."""
+    kinds: list[tuple[str, tuple[Any, ...]]] = [
+        ("Ping", (7, "via-member", 8)),
+        ("Ack", (9, 123)),
+        ("PingReq", (10, "subject")),
+        ("Found", (11, "subject", True, 456)),
+        ("Gossip", ()),
+        ("Sync", (True, True, True)),
+        ("Refuse", ()),
+        ("Stale", (12,)),
+        ("BucketDigests", (bytes(range(16)), 2**32 - 5)),
+        ("BucketRecords", (64, bytes(range(8)), 3, 2**31 + 1)),
+        ("RecordRequest", (("anna", "bert"),)),
+        ("Records", ()),
+    ]
+    assert len(kinds) == len(BODIES)
+    whole = Record("anna", "192.0.2.7:4711", "north", "north-2", 1_700_000_000_005, Status.SUSPECT, "bert")
+    short = ShortRecord("anna", 1_700_000_000_005, Status.DEAD, 0xBEEF, "carl")
+    links = Links("dora", 1_700_000_000_000, 17, (BadLink("anna", "dora", 250), BadLink("bert", "dora", 70_000)))
+    updates = (
+        whole._replace(name="dora", status=Status.LEFT, by="dora"),
+        short._replace(name="emil", status=Status.ALIVE, by=""),
+        short._replace(name="fred"),
+        links,
+    )
+    cluster = cluster_id(CLUSTER)
+    for number, (name, values) in enumerate(kinds):
+        me = whole if number % 2 else short
+        body = BODIES[number](*values)
+        packet = Packet("receiver", me, 1_700_000_000_002, 100 + number, 2**32 - 1 - number, body, updates)
+        yield name, gossip_frame(packet, cluster)
+    bare = Packet("", whole, whole.incarnation, 1, 0, BODIES[0](1))
+    yield "Ping, bare", gossip_frame(bare, cluster)
+    yield "Found, not answered", gossip_frame(Packet("anna", short, 3, 1, 0, BODIES[3](1, "x", False, -1)), cluster)
+    yield "Sync, with its length", stream_frame(Packet("anna", whole, 3, 1, 0, BODIES[5](False, True)), cluster)
+    many = tuple(whole._replace(name=f"member-{number:03d}", incarnation=number) for number in range(128))
+    yield "Sync, compressed", gossip_frame(Packet("anna", whole, 3, 1, 0, BODIES[5](False, True), many), cluster)
+
+
+def consensus_frames() -> Iterator[tuple[str, bytes]]:
+    """All kinds by their number."""
+    voters = Voters(("anna", "bert~0a1b"), ("carl", "dora"))
+    entries = (Entry(5, 2, Kind.EMPTY), proposal(6, "key", "value"), Entry(7, 4, Kind.VOTERS, b"why", voters))
+    kinds: list[tuple[str, tuple[Any, ...]]] = [
+        ("Hello", (CLUSTER, "anna", "anna~00c0ffee", "bert", 3)),
+        ("Ask", (9, 8, 7, True, True)),
+        ("Vote", (9, True, True)),
+        ("Append", (9, 4, 2, entries, 5, 31)),
+        ("Appended", (9, True, 7, 31)),
+        ("Piece", (9, 6, 5, voters, 70_000, 2**32 - 3, 32_768, bytes(range(64)), 32)),
+        ("Taken", (9, 6, 32_832, 33)),
+        ("Begin", (10,)),
+        ("Forward", (new_id(6, 2**63 + 1), 2, b"a proposal")),
+        ("Rejected", (new_id(6, 2), "not the leader", True)),
+        ("ReadAsk", (41,)),
+        ("ReadAt", (41, 7)),
+        ("Pull", (3, 6, 32_768, 2)),
+        ("Feed", (entries, "anna", 120, 1, voters, 6, 5, 70_000, 2**32 - 3, 32_768, b"a piece")),
+        ("Meet", ("anna", "00c0ffee00c0ffee")),
+        ("Met", ("anna", "00c0ffee00c0ffee")),
+        ("Greet", (True,)),
+    ]
+    assert len(kinds) == len(WORDS)
+    for number, (name, values) in enumerate(kinds):
+        yield name, consensus_frame(WORDS[number](*values))
+    yield "ReadAt, elsewhere", consensus_frame(WORDS[11](41, -1))
+
+
+def learned() -> dict[str, object]:
+    """What a core has learned of a few requests."""
+    core = Core()
+    for number in range(12):
+        core.pick(f"run-{number}", key=f"key-{number % 5}" if number % 2 else None)
+        core.hand.time += 0.25
+        if id := next(iter(core.running()), None):
+            core.end(id)
+            core.ports.done.append(("ended", id))
+    return core.broker.learned()
+
+
+def handover_frames() -> Iterator[tuple[str, bytes]]:
+    """All verbs, with the fields that either process tells."""
+    entry = KeyEntry("tenant key \u00e9", "try-1", 1234.5, bytes(range(16)), "try-0", End.ERROR, b"re\xffsult\r\n")
+    yield "HELLO", frame("HELLO", version=1)
+    yield "HERE", frame("HERE", version=1)
+    yield "NO", frame("NO", why="another version", version=1)
+    yield "NO, busy", frame("NO", why="another successor", busy=True)
+    yield "KEY", key_frame(entry)
+    yield "KEY, not run", key_frame(KeyEntry("key", "try-2", 0.25, b""))
+    for end in End:
+        yield f"KEY, {end.value}", key_frame(KeyEntry("key", "try-1", 7.5, b"\x01", "try-1", end, b"result"))
+    yield "DROP", frame("DROP", key="tenant key \u00e9")
+    yield "LEARNED", frame("LEARNED", **learned())
+    yield "SYNCED", frame("SYNCED", closed_until=99.75)
+    yield "TAKES", frame("TAKES")
+    yield "YOURS", frame("YOURS")
+    yield "USE", frame("USE", running=3, memory=2048.5, descriptors=17)
+    yield "ASK", frame("ASK", id="try-3", key="key", contents="00ff10", until=77.125)
+    yield "TOLD", frame("TOLD", id="try-3", key="key", may=True)
+
+
+def all_frames() -> dict[str, dict[str, str]]:
+    """Hex by protocol and kind."""
+    frames = {"gossip": gossip_frames(), "consensus": consensus_frames(), "hand-over": handover_frames()}
+    kinds = {protocol: {name: data.hex() for name, data in made} for protocol, made in frames.items()}
+    return kinds | {"preface": {"consensus": PREFACE.hex()}}
+
+
+def plain(value: Any) -> Any:
+    """As JSON has it, without the names of types and fields."""
+    if isinstance(value, bytes):
+        return value.hex()
+    if is_dataclass(value) and not isinstance(value, type):
+        return [plain(getattr(value, field.name)) for field in fields(value)]
+    if isinstance(value, list | tuple):
+        return [plain(part) for part in value]
+    return int(value) if isinstance(value, int) and not isinstance(value, bool) else value
+
+
+def digest(value: object) -> str:
+    """Of what is too large to keep."""
+    return hashlib.sha256(json.dumps(plain(value)).encode()).hexdigest()
+
+
+def written(changes: Iterable[Persist]) -> Iterator[list[Change]]:
+    """What the journal makes of each change."""
+    journal = Journal()
+    for change in changes:
+        yield journal.write(change)
+
+
+def state_after(written: Iterable[list[Change]]) -> Any:
+    """The member's state that is read from these keys and values, and what is left to be deleted."""
+    values: dict[bytes, bytes | None] = {}
+    for changes in written:
+        values |= dict(changes)
+    return plain(Journal().load(values.get))
+
+
+def write_json(path: Path, content: object) -> None:
+    path.write_text(json.dumps(content, indent=1) + "\n")
+
+
+def main(directory: Path) -> None:
+    """Write all of the data anew."""
+    for name in ("store", "journal"):
+        shutil.rmtree(directory / name, ignore_errors=True)
+    model = write_store(directory / "store")
+    write_json(directory / "store.json", {str(now): live(model, now) for now in (ENDS, ENDS + 2, ENDS + 1000)})
+    write_journal(directory / "journal")
+    changes, large = list(written(journal_changes())), list(written(large_changes()))
+    content = {
+        "state": state_after(changes),
+        "changes": plain(changes),
+        "identities": plain(list(identities())),
+        "large": {"changes": digest(large), "state": digest(state_after(large))},
+    }
+    write_json(directory / "journal.json", content)
+    write_json(directory / "frames.json", all_frames())
+
+
+if __name__ == "__main__":
+    main(Path(sys.argv[1]) if len(sys.argv) > 1 else DATA)
