--- a/benchmarks/equality.py
+++ b/benchmarks/equality.py
@@ -17,13 +17,13 @@
 from pathlib import Path
 from typing import Any
 
+from chutepin.decision.simulator_protocol import format_action
 from chutepin.lab import quorum
 from chutepin.lab.faults import draw
 from chutepin.lab.quorum import Simulator as ConsensusSimulator
 from chutepin.lab.scale.virtual import simulate as simulate_scale
 from chutepin.lab.scale.workload import Load
 from chutepin.lab.simulator import Simulator as MembershipSimulator
-from poststall.wire import format_action
 from tests.test_rules import ODD
 from tests.world import play
 
--- a/chutepin/broker.py
+++ b/chutepin/broker.py
@@ -15,9 +15,8 @@
 from enum import Enum
 from typing import Protocol
 
-from . import facade
-from .decision import api
-from .decision.api import Repeat
+from . import decision, facade
+from .decision import Repeat
 from .facade import CallEnded, CallWanted, Drain, End, Facade, Left, Offer, RunEnded
 from .figures import Figures
 from .keys import Entry, Single, Standing, Table, Twin
@@ -145,7 +144,7 @@
 
     def __init__(
         self,
-        settings: api.Settings,
+        settings: decision.Settings,
         seed: int,
         clock: Clock,
         counters: Counters,
@@ -163,7 +162,7 @@
         self._gauge_count = len(settings.gauges)
         self._grace = settings.drain_grace
         self._dues_told = settings.passes_deadline
-        self._says = settings.signal is not api.Signal.NONE
+        self._says = settings.signal is not decision.Signal.NONE
         self._facade = Facade(settings, seed, self)
         self.figures = Figures(self._classes)
         self._started = False
@@ -207,7 +206,7 @@
         return bool(self._attempts)
 
     @property
-    def classes(self) -> dict[str, api.RequestClass]:
+    def classes(self) -> dict[str, decision.RequestClass]:
         """The contracts by class."""
         return self._classes
 
--- a/chutepin/config/platform.py
+++ b/chutepin/config/platform.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..decision import api
+from .. import decision
 from ..decision import simulator_protocol as wire
 from .checks import Address, ConfigError, address, text
 
@@ -28,7 +28,7 @@
     stop: float  # seconds from the notice to drain to the end of the process
     memory: int  # bytes
     sockets: int
-    settings: api.Settings
+    settings: decision.Settings
     ops: Address | None = None  # where operators call
 
 
@@ -114,7 +114,7 @@
     return raw
 
 
-def _queue(raw: Any, field: str, settings: api.Settings) -> QueueConfig:
+def _queue(raw: Any, field: str, settings: decision.Settings) -> QueueConfig:
     table = _table(raw, field, {"name", "team", "class", "held_kb"})
     queue = QueueConfig(
         text(table.get("name"), f"{field}.name"),
@@ -131,7 +131,7 @@
     return queue
 
 
-def parse_amqp(raw: Any, settings: api.Settings, environment: Mapping[str, str]) -> AmqpConfig:
+def parse_amqp(raw: Any, settings: decision.Settings, environment: Mapping[str, str]) -> AmqpConfig:
     """Check the operator's decoded file against the contracts and budgets of the settings."""
     raw = _table(raw, "amqp", {"broker", "queue"})
     broker = _table(
@@ -167,7 +167,7 @@
     )
 
 
-def load_amqp(path: str, settings: api.Settings, environment: Mapping[str, str] = os.environ) -> AmqpConfig:
+def load_amqp(path: str, settings: decision.Settings, environment: Mapping[str, str] = os.environ) -> AmqpConfig:
     """Read the operator's file."""
     try:
         raw = tomllib.loads(Path(path).read_text())
--- a/chutepin/decision/policy.py
+++ b/chutepin/decision/policy.py
@@ -13,8 +13,38 @@
 from collections.abc import Sequence
 from enum import Enum
 
-from . import api
-from .api import Outcome, Repeat, Signal
+from .actions import (
+    Action,
+    Announce,
+    Call,
+    Fail,
+    ForgetKey,
+    IdleTimeout,
+    KeepKey,
+    Log,
+    Refuse,
+    Run,
+    SetHealth,
+    SetTimer,
+    Share,
+    SkipCall,
+    Stop,
+)
+from .events import (
+    CallerGone,
+    CallNeeded,
+    CallReturned,
+    DrainNotice,
+    Elsewhere,
+    Event,
+    Finished,
+    Outcome,
+    Request,
+    TimerFired,
+    UsageError,
+)
+from .settings import Halt, Repeat, RequestClass, Settings, Signal
+from .snapshot import Snapshot
 
 # Tuned values: ratios and shares, none of them a figure of one deployment.
 ALPHA = 0.1  # weight of a new run in the averages
@@ -107,7 +137,7 @@
         "work",
     )
 
-    def __init__(self, req: api.Request, cls: int, tenant: int, arrived: float, work: float) -> None:
+    def __init__(self, req: Request, cls: int, tenant: int, arrived: float, work: float) -> None:
         self.req, self.id, self.cls, self.tenant = req, req.id, cls, tenant
         self.arrived, self.work = arrived, work
         self.state = State.HELD
@@ -158,13 +188,13 @@
 class Policy:
     """One server's decisions. Feed it events; it answers with actions."""
 
-    def __init__(self, settings: api.Settings, seed: int) -> None:
+    def __init__(self, settings: Settings, seed: int) -> None:
         s = self.settings = settings
         self.random = random.Random(seed)
         self.now = self.born = self.last_control = self.progress = self.stood = 0.0
         self.grown = self.moved = -math.inf  # moved: when the process last went on after a stall
         self.on_core_share = 1.0  # of the runs, those that want a core of late; the others wait for disk
-        self.out: list[api.Action] = []
+        self.out: list[Action] = []
         self.jobs: dict[str, Job] = {}
         self.held: dict[str, Job] = {}
         self.classes = {cls.name: index for index, cls in enumerate(s.classes)}
@@ -216,17 +246,17 @@
 
     # --- the outer surface ---
 
-    def start(self, now: float) -> list[api.Action]:
+    def start(self, now: float) -> list[Action]:
         """The first actions of a life: checks answered cheaply, connections kept, the value announced."""
         self.now = self.born = self.last_control = self.progress = now
-        self.out = [api.SetHealth(True), api.IdleTimeout(self.settings.idle_max)]
+        self.out = [SetHealth(True), IdleTimeout(self.settings.idle_max)]
         self._announce()
         return self.out
 
-    def handle(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
+    def handle(self, now: float, events: Sequence[Event]) -> list[Action]:
         """All that is to be done about these events. Events about requests already over are harmless."""
         if now < self.now:
-            raise api.UsageError(f"time runs backwards: {now} after {self.now}")
+            raise UsageError(f"time runs backwards: {now} after {self.now}")
         self._stood_still(now)
         self.now, self.out = now, []
         for event in events:
@@ -239,10 +269,10 @@
         self._arm()
         return self.out
 
-    def snapshot(self) -> api.Snapshot:
+    def snapshot(self) -> Snapshot:
         """What the mechanism is doing; cheap, changes nothing."""
         state = "draining" if self.stop_at is not None else "hung" if self.hung else "serving"
-        return api.Snapshot(
+        return Snapshot(
             self.runs.limit,
             self.in_use,
             self.parked,
@@ -269,32 +299,32 @@
             setattr(getattr(self, owner) if owner else self, part, value)
         self.runs.set_ceiling(self._ceiling())
 
-    def _take(self, event: api.Event) -> None:
-        if isinstance(event, api.Request):
+    def _take(self, event: Event) -> None:
+        if isinstance(event, Request):
             self._arrived(event)
-        elif isinstance(event, api.TimerFired):
+        elif isinstance(event, TimerFired):
             self._timer(event)
-        elif isinstance(event, api.DrainNotice):
+        elif isinstance(event, DrainNotice):
             self._drain(event)
-        elif isinstance(event, api.Elsewhere):
+        elif isinstance(event, Elsewhere):
             self.other_use, self.other_memory = event.running, event.memory
         elif (job := self.jobs.get(event.id)) is not None:
-            if isinstance(event, api.Finished):
+            if isinstance(event, Finished):
                 self._finished(job, event.outcome)
-            elif isinstance(event, api.CallerGone):
+            elif isinstance(event, CallerGone):
                 self._gone(job)
-            elif isinstance(event, api.CallNeeded):
+            elif isinstance(event, CallNeeded):
                 self._call_needed(job)
             else:
                 self._call_returned(job, event)
 
     # --- arrival and the hold ---
 
-    def _arrived(self, req: api.Request) -> None:
+    def _arrived(self, req: Request) -> None:
         if req.id in self.jobs:
-            raise api.UsageError(f"request id given twice: {req.id}")
+            raise UsageError(f"request id given twice: {req.id}")
         if req.cls not in self.classes:
-            raise api.UsageError(f"unknown class: {req.cls}")
+            raise UsageError(f"unknown class: {req.cls}")
         index = self.classes[req.cls]
         cls = self.settings.classes[index]
         job = Job(
@@ -332,7 +362,7 @@
         # Never in this batch: what finds a free permit runs, or nothing would be measured.
         self._push(max(self.now + self.settings.tick, job.aim_at - self._time_for(job)), "late", job)
 
-    def _age(self, job: Job, cls: api.RequestClass) -> float:
+    def _age(self, job: Job, cls: RequestClass) -> float:
         """Time spent on earlier tries, which nothing tells, but that there were some, where tries are marked.
         First tries wait one of few parts of the deadline, by habit of their callers; what earlier tries left
         of the whole is hardly seen twice."""
@@ -375,9 +405,9 @@
         idle = longest if self.returned * longest > needed * self.silent else min(IDLE, longest)
         if idle != self.idle:
             self.idle = idle
-            self.out.append(api.IdleTimeout(idle))
+            self.out.append(IdleTimeout(idle))
 
-    def _repeat(self, job: Job, cls: api.RequestClass) -> bool:
+    def _repeat(self, job: Job, cls: RequestClass) -> bool:
         """A repeat of a kept request shares its answer; where that never began, the newer try replaces it.
 
         Guards against two runs of one effect. Harm: a repeat of a request that failed gets an error."""
@@ -387,16 +417,16 @@
         if cls.repeat is Repeat.KEYED and origin and replaces:
             if origin.kept:
                 origin.kept, job.kept = False, True
-                self.out.append(api.KeepKey(job.id, cls.window - job.req.unread + self.settings.tick))
+                self.out.append(KeepKey(job.id, cls.window - job.req.unread + self.settings.tick))
             self._refuse(origin, "replaced", terminal=True)
             return False
         if cls.repeat is Repeat.UNSAFE or (cls.repeat is Repeat.SAFE and not self.settings.share_for):
             return False
         self._enter(job, State.SHARING)
-        self.out.append(api.Share(job.id))
+        self.out.append(Share(job.id))
         return True
 
-    def _unwelcome(self, job: Job, cls: api.RequestClass) -> str:
+    def _unwelcome(self, job: Job, cls: RequestClass) -> str:
         """Why an arrival is refused at once, or nothing."""
         if job.arrived > self.last_arrival:
             return "drain"
@@ -426,13 +456,13 @@
         end = min(1.0, math.sqrt(speed**2 + 2 * rise * full))  # the speed at its end
         return (end - speed) / rise + max(0.0, full - (1 - speed**2) / 2 / rise)
 
-    def _keep(self, job: Job, cls: api.RequestClass) -> None:
+    def _keep(self, job: Job, cls: RequestClass) -> None:
         """Keep the key before any run and for the whole window, counted from the arrival."""
         if not job.kept:
             job.kept = True
             self.key_count += 1
             self.memory += self.settings.key_memory
-            self.out.append(api.KeepKey(job.id, cls.window - job.req.unread + self.settings.tick))
+            self.out.append(KeepKey(job.id, cls.window - job.req.unread + self.settings.tick))
 
     def _density(self, job: Job) -> float:
         """Worth for each unit of expected work as the told goal counts it."""
@@ -478,7 +508,7 @@
             job.ran, job.started = True, self.now
             if job.tenant >= 0:
                 self.buckets[job.tenant] -= 1
-            self.out.append(api.Run(job.id))
+            self.out.append(Run(job.id))
 
     def _enter(self, job: Job, state: State) -> None:
         """Move a request between states; every count of memory, cores and calls is kept here."""
@@ -507,7 +537,7 @@
                 self._push(job.arrived + window + 2 * self.settings.tick, "key", None)
             else:
                 self._drop_key()
-                self.out.append(api.ForgetKey(job.id))
+                self.out.append(ForgetKey(job.id))
 
     def _drop_key(self) -> None:
         self.key_count -= 1
@@ -532,7 +562,7 @@
             self._leave(job)
         else:
             job.answered = True
-        self.out.append(api.Refuse(job.id, hold_off, terminal))
+        self.out.append(Refuse(job.id, hold_off, terminal))
 
     def _fail(self, job: Job) -> None:
         """The final answer for what cannot be served in time, running work included."""
@@ -541,7 +571,7 @@
         if job.state is State.HELD and not job.ran:
             self._refuse(job, "due", terminal=True)
             return
-        self.out.append(api.Fail(job.id))
+        self.out.append(Fail(job.id))
         self._abandon(job)
 
     def _gone(self, job: Job) -> None:
@@ -557,9 +587,9 @@
             self.cut_work += job.work
         if job.state in (State.HELD, State.SHARING):
             self._leave(job)
-        elif job.state is State.RUNNING and self.settings.halt is not api.Halt.NONE:
+        elif job.state is State.RUNNING and self.settings.halt is not Halt.NONE:
             if self.settings.classes[job.cls].repeat is not Repeat.KEYED:
-                self.out.append(api.Stop(job.id))
+                self.out.append(Stop(job.id))
 
     def _finished(self, job: Job, outcome: Outcome) -> None:
         cls = self.settings.classes[job.cls]
@@ -572,10 +602,10 @@
         if outcome is Outcome.OK and job.tenant >= 0 and not job.answered and self.now <= job.aim_at:
             self.served[job.tenant] += 1
         if outcome in (Outcome.CANCELLED, Outcome.MOOT) and not job.answered:
-            self.out.append(api.Fail(job.id))
+            self.out.append(Fail(job.id))
         self._leave(job)
 
-    def _measure(self, job: Job, cls: api.RequestClass) -> None:
+    def _measure(self, job: Job, cls: RequestClass) -> None:
         """Feed the limit with the run time, call waits taken out."""
         rtt = max(1e-6, self.now - job.started - job.waited)
         over = self.now - job.arrived > cls.aim and job.arrived >= self.moved
@@ -592,7 +622,7 @@
         self.progress = self.now
         if self.hung:
             self.hung = False
-            self.out += [api.SetHealth(self.stop_at is None), api.Log("work moves again")]
+            self.out += [SetHealth(self.stop_at is None), Log("work moves again")]
 
     # --- calls below ---
 
@@ -606,7 +636,7 @@
             if not (cls.late_worth or cls.skip_worth):  # given up once no call can end in time
                 self._push(job.aim_at - self.calls.time, "spent", job)
 
-    def _call_returned(self, job: Job, event: api.CallReturned) -> None:
+    def _call_returned(self, job: Job, event: CallReturned) -> None:
         if job.state is not State.CALLING:
             return
         self._hang_up(job, linger=event.outcome is Outcome.TIMEOUT)
@@ -628,7 +658,7 @@
         if (proof or cls.repeat is Repeat.SAFE) and self.now + pause < min(job.due, job.aim_at):
             self._push(self.now + pause, "recall", job)
         elif cls.skip_worth:
-            self.out.append(api.SkipCall(job.id))
+            self.out.append(SkipCall(job.id))
             self._resume(job)
         else:
             self._fail(job)
@@ -695,12 +725,12 @@
             self.promised += job.promise
             self._step_calls()
             self._enter(job, State.CALLING)
-            self.out.append(api.Call(job.id, job.promise - linger))
+            self.out.append(Call(job.id, job.promise - linger))
         for job in [j for j in self.call_queue if self.settings.classes[j.cls].skip_worth]:
             late = self.now + self.waits[job.cls] + job.work * self.slowness / 2 > job.aim_at
             if late and self._cores_take():
                 self.call_queue.remove(job)
-                self.out.append(api.SkipCall(job.id))
+                self.out.append(SkipCall(job.id))
                 self._resume(job)
         if self.call_queue and self.wake <= self.now:
             self.wake = self.now + CALL_PAUSE
@@ -708,19 +738,19 @@
 
     # --- drain, time, health, advice ---
 
-    def _drain(self, notice: api.DrainNotice) -> None:
+    def _drain(self, notice: DrainNotice) -> None:
         """Leave: nothing that arrives after the grace runs, and all is answered before the stop."""
         if self.stop_at is None:
             at = self.now if notice.at is None else notice.at
             self.last_arrival = at + self.settings.drain_grace
-            self.out += [api.SetHealth(False), api.Log("draining")]
+            self.out += [SetHealth(False), Log("draining")]
         self.stop_at = max(self.now, notice.stop - 2 * self.settings.tick)
         for job in list(self.jobs.values()):
             if job.due > self.stop_at:
                 job.due = self.stop_at
                 self._push(job.due, "due", job)
 
-    def _timer(self, event: api.TimerFired) -> None:
+    def _timer(self, event: TimerFired) -> None:
         if event.token == self.token:
             self.armed = math.inf
         gauges = dict(zip(self.settings.gauges, event.gauges, strict=False))
@@ -794,7 +824,7 @@
         if (at := min(pulse, self.heap[0][0] if self.heap else pulse)) < self.armed:
             self.armed = max(at, self.now + self.settings.tick)
             self.token += 1
-            self.out.append(api.SetTimer(self.token, self.armed - self.now))
+            self.out.append(SetTimer(self.token, self.armed - self.now))
 
     def _warmth(self) -> float:
         s = self.settings
@@ -862,7 +892,7 @@
         """No run ends: send callers elsewhere while there is time. Guards against hangs of whatever cause,
         and catches extreme slowness; one very long run looks alike, and then good work is turned away."""
         self.hung = True
-        self.out += [api.SetHealth(False), api.Log("no progress while work runs")]
+        self.out += [SetHealth(False), Log("no progress while work runs")]
         for job in [*self.held.values(), *running]:
             if not job.answered and (not job.ran or self.settings.classes[job.cls].repeat is Repeat.SAFE):
                 self._refuse(job, "hang")
@@ -914,4 +944,4 @@
             value = total * max(self._busiest(), 1 / self.settings.callers)
         if abs(value - self.announced) > 0.01:
             self.announced = round(value, 3)
-            self.out.append(api.Announce(self.announced))
+            self.out.append(Announce(self.announced))
--- a/chutepin/decision/simulator_adapter.py
+++ b/chutepin/decision/simulator_adapter.py
@@ -5,8 +5,9 @@
 import sys
 from typing import TextIO
 
-from . import api
 from . import simulator_protocol as wire
+from .actions import Action
+from .events import Event, UsageError
 from .policy import Policy
 
 
@@ -24,7 +25,7 @@
                 continue
             try:
                 pending = self._line(wire.parse_line(line), pending, sink)
-            except (wire.WireError, api.UsageError) as error:
+            except (wire.WireError, UsageError) as error:
                 raise wire.WireError(f"line {count}: {error}") from None
         if pending is not None:
             raise wire.WireError("the input ends inside a batch")
@@ -46,8 +47,8 @@
     def batch(self, messages: list[wire.Obj]) -> list[str]:
         """The reply to one batch; its first message carries the clock."""
         now = wire.number(messages[0], "clock")
-        inboxes: dict[str, list[api.Event]] = {}
-        replies: dict[str, list[api.Action]] = {}
+        inboxes: dict[str, list[Event]] = {}
+        replies: dict[str, list[Action]] = {}
         for m in messages[1:]:
             name = wire.text(m, "server")
             if m["op"] == "LAUNCH":
--- a/chutepin/decision/simulator_protocol.py
+++ b/chutepin/decision/simulator_protocol.py
@@ -6,7 +6,25 @@
 from collections.abc import Callable
 from typing import Any
 
-from . import api
+from .actions import (
+    Action,
+    Announce,
+    Call,
+    Fail,
+    ForgetKey,
+    IdleTimeout,
+    KeepKey,
+    Log,
+    Refuse,
+    Run,
+    SetHealth,
+    SetTimer,
+    Share,
+    SkipCall,
+    Stop,
+)
+from .events import CallerGone, CallNeeded, CallReturned, DrainNotice, Event, Finished, Outcome, Request, TimerFired
+from .settings import Halt, Repeat, RequestClass, Settings, SettingsError, Signal, Tenant
 
 Obj = dict[str, Any]
 
@@ -15,23 +33,23 @@
     """Malformed input; the message says what and where."""
 
 
-_REPEAT = {"pure": api.Repeat.SAFE, "token": api.Repeat.KEYED, "side_effect": api.Repeat.UNSAFE}
+_REPEAT = {"pure": Repeat.SAFE, "token": Repeat.KEYED, "side_effect": Repeat.UNSAFE}
 _SIGNAL = {
-    "none": api.Signal.NONE,
-    "threshold": api.Signal.LEVEL,
-    "window": api.Signal.CREDIT,
-    "share_of": api.Signal.WEIGHT,
+    "none": Signal.NONE,
+    "threshold": Signal.LEVEL,
+    "window": Signal.CREDIT,
+    "share_of": Signal.WEIGHT,
 }
-_HALT = {"none": api.Halt.NONE, "abort": api.Halt.DROP, "suspend": api.Halt.PAUSE}
+_HALT = {"none": Halt.NONE, "abort": Halt.DROP, "suspend": Halt.PAUSE}
 _OUTCOME = {
-    "done": api.Outcome.OK,
-    "err": api.Outcome.ERROR,
-    "busy": api.Outcome.BUSY,
-    "etimedout": api.Outcome.TIMEOUT,
-    "econnrefused": api.Outcome.CONNECT_FAILED,
-    "econnreset": api.Outcome.RESET,
-    "ecanceled": api.Outcome.CANCELLED,
-    "skipped": api.Outcome.MOOT,
+    "done": Outcome.OK,
+    "err": Outcome.ERROR,
+    "busy": Outcome.BUSY,
+    "etimedout": Outcome.TIMEOUT,
+    "econnrefused": Outcome.CONNECT_FAILED,
+    "econnreset": Outcome.RESET,
+    "ecanceled": Outcome.CANCELLED,
+    "skipped": Outcome.MOOT,
 }
 
 
@@ -142,11 +160,11 @@
     return ".".join(parts) + ":" + why
 
 
-def _class(raw: Any, index: int, info: Obj) -> api.RequestClass:
+def _class(raw: Any, index: int, info: Obj) -> RequestClass:
     if not isinstance(raw, dict):
         raise WireError("setting 'categories' is malformed")
     deadline = number(raw, "deadline")
-    return api.RequestClass(
+    return RequestClass(
         name=text(raw, "name"),
         repeat=_choice(raw, "idempotency", _REPEAT),
         worth=number(raw, "importance", 1.0),
@@ -161,13 +179,13 @@
     )
 
 
-def _tenant(raw: Any) -> api.Tenant:
+def _tenant(raw: Any) -> Tenant:
     if not isinstance(raw, dict):
         raise WireError("setting 'tenants' is malformed")
-    return api.Tenant(text(raw, "name"), number(raw, "share", 0.0), number(raw, "quotaPerS", 0.0))
+    return Tenant(text(raw, "name"), number(raw, "share", 0.0), number(raw, "quotaPerS", 0.0))
 
 
-def parse_settings(env: Any) -> api.Settings:
+def parse_settings(env: Any) -> Settings:
     """The settings object of a start; unknown keys are skipped."""
     if not isinstance(env, dict):
         raise WireError("field 'env' is missing or not an object")
@@ -175,7 +193,7 @@
     safety, caps = _part(env, "safety", dict), _part(env, "caps", dict)
     classes = _part(env, "categories", list, required=True)
     try:
-        return api.Settings(
+        return Settings(
             classes=tuple(_class(raw, index, info) for index, raw in enumerate(classes)),
             tenants=tuple(_tenant(raw) for raw in _part(env, "tenants", list)),
             cores=int(number(info, "cpus")),
@@ -209,13 +227,13 @@
             over_share_worth=number(env, "overShareWorth", 1.0),
             tick=number(env, "tick", 0.001),
         )
-    except api.SettingsError as error:
+    except SettingsError as error:
         raise WireError(_told(str(error))) from None
 
 
-def _request(m: Obj) -> api.Request:
+def _request(m: Obj) -> Request:
     attrs = int(number(m, "attrs", 0))
-    return api.Request(
+    return Request(
         id=text(m, "tid"),
         cls=text(m, "band"),
         unread=number(m, "unreadFor", 0.0),
@@ -231,26 +249,26 @@
     )
 
 
-def _returned(m: Obj) -> api.CallReturned:
-    return api.CallReturned(text(m, "tid"), _choice(m, "rc", _OUTCOME), number(m, "elapsed", 0.0))
+def _returned(m: Obj) -> CallReturned:
+    return CallReturned(text(m, "tid"), _choice(m, "rc", _OUTCOME), number(m, "elapsed", 0.0))
 
 
 def _gauges(m: Obj) -> tuple[float, ...]:
     return tuple(float(value) for value in _part(m, "stats", list))
 
 
-_EVENTS: dict[str, Callable[[Obj], api.Event]] = {
+_EVENTS: dict[str, Callable[[Obj], Event]] = {
     "ORDER": _request,
-    "ENDED": lambda m: api.Finished(text(m, "tid"), _choice(m, "rc", _OUTCOME), number(m, "elapsed", 0.0)),
-    "VANISHED": lambda m: api.CallerGone(text(m, "tid")),
-    "AWAITING": lambda m: api.CallNeeded(text(m, "tid")),
+    "ENDED": lambda m: Finished(text(m, "tid"), _choice(m, "rc", _OUTCOME), number(m, "elapsed", 0.0)),
+    "VANISHED": lambda m: CallerGone(text(m, "tid")),
+    "AWAITING": lambda m: CallNeeded(text(m, "tid")),
     "DOWNSTREAM": _returned,
-    "QUIESCE": lambda m: api.DrainNotice(number(m, "due")),
-    "DUE": lambda m: api.TimerFired(int(number(m, "nonce")), _gauges(m)),
+    "QUIESCE": lambda m: DrainNotice(number(m, "due")),
+    "DUE": lambda m: TimerFired(int(number(m, "nonce")), _gauges(m)),
 }
 
 
-def parse_event(message: Obj) -> api.Event:
+def parse_event(message: Obj) -> Event:
     """An event other than start and exit."""
     make = _EVENTS.get(message["op"])
     if make is None:
@@ -258,7 +276,7 @@
     return make(message)
 
 
-def _refuse(a: api.Refuse) -> Obj:
+def _refuse(a: Refuse) -> Obj:
     obj: Obj = {"op": "NOT_NOW", "tid": a.id}
     if a.hold_off > 0:
         obj["holdOff"] = a.hold_off
@@ -268,24 +286,24 @@
 
 
 _ACTIONS: dict[type, Callable[[Any], Obj]] = {
-    api.Run: lambda a: {"op": "PROCESS", "tid": a.id},
-    api.Stop: lambda a: {"op": "ABORT_WORK", "tid": a.id},
-    api.Refuse: _refuse,
-    api.Fail: lambda a: {"op": "REPORT_FAILURE", "tid": a.id},
-    api.Call: lambda a: {"op": "GO_CALL", "tid": a.id, "tryFor": a.time_out},
-    api.SkipCall: lambda a: {"op": "BYPASS", "tid": a.id},
-    api.KeepKey: lambda a: {"op": "STORE_KEY", "tid": a.id, "forTime": a.keep_for},
-    api.ForgetKey: lambda a: {"op": "UNPIN", "tid": a.id},
-    api.Share: lambda a: {"op": "SHARE", "tid": a.id},
-    api.SetHealth: lambda a: {"op": "FITNESS", "enable": a.good, "cheap": a.cheap},
-    api.Announce: lambda a: {"op": "ANNOUNCE", "x": a.value},
-    api.IdleTimeout: lambda a: {"op": "KEEPALIVE", "forTime": a.after},
-    api.SetTimer: lambda a: {"op": "ARM", "nonce": a.token, "after": a.after},
-    api.Log: lambda a: {"op": "SAY_LOG", "bodyText": a.text},
+    Run: lambda a: {"op": "PROCESS", "tid": a.id},
+    Stop: lambda a: {"op": "ABORT_WORK", "tid": a.id},
+    Refuse: _refuse,
+    Fail: lambda a: {"op": "REPORT_FAILURE", "tid": a.id},
+    Call: lambda a: {"op": "GO_CALL", "tid": a.id, "tryFor": a.time_out},
+    SkipCall: lambda a: {"op": "BYPASS", "tid": a.id},
+    KeepKey: lambda a: {"op": "STORE_KEY", "tid": a.id, "forTime": a.keep_for},
+    ForgetKey: lambda a: {"op": "UNPIN", "tid": a.id},
+    Share: lambda a: {"op": "SHARE", "tid": a.id},
+    SetHealth: lambda a: {"op": "FITNESS", "enable": a.good, "cheap": a.cheap},
+    Announce: lambda a: {"op": "ANNOUNCE", "x": a.value},
+    IdleTimeout: lambda a: {"op": "KEEPALIVE", "forTime": a.after},
+    SetTimer: lambda a: {"op": "ARM", "nonce": a.token, "after": a.after},
+    Log: lambda a: {"op": "SAY_LOG", "bodyText": a.text},
 }
 
 
-def format_action(action: api.Action, instance: str) -> str:
+def format_action(action: Action, instance: str) -> str:
     """One line of a reply."""
     obj = _ACTIONS[type(action)](action)
     obj["server"] = instance
--- a/chutepin/facade.py
+++ b/chutepin/facade.py
@@ -10,7 +10,7 @@
 from enum import Enum
 from typing import Any, Protocol
 
-from .decision import api
+from . import decision
 from .decision.policy import Policy
 
 
@@ -28,14 +28,14 @@
 
 
 _OUTCOME = {
-    End.OK: api.Outcome.OK,
-    End.ERROR: api.Outcome.ERROR,
-    End.REFUSED: api.Outcome.BUSY,
-    End.LATE: api.Outcome.TIMEOUT,
-    End.UNREACHABLE: api.Outcome.CONNECT_FAILED,
-    End.BROKEN: api.Outcome.RESET,
-    End.CANCELLED: api.Outcome.CANCELLED,
-    End.NEVER: api.Outcome.MOOT,
+    End.OK: decision.Outcome.OK,
+    End.ERROR: decision.Outcome.ERROR,
+    End.REFUSED: decision.Outcome.BUSY,
+    End.LATE: decision.Outcome.TIMEOUT,
+    End.UNREACHABLE: decision.Outcome.CONNECT_FAILED,
+    End.BROKEN: decision.Outcome.RESET,
+    End.CANCELLED: decision.Outcome.CANCELLED,
+    End.NEVER: decision.Outcome.MOOT,
 }
 
 
@@ -121,7 +121,7 @@
 class Facade:
     """One life of the module."""
 
-    def __init__(self, settings: api.Settings, seed: int, core: Core) -> None:
+    def __init__(self, settings: decision.Settings, seed: int, core: Core) -> None:
         self._settings, self._seed, self._core = settings, seed, core
         self._policy = Policy(settings, seed)
 
@@ -134,7 +134,7 @@
         """A request came in."""
         self._handle(
             now,
-            api.Request(
+            decision.Request(
                 id=offer.id,
                 cls=offer.cls,
                 unread=max(0.0, now - offer.arrived),
@@ -153,15 +153,15 @@
         """What became of a run or a call; a caller has gone; the node leaves."""
         match what:
             case RunEnded(id, end, elapsed):
-                self._handle(now, api.Finished(id, _OUTCOME[end], elapsed))
+                self._handle(now, decision.Finished(id, _OUTCOME[end], elapsed))
             case CallWanted(id):
-                self._handle(now, api.CallNeeded(id))
+                self._handle(now, decision.CallNeeded(id))
             case CallEnded(id, end, elapsed):
-                self._handle(now, api.CallReturned(id, _OUTCOME[end], elapsed))
+                self._handle(now, decision.CallReturned(id, _OUTCOME[end], elapsed))
             case Left(id):
-                self._handle(now, api.CallerGone(id))
+                self._handle(now, decision.CallerGone(id))
             case Drain(stop, notice):
-                self._handle(now, api.DrainNotice(stop, notice))
+                self._handle(now, decision.DrainNotice(stop, notice))
 
     @property
     def use(self) -> tuple[int, float]:
@@ -170,7 +170,7 @@
 
     def elsewhere(self, now: float, running: int, memory: float) -> None:
         """What the node's other process uses."""
-        self._handle(now, api.Elsewhere(running, memory))
+        self._handle(now, decision.Elsewhere(running, memory))
 
     def learned(self) -> dict[str, object]:
         """The module's experience; tables as lists of pairs, as JSON has no numbers as names."""
@@ -198,40 +198,40 @@
 
     def tick(self, now: float, token: int, gauges: tuple[float, ...]) -> None:
         """Time passes: a timer that the module set has come due."""
-        self._handle(now, api.TimerFired(token, gauges))
+        self._handle(now, decision.TimerFired(token, gauges))
 
-    def _handle(self, now: float, event: api.Event) -> None:
+    def _handle(self, now: float, event: decision.Event) -> None:
         self._apply(now, self._policy.handle(now, [event]))
 
-    def _apply(self, now: float, actions: list[api.Action]) -> None:  # noqa: C901  one case an action
+    def _apply(self, now: float, actions: list[decision.Action]) -> None:  # noqa: C901  one case an action
         core = self._core
         for action in actions:
             match action:
-                case api.Run(id):
+                case decision.Run(id):
                     core.run(id)
-                case api.Stop(id):
+                case decision.Stop(id):
                     core.stop(id)
-                case api.Refuse(id, hold_off, terminal):
+                case decision.Refuse(id, hold_off, terminal):
                     core.refuse(id, hold_off, terminal)
-                case api.Fail(id):
+                case decision.Fail(id):
                     core.fail(id)
-                case api.Call(id, time_out):
+                case decision.Call(id, time_out):
                     core.call(id, now + time_out)
-                case api.SkipCall(id):
+                case decision.SkipCall(id):
                     core.skip_call(id)
-                case api.KeepKey(id, keep_for):
+                case decision.KeepKey(id, keep_for):
                     core.keep_key(id, now + keep_for)
-                case api.ForgetKey(id):
+                case decision.ForgetKey(id):
                     core.forget_key(id)
-                case api.Share(id):
+                case decision.Share(id):
                     core.share(id)
-                case api.SetHealth(good):
+                case decision.SetHealth(good):
                     core.set_health(good)
-                case api.Announce(value):
+                case decision.Announce(value):
                     core.announce(value)
-                case api.IdleTimeout(after):
+                case decision.IdleTimeout(after):
                     core.set_idle(after)
-                case api.SetTimer(token, after):
+                case decision.SetTimer(token, after):
                     core.set_timer(token, now + after)
-                case api.Log(text):
+                case decision.Log(text):
                     core.remark(text)
--- a/chutepin/node.py
+++ b/chutepin/node.py
@@ -12,12 +12,11 @@
 from collections.abc import Awaitable, Callable
 from typing import TYPE_CHECKING
 
-from . import signals
+from . import decision, signals
 from .admission import Ledger, Rules, Share
 from .admission.addresses import Networks
 from .broker import Broker
 from .config import AdmissionSetup, AmqpConfig, Config, ConfigError, Setup, StoreSetup, load, load_setup
-from .decision import api
 from .handover import Dialogue, Handover, Succession, meeting_place
 from .keys import Entry
 from .lifecycle import Lifecycle, Move
@@ -143,7 +142,7 @@
         self.lifecycle = Lifecycle()
         self.log = Log(self.clock, log_format)
         alarm = LoopAlarm(self.clock)
-        session = Session(self.clock, self.counters, self.log, config.settings.halt is api.Halt.PAUSE)
+        session = Session(self.clock, self.counters, self.log, config.settings.halt is decision.Halt.PAUSE)
         # Descriptors that the process may really have, whatever the configuration allows.
         self.sockets = sockets = min(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         self.ledger = shares(
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from chutepin.decision import api
+from chutepin import decision
 from chutepin.decision import simulator_protocol as wire
 from chutepin.decision.simulator_adapter import Host
 
@@ -93,21 +93,21 @@
 
 
 def test_every_action_has_a_line() -> None:
-    actions: list[api.Action] = [
-        api.Run("a"),
-        api.Stop("a"),
-        api.Refuse("a", 0.5, True),
-        api.Fail("a"),
-        api.Call("a", 1.0),
-        api.SkipCall("a"),
-        api.KeepKey("a", 1.0),
-        api.ForgetKey("a"),
-        api.Share("a"),
-        api.SetHealth(True),
-        api.Announce(0.5),
-        api.IdleTimeout(1.0),
-        api.SetTimer(1, 0.1),
-        api.Log("x"),
+    actions: list[decision.Action] = [
+        decision.Run("a"),
+        decision.Stop("a"),
+        decision.Refuse("a", 0.5, True),
+        decision.Fail("a"),
+        decision.Call("a", 1.0),
+        decision.SkipCall("a"),
+        decision.KeepKey("a", 1.0),
+        decision.ForgetKey("a"),
+        decision.Share("a"),
+        decision.SetHealth(True),
+        decision.Announce(0.5),
+        decision.IdleTimeout(1.0),
+        decision.SetTimer(1, 0.1),
+        decision.Log("x"),
     ]
     ops = {json.loads(wire.format_action(action, "server_1"))["op"] for action in actions}
     assert len(ops) == len(actions)
@@ -121,4 +121,4 @@
     order = {"op": "ORDER", "server": "server_1", "tid": "a", "band": "view"}
     for attrs, again in ((0, False), (2, True), (7, True), (5, False)):
         event = wire.parse_event(order | {"attrs": attrs})
-        assert isinstance(event, api.Request) and event.again is again and event.due is None
+        assert isinstance(event, decision.Request) and event.again is again and event.due is None
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -7,22 +7,22 @@
 
 import pytest
 
-from chutepin.decision import api
-from chutepin.decision.api import Outcome, Repeat, RequestClass, Settings, Signal, Tenant
+from chutepin import decision
+from chutepin.decision import Outcome, Repeat, RequestClass, Settings, Signal, Tenant
 from chutepin.decision.policy import CALLERS, HEAP, IDLE, LEAST_SHARE, PATIENCE, AimdLimit, Policy, State
 
 VIEW = RequestClass("view", Repeat.SAFE, 1.0, 1.0, 4.0)
 PAY = RequestClass("pay", Repeat.KEYED, 1.0, 1.0, 4.0, window=5.0)
-PLAIN = Settings(classes=(VIEW, PAY), cores=2, memory=100_000.0, halt=api.Halt.DROP, answer_slack=0.05)
+PLAIN = Settings(classes=(VIEW, PAY), cores=2, memory=100_000.0, halt=decision.Halt.DROP, answer_slack=0.05)
 
 
 class Punctual(Policy):
     """A host that fires each timer on time before it brings anything later."""
 
-    def handle(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
-        actions: list[api.Action] = []
+    def handle(self, now: float, events: Sequence[decision.Event]) -> list[decision.Action]:
+        actions: list[decision.Action] = []
         while self.armed < now:
-            actions += super().handle(self.armed, [api.TimerFired(self.token)])
+            actions += super().handle(self.armed, [decision.TimerFired(self.token)])
         return actions + super().handle(now, events)
 
 
@@ -41,11 +41,11 @@
     repeats: str | None = None,
     tenant: str | None = None,
     caller: int = 0,
-) -> api.Request:
-    return api.Request(name, cls, unread, 10.0, tenant, None, due, hint, 0.5, caller, repeats)
+) -> decision.Request:
+    return decision.Request(name, cls, unread, 10.0, tenant, None, due, hint, 0.5, caller, repeats)
 
 
-def ids(actions: list[api.Action], kind: type) -> list[str]:
+def ids(actions: list[decision.Action], kind: type) -> list[str]:
     return [str(getattr(action, "id", "")) for action in actions if isinstance(action, kind)]
 
 
@@ -83,30 +83,30 @@
     before = policy.runs.average
     for at in range(20):
         policy.handle(float(at), [req(f"r{at}", at + 4.0)])
-        policy.handle(at + 0.001, [api.Finished(f"r{at}", Outcome.ERROR)])
+        policy.handle(at + 0.001, [decision.Finished(f"r{at}", Outcome.ERROR)])
     assert policy.runs.average == before
 
 
 def test_ceiling_rises_with_the_warm_up() -> None:
     policy = started(replace(PLAIN, cold=True, cold_from=0.2, warm_after=10.0))
     cold = policy.runs.ceiling
-    policy.handle(20.0, [api.TimerFired(0)])
+    policy.handle(20.0, [decision.TimerFired(0)])
     assert policy.runs.ceiling > 2 * cold
 
 
 def test_parked_request_releases_its_permit_and_retakes_it_over_the_limit() -> None:
     policy = started(replace(PLAIN, cores=1, calls_below=True))
-    assert ids(policy.handle(0.0, [req("a"), req("b")]), api.Run) == ["a"]
-    assert ids(policy.handle(0.1, [api.CallNeeded("a")]), api.Run) == ["b"]
-    policy.handle(0.2, [api.CallReturned("a", Outcome.OK, 0.1), req("c")])
+    assert ids(policy.handle(0.0, [req("a"), req("b")]), decision.Run) == ["a"]
+    assert ids(policy.handle(0.1, [decision.CallNeeded("a")]), decision.Run) == ["b"]
+    policy.handle(0.2, [decision.CallReturned("a", Outcome.OK, 0.1), req("c")])
     assert policy.snapshot().in_use == 2 and policy.snapshot().held == 1
-    assert ids(policy.handle(0.45, [api.Finished("a", Outcome.OK)]), api.Run) == []
+    assert ids(policy.handle(0.45, [decision.Finished("a", Outcome.OK)]), decision.Run) == []
 
 
 def test_growth_at_once_while_cores_idle_and_requests_are_held() -> None:
     policy = started(replace(PLAIN, cores=1, gauges=("core_use",)))
     policy.handle(0.0, [req("a"), req("b")])
-    assert ids(policy.handle(0.01, [api.TimerFired(1, (0.1,))]), api.Run) == ["b"]
+    assert ids(policy.handle(0.01, [decision.TimerFired(1, (0.1,))]), decision.Run) == ["b"]
 
 
 # --- failures found on the bench ---
@@ -116,14 +116,14 @@
     """The first version's spiral: slow-looking, ran nothing, never measured again."""
     policy = started()
     policy.runs.average = policy.slowness = 1000.0
-    assert ids(policy.handle(0.0, [req("a")]), api.Run) == ["a"]
+    assert ids(policy.handle(0.0, [req("a")]), decision.Run) == ["a"]
 
 
 def heard(policy: Policy, waits: int) -> None:
     """First tries, each of a caller of its own, that wait 0.6 of the deadline and are served."""
     for at in range(waits):
         policy.handle(0.0, [req(f"f{at}", 2.4, caller=at)])
-        policy.handle(0.0, [api.Finished(f"f{at}", Outcome.ERROR)])
+        policy.handle(0.0, [decision.Finished(f"f{at}", Outcome.ERROR)])
 
 
 def test_usual_wait_is_a_first_try_and_any_other_wait_is_an_old_one() -> None:
@@ -154,7 +154,7 @@
     policy.runs.limit = 8
     policy.handle(0.0, [req("a", unread=0.9)])
     policy.unread = 5.0
-    policy.handle(0.1, [api.Finished("a", Outcome.OK)])
+    policy.handle(0.1, [decision.Finished("a", Outcome.OK)])
     assert policy.runs.limit == 4
 
 
@@ -162,8 +162,8 @@
     policy = started(replace(PLAIN, gauges=("on_cores",)))
     policy.runs.limit = 4
     for _ in range(40):
-        policy.handle(0.0, [api.TimerFired(0, (3.0,))])
-    assert ids(policy.handle(0.0, [req("a"), req("b"), req("c")]), api.Run) == ["a", "b"]
+        policy.handle(0.0, [decision.TimerFired(0, (3.0,))])
+    assert ids(policy.handle(0.0, [req("a"), req("b"), req("c")]), decision.Run) == ["a", "b"]
 
 
 def test_announced_share_never_falls_to_where_a_silent_server_draws_all() -> None:
@@ -194,9 +194,9 @@
     for at in range(6):
         policy.handle(4.0 * at, [req(f"r{at}", 4.0 * at + 3.9)])
         policy.progress = 4.0 * at + 3.0  # no hang
-        policy.handle(4.0 * at + 3.9, [api.TimerFired(0)])
-        policy.handle(4.0 * at + 3.95, [api.Finished(f"r{at}", Outcome.CANCELLED)])
-    policy.handle(24.0, [api.TimerFired(0)])
+        policy.handle(4.0 * at + 3.9, [decision.TimerFired(0)])
+        policy.handle(4.0 * at + 3.95, [decision.Finished(f"r{at}", Outcome.CANCELLED)])
+    policy.handle(24.0, [decision.TimerFired(0)])
     assert policy.runs.average == 1.0 and policy.slowness > 3.0
 
 
@@ -204,7 +204,7 @@
     policy = started(replace(PLAIN, cores=1))
     policy.handle(1.0, [req("run"), req("a", 5.0, "pay")])
     actions = policy.handle(1.1, [req("b", 5.0, "pay", unread=0.4, repeats="a")])
-    assert ids(actions, api.Share) == ["b"] and not ids(actions, api.Refuse)
+    assert ids(actions, decision.Share) == ["b"] and not ids(actions, decision.Refuse)
 
 
 # --- the hold, repeats, calls, health, advice ---
@@ -215,24 +215,24 @@
     policy = started(replace(PLAIN, classes=(VIEW, dear), cores=1))
     policy.handle(0.0, [req("a")])
     policy.handle(0.0, [req("cheap"), req("worthy", cls="dear")])
-    assert ids(policy.handle(0.3, [api.Finished("a", Outcome.OK)]), api.Run) == ["worthy"]
+    assert ids(policy.handle(0.3, [decision.Finished("a", Outcome.OK)]), decision.Run) == ["worthy"]
 
 
 def test_tenant_beyond_its_share_waits_but_runs_when_there_is_room() -> None:
     tenants = (Tenant("greedy", 0.5, 0.01), Tenant("small", 0.5, 100.0))
     policy = started(replace(PLAIN, cores=1, tenants=tenants, over_share_worth=0.1))
-    assert ids(policy.handle(0.0, [req("a", tenant="greedy")]), api.Run) == ["a"]
+    assert ids(policy.handle(0.0, [req("a", tenant="greedy")]), decision.Run) == ["a"]
     policy.handle(0.0, [req("g", tenant="greedy"), req("s", tenant="small")])
-    assert ids(policy.handle(0.3, [api.Finished("a", Outcome.OK)]), api.Run) == ["s"]
-    assert ids(policy.handle(0.6, [api.Finished("s", Outcome.OK)]), api.Run) == ["g"]
+    assert ids(policy.handle(0.3, [decision.Finished("a", Outcome.OK)]), decision.Run) == ["s"]
+    assert ids(policy.handle(0.6, [decision.Finished("s", Outcome.OK)]), decision.Run) == ["g"]
 
 
 def test_newer_keyed_try_replaces_one_that_never_ran() -> None:
     policy = started(replace(PLAIN, cores=1))
     policy.handle(0.0, [req("run"), req("a", 4.0, "pay")])
     actions = policy.handle(0.1, [req("b", 4.1, "pay", repeats="a")])
-    assert ids(actions, api.KeepKey) == ["b"] and ids(actions, api.Refuse) == ["a"]
-    assert ids(policy.handle(0.2, [api.Finished("run", Outcome.OK)]), api.Run) == ["b"]
+    assert ids(actions, decision.KeepKey) == ["b"] and ids(actions, decision.Refuse) == ["a"]
+    assert ids(policy.handle(0.2, [decision.Finished("run", Outcome.OK)]), decision.Run) == ["b"]
 
 
 @pytest.mark.parametrize(
@@ -242,21 +242,21 @@
 def test_keyed_call_is_repeated_only_on_proof(outcome: Outcome, again: bool) -> None:
     policy = started(replace(PLAIN, calls_below=True))
     policy.handle(0.0, [req("a", cls="pay")])
-    assert ids(policy.handle(0.1, [api.CallNeeded("a")]), api.Call) == ["a"]
-    actions = policy.handle(0.2, [api.CallReturned("a", outcome, 0.1)])
-    actions += policy.handle(0.5, [api.TimerFired(0)])
-    assert bool(ids(actions, api.Call)) is again and bool(ids(actions, api.Fail)) is not again
+    assert ids(policy.handle(0.1, [decision.CallNeeded("a")]), decision.Call) == ["a"]
+    actions = policy.handle(0.2, [decision.CallReturned("a", outcome, 0.1)])
+    actions += policy.handle(0.5, [decision.TimerFired(0)])
+    assert bool(ids(actions, decision.Call)) is again and bool(ids(actions, decision.Fail)) is not again
 
 
 def test_hang_sends_callers_elsewhere_and_ends_with_the_first_run() -> None:
     policy = started(replace(PLAIN, signal=Signal.WEIGHT, max_hold_off=1.0))
     policy.handle(0.0, [req("a", 30.0), req("b", 30.0), req("c", 30.0)])
-    actions = policy.handle(10.0, [api.TimerFired(0)])
+    actions = policy.handle(10.0, [decision.TimerFired(0)])
     assert policy.snapshot().state == "hung" and policy.announced == 0
-    assert api.SetHealth(False) in actions and "a" in ids(actions, api.Refuse)
+    assert decision.SetHealth(False) in actions and "a" in ids(actions, decision.Refuse)
     actions = policy.handle(11.0, [req("d", 15.0)])
-    assert any(isinstance(a, api.Refuse) and a.hold_off > 0 and not a.terminal for a in actions)
-    assert api.SetHealth(True) in policy.handle(12.0, [api.Finished("a", Outcome.OK)])
+    assert any(isinstance(a, decision.Refuse) and a.hold_off > 0 and not a.terminal for a in actions)
+    assert decision.SetHealth(True) in policy.handle(12.0, [decision.Finished("a", Outcome.OK)])
 
 
 def test_credit_is_what_callers_may_have_outstanding() -> None:
@@ -267,27 +267,27 @@
 def test_one_timer_is_armed_for_the_earliest_deadline() -> None:
     policy = started()
     actions = policy.handle(0.0, [req("a", 3.0), req("b", 2.0), req("c", 1.0)])
-    assert len([a for a in actions if isinstance(a, api.SetTimer)]) == 1
+    assert len([a for a in actions if isinstance(a, decision.SetTimer)]) == 1
 
 
 def test_misuse_raises() -> None:
     policy = started(now=5.0)
-    with pytest.raises(api.UsageError, match="backwards"):
+    with pytest.raises(decision.UsageError, match="backwards"):
         policy.handle(4.0, [])
     policy.handle(5.0, [req("a", 9.0)])
-    with pytest.raises(api.UsageError, match="twice"):
+    with pytest.raises(decision.UsageError, match="twice"):
         policy.handle(5.0, [req("a", 9.0)])
-    with pytest.raises(api.UsageError, match="unknown class"):
+    with pytest.raises(decision.UsageError, match="unknown class"):
         policy.handle(5.0, [req("b", 9.0, "nope")])
-    over: list[api.Event] = [api.CallerGone("never seen"), api.Finished("never seen", Outcome.OK)]
-    assert not ids(policy.handle(5.1, over), api.Fail)
+    over: list[decision.Event] = [decision.CallerGone("never seen"), decision.Finished("never seen", Outcome.OK)]
+    assert not ids(policy.handle(5.1, over), decision.Fail)
 
 
 @pytest.mark.parametrize(
     ("field", "value"), [("cores", 0), ("memory", 0.0), ("drain_grace", -1.0), ("classes", ()), ("cold_from", 0.0)]
 )
 def test_contradictory_settings_name_the_field(field: str, value: object) -> None:
-    with pytest.raises(api.SettingsError, match=field):
+    with pytest.raises(decision.SettingsError, match=field):
         replace(PLAIN, **{field: value})  # type: ignore[arg-type]
 
 
@@ -298,8 +298,8 @@
     """A part of 0.4 calls never called at all (heredia-main-later, big-1)."""
     policy = started(replace(PLAIN, calls_below=True, calls_out=0.4, calls_over=5.0, linger=0.2))
     policy.handle(0.0, [req("a", 9.0), req("b", 9.0)])
-    actions = policy.handle(0.1, [api.CallNeeded("a"), api.CallNeeded("b")])
-    calls = [action for action in actions if isinstance(action, api.Call)]
+    actions = policy.handle(0.1, [decision.CallNeeded("a"), decision.CallNeeded("b")])
+    calls = [action for action in actions if isinstance(action, decision.Call)]
     assert calls and sum(call.time_out + 0.2 for call in calls) <= 0.4 * 5.0
 
 
@@ -315,11 +315,11 @@
     for turn in range(20):
         now, id = turn * 20.0, f"r{turn}"  # the window is free each time
         policy.handle(now, [req(id, now + 60.0, cls="slow")])
-        calls = [a for a in policy.handle(now + 0.1, [api.CallNeeded(id)]) if isinstance(a, api.Call)]
+        calls = [a for a in policy.handle(now + 0.1, [decision.CallNeeded(id)]) if isinstance(a, decision.Call)]
         assert sum(call.time_out + 0.2 for call in calls) <= 0.66 * 5.0
         made += len(calls)
-        policy.handle(now + 0.4, [api.CallReturned(call.id, Outcome.OK, 0.3) for call in calls])
-        policy.handle(now + 0.5, [api.Finished(id, Outcome.OK, 0.4)])
+        policy.handle(now + 0.4, [decision.CallReturned(call.id, Outcome.OK, 0.3) for call in calls])
+        policy.handle(now + 0.5, [decision.Finished(id, Outcome.OK, 0.4)])
     assert made == 20
 
 
@@ -327,11 +327,11 @@
     """Each batch pushed another timer while a call waited: 148 a second on each server."""
     policy = started(replace(PLAIN, calls_below=True, calls_out=0.1, calls_over=5.0))
     policy.handle(0.0, [req("a", 3.0), req("b", 3.0)])
-    actions = policy.handle(0.1, [api.CallNeeded("a"), api.CallNeeded("b")])
+    actions = policy.handle(0.1, [decision.CallNeeded("a"), decision.CallNeeded("b")])
     policy.progress = 3.0  # no hang
     for step in range(1, 50):
-        actions += policy.handle(0.1 + step / 100, [api.TimerFired(0)])
-    assert len(ids(actions, api.SetTimer)) < 30 and len(policy.heap) < 10
+        actions += policy.handle(0.1 + step / 100, [decision.TimerFired(0)])
+    assert len(ids(actions, decision.SetTimer)) < 30 and len(policy.heap) < 10
 
 
 def test_memory_of_waits_and_callers_is_bounded() -> None:
@@ -349,7 +349,7 @@
     for at in range(200):
         now = at / 10
         for action in policy.handle(now, [req(f"r{at}", now + 1.0, caller=at % callers)]):
-            idle += [action.after] if isinstance(action, api.IdleTimeout) else []
+            idle += [action.after] if isinstance(action, decision.IdleTimeout) else []
     assert (idle[-1:] == [IDLE]) is closes
 
 
@@ -370,18 +370,18 @@
     """Cores stood idle while the requests parked at calls stood at their bound (i2bcca3)."""
     policy = started(replace(PLAIN, cores=1, classes=(VIEW, CALLING), calls_below=True, calls_out=0.01))
     for name in "abcdefgh":
-        for id in ids(policy.handle(0.0, [req(name, cls="calling", hint=0.01)]), api.Run):
-            policy.handle(0.0, [api.CallNeeded(id)])
+        for id in ids(policy.handle(0.0, [req(name, cls="calling", hint=0.01)]), decision.Run):
+            policy.handle(0.0, [decision.CallNeeded(id)])
     assert policy.snapshot().in_use == 0 and policy.snapshot().held > 0
-    assert ids(policy.handle(0.0, [req("free")]), api.Run) == ["free"]
+    assert ids(policy.handle(0.0, [req("free")]), decision.Run) == ["free"]
 
 
 def test_calls_are_made_for_the_most_worth_first() -> None:
     dear = replace(CALLING, name="dear", worth=5.0)
     policy = started(replace(PLAIN, classes=(CALLING, dear), calls_below=True, calls_out=0.1, calls_over=5.0))
     policy.handle(0.0, [req("a", cls="calling"), req("b", cls="dear")])
-    actions = policy.handle(0.1, [api.CallNeeded("a"), api.CallNeeded("b")])
-    assert ids(actions, api.Call)[:1] == ["b"]
+    actions = policy.handle(0.1, [decision.CallNeeded("a"), decision.CallNeeded("b")])
+    assert ids(actions, decision.Call)[:1] == ["b"]
 
 
 # --- failures looked for on servers whose runs cannot be stopped ---
@@ -390,14 +390,14 @@
 @pytest.mark.parametrize(
     "settings",
     [
-        replace(PLAIN, classes=(VIEW, CALLING), crowd=6.0, calls_below=True, calls_out=1e3, halt=api.Halt.NONE),
+        replace(PLAIN, classes=(VIEW, CALLING), crowd=6.0, calls_below=True, calls_out=1e3, halt=decision.Halt.NONE),
         replace(
             PLAIN,
             classes=(VIEW, CALLING),
             crowd=6.0,
             calls_below=True,
             calls_out=1e3,
-            halt=api.Halt.NONE,
+            halt=decision.Halt.NONE,
             cold=True,
             cold_from=0.5,
             warm_after=1000.0,
@@ -416,10 +416,10 @@
     policy.handle(0.0, [req(f"c{at}", cls="calling", hint=0.01) for at in range(40)])
     for _ in range(20):
         running = [job.id for job in policy.jobs.values() if job.state is State.RUNNING]
-        policy.handle(0.0, [api.CallNeeded(name) for name in running if name.startswith("c")])
+        policy.handle(0.0, [decision.CallNeeded(name) for name in running if name.startswith("c")])
     policy.handle(0.0, [req(f"v{at}", hint=0.01) for at in range(40)])
     calling = [job.id for job in policy.jobs.values() if job.state is State.CALLING]
-    policy.handle(0.0, [api.CallReturned(name, Outcome.OK, 0.1) for name in calling])
+    policy.handle(0.0, [decision.CallReturned(name, Outcome.OK, 0.1) for name in calling])
     warm = settings.cold_from if settings.cold else 1.0
     assert policy.limited and policy.in_use <= (1 + (settings.crowd - 1) * warm) * settings.cores
 
@@ -430,12 +430,12 @@
     policy.start(0.0)
     policy.runs.limit = 8
     policy.handle(0.0, [req("a", 9.0)])
-    policy.handle(0.1, [api.TimerFired(policy.token)])
+    policy.handle(0.1, [decision.TimerFired(policy.token)])
     actions = policy.handle(
-        5.3, [api.TimerFired(policy.token), req("b", 9.0, unread=4.0), api.Finished("a", Outcome.OK)]
+        5.3, [decision.TimerFired(policy.token), req("b", 9.0, unread=4.0), decision.Finished("a", Outcome.OK)]
     )
     assert policy.runs.limit == 8 and policy.runs.time < 0.3 and policy.unread < 0.01
-    assert api.SetHealth(False) not in actions
+    assert decision.SetHealth(False) not in actions
 
 
 def test_late_timer_is_counted_once() -> None:
@@ -443,17 +443,17 @@
     policy.start(0.0)
     policy.handle(0.0, [req("a", 9.0)])
     for _ in range(5):
-        policy.handle(3.1, [api.CallerGone("b")])
+        policy.handle(3.1, [decision.CallerGone("b")])
     assert policy.jobs["a"].started == pytest.approx(3.0) and policy.jobs["a"].waited == 0
 
 
 def test_hang_is_noticed_without_any_other_event() -> None:
     policy = started()
     policy.handle(0.0, [req("a", 30.0)])
-    actions: list[api.Action] = []
+    actions: list[decision.Action] = []
     while policy.armed < 20.0:
-        actions += policy.handle(policy.armed, [api.TimerFired(policy.token)])
-    assert api.SetHealth(False) in actions
+        actions += policy.handle(policy.armed, [decision.TimerFired(policy.token)])
+    assert decision.SetHealth(False) in actions
 
 
 @pytest.mark.parametrize(
@@ -473,8 +473,8 @@
     settings = replace(PLAIN, classes=classes, calls_below=True, calls_out=1e-3)
     policy = started(settings)
     policy.handle(0.0, [req("a", cls="calling")])
-    assert not ids(policy.handle(0.1, [api.CallNeeded("a")]), api.Call)
-    assert (ids(policy.handle(1.0, []), api.Fail) == ["a"]) is answered
+    assert not ids(policy.handle(0.1, [decision.CallNeeded("a")]), decision.Call)
+    assert (ids(policy.handle(1.0, []), decision.Fail) == ["a"]) is answered
 
 
 def test_a_slow_spell_below_is_unlearned() -> None:
@@ -484,9 +484,9 @@
     policy.calls.time = 5.0
     for name in "ab":
         policy.handle(0.0, [req(name, cls="calling")])
-    assert ids(policy.handle(0.1, [api.CallNeeded("a")]), api.Call) == ["a"]
-    assert ids(policy.handle(0.1, [api.CallNeeded("b")]), api.Fail) == ["b"]  # one at a time finds out
-    policy.handle(0.2, [api.CallReturned("a", api.Outcome.OK, 0.1)])
+    assert ids(policy.handle(0.1, [decision.CallNeeded("a")]), decision.Call) == ["a"]
+    assert ids(policy.handle(0.1, [decision.CallNeeded("b")]), decision.Fail) == ["b"]  # one at a time finds out
+    policy.handle(0.2, [decision.CallReturned("a", decision.Outcome.OK, 0.1)])
     assert policy.calls.time < 5.0
 
 
@@ -494,15 +494,15 @@
     policy = started(replace(PLAIN, classes=(CALLING,), calls_below=True))
     policy.handle(0.0, [req("a", cls="calling")])
     policy.progress = 1.5  # no hang
-    assert ids(policy.handle(1.5, [api.CallNeeded("a")]), api.Fail) == ["a"]
+    assert ids(policy.handle(1.5, [decision.CallNeeded("a")]), decision.Fail) == ["a"]
 
 
 def test_held_request_is_refused_at_its_latest_start() -> None:
     policy = started(replace(PLAIN, cores=1))
     policy.handle(0.0, [req("run"), req("a")])
     latest = policy.jobs["a"].aim_at - policy._time_for(policy.jobs["a"])
-    assert not ids(policy.handle(latest - 0.01, []), api.Refuse)
-    assert ids(policy.handle(latest + 0.001, []), api.Refuse) == ["a"]
+    assert not ids(policy.handle(latest - 0.01, []), decision.Refuse)
+    assert ids(policy.handle(latest + 0.001, []), decision.Refuse) == ["a"]
 
 
 def test_no_hang_while_requests_wait_unread() -> None:
@@ -510,7 +510,7 @@
     policy = started()
     policy.handle(0.0, [req("a", 30.0)])
     policy.unread = 5.0
-    policy.handle(10.0, [api.TimerFired(0)])
+    policy.handle(10.0, [decision.TimerFired(0)])
     assert policy.snapshot().state == "serving"
 
 
@@ -537,7 +537,7 @@
     policy = started(replace(PLAIN, gauges=("core_use",)))
     policy.handle(0.0, [req(f"r{at}", hint=0.01) for at in range(9)])
     for at in range(1, 10):
-        policy.handle(at * 0.01, [api.TimerFired(1, (0.1,))])
+        policy.handle(at * 0.01, [decision.TimerFired(1, (0.1,))])
     assert policy.runs.limit == 3
 
 
@@ -547,7 +547,7 @@
         policy = started(replace(PLAIN, max_hold_off=1.0, cores=1))
         policy.refused_share, policy.excess = share, 0.4
         actions = policy.handle(0.0, [req("run"), req("big", hint=50.0)])
-        said = [a.hold_off for a in actions if isinstance(a, api.Refuse)]
+        said = [a.hold_off for a in actions if isinstance(a, decision.Refuse)]
         assert said and (said == [pytest.approx(0.4)]) is advised
 
 
@@ -570,7 +570,7 @@
         policy = started(settings)
         for index, caller in enumerate(callers):
             policy.handle(0.01 * (index + 1), [req(f"r{index}", caller=caller)])
-            policy.handle(0.01 * (index + 1), [api.Finished(f"r{index}", Outcome.OK, 0.0)])
+            policy.handle(0.01 * (index + 1), [decision.Finished(f"r{index}", Outcome.OK, 0.0)])
         policy.handle(0.5, [])
         return policy.announced
 
@@ -581,11 +581,11 @@
     """On the bench the limit shrank on the tail of sound calls and runs stood parked while cores idled."""
     settings = replace(PLAIN, classes=(CALLING,), cores=4, calls_below=True, crowd=8.0)
     policy = started(settings)
-    made: list[api.Action] = []
+    made: list[decision.Action] = []
     for index in range(6):  # an adaptive limit starts at the four cores
         policy.handle(0.01 * index, [req(f"r{index}", cls=CALLING.name)])
-        made += policy.handle(0.01 * index, [api.CallNeeded(f"r{index}")])
-    assert ids(made, api.Call) == [f"r{index}" for index in range(6)]
+        made += policy.handle(0.01 * index, [decision.CallNeeded(f"r{index}")])
+    assert ids(made, decision.Call) == [f"r{index}" for index in range(6)]
 
 
 def test_limit_does_not_shrink_while_the_cores_idle() -> None:
@@ -597,8 +597,8 @@
     policy = started(replace(PLAIN, gauges=("core_use",)))
     policy.runs.limit = 9
     for at, use, most in ((1.0, 0.5, 9), (10.0, 1.0, 5)):
-        policy.handle(at, [req(f"r{at}", at + 4.0), api.TimerFired(policy.token, (use,))])
-        policy.handle(at + 3.0, [api.TimerFired(policy.token, (use,)), api.Finished(f"r{at}", Outcome.OK)])
+        policy.handle(at, [req(f"r{at}", at + 4.0), decision.TimerFired(policy.token, (use,))])
+        policy.handle(at + 3.0, [decision.TimerFired(policy.token, (use,)), decision.Finished(f"r{at}", Outcome.OK)])
         assert policy.runs.limit == most
 
 
@@ -609,7 +609,7 @@
             at = step * 0.01
             caller = (0 if step % 2 else 1 + step % 14) + 100 * (int(at / 2.5) % lives)
             policy.handle(at, [req(f"r{step}", at + 4.0, caller=caller)])
-            policy.handle(at + 0.005, [api.Finished(f"r{step}", Outcome.OK)])
+            policy.handle(at + 0.005, [decision.Finished(f"r{step}", Outcome.OK)])
         return policy._busiest()
 
     assert busiest(1) == pytest.approx(0.5, rel=0.1)
@@ -621,7 +621,7 @@
     policy = started()
     for index in range(5 * HEAP):
         policy.handle(0.0001 * index, [req(f"r{index}")])
-        policy.handle(0.0001 * index, [api.Finished(f"r{index}", Outcome.OK)])
+        policy.handle(0.0001 * index, [decision.Finished(f"r{index}", Outcome.OK)])
     assert len(policy.heap) <= HEAP + 10
 
 
@@ -632,9 +632,9 @@
     runs: list[str] = []
     for index in range(40):
         actions = policy.handle(0.001 * index, [req(f"r{index}", cls=CALLING.name)])
-        for id in ids(actions, api.Run):
+        for id in ids(actions, decision.Run):
             runs.append(id)
-            actions += policy.handle(0.001 * index, [api.CallNeeded(id)])
+            actions += policy.handle(0.001 * index, [decision.CallNeeded(id)])
     assert int(policy._crowd()) - policy.runs.limit <= policy.parked <= policy._crowd()
 
 
@@ -645,7 +645,7 @@
         policy = started(settings)
         policy.handle(0.0, [req(f"r{index}", hint=0.5) for index in range(12)])
         for step in range(1, 20):
-            policy.handle(0.05 * step, [api.TimerFired(policy.token, (use,))])
+            policy.handle(0.05 * step, [decision.TimerFired(policy.token, (use,))])
         return policy.runs.limit, policy.announced
 
     busy, idle = after(1.0), after(0.4)
@@ -663,7 +663,7 @@
     policy = started(settings)
     policy.handle(0.0, [req(f"r{index}", due=200.0, hint=0.5) for index in range(40)])
     for step in range(1, 100):
-        policy.handle(0.05 * step, [api.TimerFired(policy.token, (0.2, on_core * policy.in_use))])
+        policy.handle(0.05 * step, [decision.TimerFired(policy.token, (0.2, on_core * policy.in_use))])
     return policy.in_use
 
 
@@ -684,7 +684,7 @@
     policy.on_core_share, policy.in_use = 0.1, 4
     wide = policy._cores_room()
     for _ in range(4):
-        policy._timer(api.TimerFired(policy.token, (1.0, 4.0)))
+        policy._timer(decision.TimerFired(policy.token, (1.0, 4.0)))
     assert wide == DISK.crowd * DISK.cores and policy._cores_room() < 1.1 * policy._crowd()
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from chutepin.decision import api
-from chutepin.decision.api import Halt, Settings, Signal, Tenant
+from chutepin import decision
+from chutepin.decision import Halt, Settings, Signal, Tenant
 from chutepin.decision.policy import CALLERS, PATIENCE, AimdLimit, Job, Policy
 from tests.world import BASE, KEYED, SAFE, UNSAFE, RuleBrokenError, cold, play
 
@@ -46,7 +46,7 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_rules_hold(name: str, seed: int) -> None:
     world = play(ODD[name], seed)
-    assert any(isinstance(action, api.Run) for action in world.log)
+    assert any(isinstance(action, decision.Run) for action in world.log)
 
 
 NEWS: dict[str, dict[str, float]] = {
@@ -61,7 +61,7 @@
 @pytest.mark.parametrize("name", ["usual", "no halt", "pause", "marked tries", "credit", "silent"])
 def test_rules_hold_where_news_is_missing_or_odd(name: str, news: str) -> None:
     world = play(ODD[name], 11, 900, True, **NEWS[news])
-    assert any(isinstance(action, api.Run) for action in world.log)
+    assert any(isinstance(action, decision.Run) for action in world.log)
 
 
 @pytest.mark.parametrize("halt", [Halt.PAUSE, Halt.DROP])
@@ -69,13 +69,13 @@
     for answered_first in (True, False):
         policy = Policy(replace(BASE, halt=halt), 1)
         policy.start(0.0)
-        policy.handle(0.0, [api.Request("a", "view", 0.0, 20.0, due=0.5)])
-        news: list[api.Event] = [] if answered_first else [api.CallerGone("a")]
+        policy.handle(0.0, [decision.Request("a", "view", 0.0, 20.0, due=0.5)])
+        news: list[decision.Event] = [] if answered_first else [decision.CallerGone("a")]
         actions = policy.handle(0.6 if answered_first else 0.1, news)
-        assert api.Stop("a") in actions and (api.Fail("a") in actions) is answered_first
+        assert decision.Stop("a") in actions and (decision.Fail("a") in actions) is answered_first
         if answered_first:
-            assert actions.index(api.Fail("a")) < actions.index(api.Stop("a"))  # so that the stop ends it
-        policy.handle(0.7, [api.CallerGone("a"), api.Finished("a", api.Outcome.CANCELLED)])
+            assert actions.index(decision.Fail("a")) < actions.index(decision.Stop("a"))  # so that the stop ends it
+        policy.handle(0.7, [decision.CallerGone("a"), decision.Finished("a", decision.Outcome.CANCELLED)])
         assert policy.memory == 0 and policy.in_use == 0 and not policy.jobs
 
 
@@ -100,7 +100,7 @@
     assert play(BASE, 3).log == play(BASE, 3).log
 
 
-def _keep_nothing(self: Policy, job: Job, cls: api.RequestClass) -> None:
+def _keep_nothing(self: Policy, job: Job, cls: decision.RequestClass) -> None:
     return
 
 
@@ -108,7 +108,7 @@
     return
 
 
-def _welcome(self: Policy, job: Job, cls: api.RequestClass) -> str:
+def _welcome(self: Policy, job: Job, cls: decision.RequestClass) -> str:
     return ""
 
 
@@ -118,15 +118,15 @@
 
 def _refuse_ran(self: Policy, job: Job) -> None:
     if not job.answered:
-        self.out.append(api.Refuse(job.id))
+        self.out.append(decision.Refuse(job.id))
         job.answered = True
 
 
-def _never_repeat(self: Policy, job: Job, cls: api.RequestClass) -> bool:
+def _never_repeat(self: Policy, job: Job, cls: decision.RequestClass) -> bool:
     return False
 
 
-def _drain_late(self: Policy, notice: api.DrainNotice) -> None:
+def _drain_late(self: Policy, notice: decision.DrainNotice) -> None:
     self.last_arrival = self.now + self.settings.drain_grace
 
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass, field, replace
 from itertools import pairwise
 
-from chutepin.decision import api
-from chutepin.decision.api import Halt, Outcome, Repeat, RequestClass, Settings, Signal, Tenant
+from chutepin import decision
+from chutepin.decision import Halt, Outcome, Repeat, RequestClass, Settings, Signal, Tenant
 from chutepin.decision.policy import Policy
 
 SAFE = RequestClass("view", Repeat.SAFE, 1.0, 0.8, 2.0, 0.2, 0.0, True, 0.5)
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True)
 class Tracked:
-    req: api.Request
+    req: decision.Request
     cls: RequestClass
     arrived: float
     due: float
@@ -88,11 +88,11 @@
     requests: dict[str, Tracked] = field(default_factory=dict)
     table: dict[str, float] = field(default_factory=dict)  # kept id -> expiry
     timers: list[tuple[float, int]] = field(default_factory=list)
-    inbox: list[api.Event] = field(default_factory=list)
+    inbox: list[decision.Event] = field(default_factory=list)
     crowd: list[tuple[float, float]] = field(default_factory=list)
     calls: list[tuple[float, float]] = field(default_factory=list)  # (time, in hand)
     lingering: list[float] = field(default_factory=list)
-    log: list[api.Action] = field(default_factory=list)
+    log: list[decision.Action] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.rng = random.Random(self.seed)
@@ -114,51 +114,53 @@
             events.append(self._arrival())
         fired = [token for at, token in self.timers if at <= self.now]
         self.timers = [timer for timer in self.timers if timer[0] > self.now]
-        events += [api.TimerFired(token, (self.rng.random(),)) for token in fired]
+        events += [decision.TimerFired(token, (self.rng.random(),)) for token in fired]
         if self.requests and self.rng.random() < 0.05:  # late news about something, perhaps long over
             item = self.rng.choice(list(self.requests.values()))
             if item.state == "over":
-                events.append(api.CallerGone(item.req.id))
+                events.append(decision.CallerGone(item.req.id))
         if events:
             self.apply(self.policy.handle(self.now, events))
         self._check()
 
     def drain(self, left: float) -> None:
         self.drain_at, self.stop_at = self.now, self.now + left
-        self.apply(self.policy.handle(self.now, [api.DrainNotice(self.stop_at)]))
+        self.apply(self.policy.handle(self.now, [decision.DrainNotice(self.stop_at)]))
 
-    def _advance(self, item: Tracked, events: list[api.Event], gap: float) -> None:
+    def _advance(self, item: Tracked, events: list[decision.Event], gap: float) -> None:
         roll = self.rng.random()
         if item.state == "running" and roll < self.speed * gap:
             if item.cls.calls and not item.done and self.rng.random() < 0.6:
                 item.done = True
                 item.state = "over" if item.answered else "at_call"
                 events.append(
-                    api.CallNeeded(item.req.id) if not item.answered else api.Finished(item.req.id, Outcome.CANCELLED)
+                    decision.CallNeeded(item.req.id)
+                    if not item.answered
+                    else decision.Finished(item.req.id, Outcome.CANCELLED)
                 )
             else:
                 item.state = "over"
                 outcome = Outcome.ERROR if self.rng.random() < 0.1 else Outcome.OK
                 item.answered = True
-                events.append(api.Finished(item.req.id, outcome))
+                events.append(decision.Finished(item.req.id, outcome))
         elif item.state == "calling" and roll < 4 * gap:
             self._call_ends(item, events)
         elif item.state == "sharing" and roll < 2 * gap:
             item.state, item.answered = "over", True
-            events.append(api.Finished(item.req.id, Outcome.OK))
+            events.append(decision.Finished(item.req.id, Outcome.OK))
         elif item.state != "over" and not item.answered and roll > 1 - self.leaves * gap:
             self._goes(item, events)
 
-    def _goes(self, item: Tracked, events: list[api.Event]) -> None:
+    def _goes(self, item: Tracked, events: list[decision.Event]) -> None:
         item.answered = item.gone = True
-        events.append(api.CallerGone(item.req.id))
+        events.append(decision.CallerGone(item.req.id))
         if item.state in ("held", "sharing"):
             item.state = "over"
         elif item.state in ("at_call", "calling"):
             item.state = "over"
-            events.append(api.Finished(item.req.id, Outcome.CANCELLED))
+            events.append(decision.Finished(item.req.id, Outcome.CANCELLED))
 
-    def _call_ends(self, item: Tracked, events: list[api.Event]) -> None:
+    def _call_ends(self, item: Tracked, events: list[decision.Event]) -> None:
         outcome = Outcome.OK
         if self.rng.random() < self.call_failures:
             outcome = self.rng.choice(
@@ -168,9 +170,9 @@
         item.state = "running" if outcome is Outcome.OK else "at_call"
         if outcome is Outcome.TIMEOUT:
             self.lingering.append(self.now + self.settings.linger)
-        events.append(api.CallReturned(item.req.id, outcome, 0.1))
+        events.append(decision.CallReturned(item.req.id, outcome, 0.1))
 
-    def _arrival(self) -> api.Request:
+    def _arrival(self) -> decision.Request:
         self.serial += 1
         cls = self.rng.choice(self.settings.classes)
         unread = self.rng.choice([0.0, 0.0, 0.01, 0.4])
@@ -189,7 +191,7 @@
         wait = self.rng.choice([cls.deadline, cls.deadline, 0.4, 0.05])
         due = self.now - unread + wait if self.rng.random() < self.dues else None
         tenant = self.rng.choice(self.settings.tenants).name if self.settings.tenants else None
-        req = api.Request(
+        req = decision.Request(
             f"r{self.serial}",
             cls.name,
             unread,
@@ -210,23 +212,23 @@
 
     # --- actions ---
 
-    def apply(self, actions: list[api.Action]) -> None:
+    def apply(self, actions: list[decision.Action]) -> None:
         self.log += actions
         for action in actions:
-            if isinstance(action, api.SetTimer):
+            if isinstance(action, decision.SetTimer):
                 must(action.after >= 0, "a timer in the past")
                 self.timers.append((self.now + action.after, action.token))
-            elif isinstance(action, api.Announce):
+            elif isinstance(action, decision.Announce):
                 must(self.settings.signal is not Signal.NONE and action.value >= 0, "a faulty value")
                 must(self.settings.signal is Signal.CREDIT or action.value <= 1, "a faulty share")
-            elif not isinstance(action, (api.SetHealth, api.IdleTimeout, api.Log)):
+            elif not isinstance(action, (decision.SetHealth, decision.IdleTimeout, decision.Log)):
                 item = self.requests.get(action.id)
                 must(item is not None, "an action on an unknown request")
                 assert item is not None
-                if item.state != "over" or isinstance(action, api.ForgetKey):
+                if item.state != "over" or isinstance(action, decision.ForgetKey):
                     getattr(self, "_" + type(action).__name__.lower())(item, action)
 
-    def _run(self, item: Tracked, action: api.Run) -> None:
+    def _run(self, item: Tracked, action: decision.Run) -> None:
         must(item.state == "held" and not item.answered, "run of what is not held")
         must(not (item.ran and item.cls.repeat is not Repeat.SAFE), "duplicate: second run after a stop")
         if item.cls.repeat is Repeat.KEYED:
@@ -238,12 +240,12 @@
             must(item.arrived <= self.drain_at + self.settings.drain_grace, "drain: run after the grace")
         item.state, item.ran = "running", True
 
-    def _refuse(self, item: Tracked, action: api.Refuse) -> None:
+    def _refuse(self, item: Tracked, action: decision.Refuse) -> None:
         must(not item.answered, "answered twice")
         must(item.cls.repeat is Repeat.SAFE or not item.ran, "duplicate: refused after a run")
         self._answer(item)
 
-    def _fail(self, item: Tracked, action: api.Fail) -> None:
+    def _fail(self, item: Tracked, action: decision.Fail) -> None:
         must(not item.answered, "answered twice")
         self._answer(item)
 
@@ -255,37 +257,37 @@
             if item.state == "calling":
                 self.lingering.append(self.now + self.settings.linger)
             item.state = "over"
-            self.inbox.append(api.Finished(item.req.id, Outcome.CANCELLED))
+            self.inbox.append(decision.Finished(item.req.id, Outcome.CANCELLED))
 
-    def _stop(self, item: Tracked, action: api.Stop) -> None:
+    def _stop(self, item: Tracked, action: decision.Stop) -> None:
         must(self.settings.halt is not Halt.NONE, "a faulty stop")
         if item.state != "running":
             return
         paused = self.settings.halt is Halt.PAUSE  # keeps the memory of a run
         item.state = "over" if item.answered else "paused" if paused else "held"
-        self.inbox.append(api.Finished(item.req.id, Outcome.CANCELLED))
+        self.inbox.append(decision.Finished(item.req.id, Outcome.CANCELLED))
 
-    def _call(self, item: Tracked, action: api.Call) -> None:
+    def _call(self, item: Tracked, action: decision.Call) -> None:
         must(item.cls.repeat is Repeat.SAFE or not item.unproven, "duplicate: a call repeated without proof")
         must(action.time_out > 0, "a call without a time-out")
         if item.state == "at_call":
             item.state = "calling"
 
-    def _skipcall(self, item: Tracked, action: api.SkipCall) -> None:
+    def _skipcall(self, item: Tracked, action: decision.SkipCall) -> None:
         must(item.cls.skip_worth > 0, "a faulty skip")
         if item.state == "at_call":
             item.state = "running"
 
-    def _keepkey(self, item: Tracked, action: api.KeepKey) -> None:
+    def _keepkey(self, item: Tracked, action: decision.KeepKey) -> None:
         must(self.now + action.keep_for >= item.arrived + item.cls.window, "a key kept short")
         if item.req.repeats and item.req.repeats in self.table:
             del self.table[item.req.repeats]
         self.table[item.req.id] = self.now + action.keep_for
 
-    def _forgetkey(self, item: Tracked, action: api.ForgetKey) -> None:
+    def _forgetkey(self, item: Tracked, action: decision.ForgetKey) -> None:
         self.table.pop(item.req.id, None)
 
-    def _share(self, item: Tracked, action: api.Share) -> None:
+    def _share(self, item: Tracked, action: decision.Share) -> None:
         must(item.req.repeats is not None, "a faulty share")
         item.state = "sharing"
 
