--- a/benchmarks/equality.py
+++ b/benchmarks/equality.py
@@ -27,7 +27,7 @@
 from tests.test_rules import ODD
 from tests.world import play
 
-KEPT = Path(__file__).parent / "results" / "equality.json"
+KEPT = Path(__file__).parents[1] / "tests" / "data" / "equality.json"
 DECISION_SEEDS = (1,)
 MEMBERSHIP_SEEDS = (1, 2)
 CONSENSUS_SEEDS = (1,)
