--- a/chutepin/broker.py
+++ b/chutepin/broker.py
@@ -16,7 +16,7 @@
 from typing import Protocol
 
 from . import decision, facade
-from .decision import Repeat
+from .decision import Idempotency
 from .facade import CallEnded, CallWanted, Drain, End, Facade, Left, Offer, RunEnded
 from .figures import Figures
 from .keys import Entry, Single, Standing, Table, Twin
@@ -48,8 +48,8 @@
 
     verdict: Verdict
     body: bytes = b""
-    hold_off: float = 0.0  # seconds the caller should stay away
-    terminal: bool = False  # no other node should be tried
+    retry_after: float = 0.0  # seconds the caller should stay away
+    no_other_node: bool = False  # no other node should be tried
     value: float | None = None  # the free value
 
 
@@ -98,7 +98,7 @@
     key: str | None = None  # the same for all tries of one request
     rank: float = 0.0
     caller: int = 0
-    again: bool = False
+    is_retry: bool = False
     watched: bool = True  # the executor sees for itself when the request is over
     remembered: float = 0.0  # seconds that a key is remembered at least, from the arrival
 
@@ -130,7 +130,7 @@
 
     request: Request
     caller: Caller
-    repeat: Repeat
+    idempotency: Idempotency
     phase: Phase = Phase.HELD
     owed: bool = True
     notice: int = 0
@@ -162,7 +162,7 @@
         self._gauge_count = len(settings.gauges)
         self._grace = settings.drain_grace
         self._dues_told = settings.passes_deadline
-        self._says = settings.signal is not decision.Signal.NONE
+        self._says = settings.signal is not decision.LoadSignal.NONE
         self._facade = Facade(settings, seed, self)
         self.figures = Figures(self._classes)
         self._started = False
@@ -180,7 +180,7 @@
         self._last_arrival: float | None = None
         self._value: float | None = None
         self.good = True
-        self.idle_after = settings.idle_max
+        self.idle_after = settings.max_idle_time
         self._drain_stop: float | None = None
 
     # --- for the fronts ---
@@ -230,28 +230,30 @@
             self._counters.add("requests.malformed")
             self._answer_now(request.cls, caller, Answer(Verdict.FAILED, value=self._value))
             return
-        entry = self.keys.find(request.key, request.arrived) if cls.repeat is Repeat.KEYED else None
+        entry = self.keys.find(request.key, request.arrived) if cls.idempotency is Idempotency.KEYED else None
         if entry is not None and entry.contents != _contents(request):
             # Another request under a key that is taken: it must not get a result that no run made for it.
             self._counters.add("requests.malformed")
             self._answer_now(request.cls, caller, Answer(Verdict.FAILED, value=self._value))
             return
-        full = len(self._attempts) >= MAX_REQUESTS or (cls.repeat is Repeat.KEYED and entry is None and self.keys.full)
-        if not self._started or full or (cls.repeat is Repeat.KEYED and request.key is None):
+        full = len(self._attempts) >= MAX_REQUESTS or (
+            cls.idempotency is Idempotency.KEYED and entry is None and self.keys.full
+        )
+        if not self._started or full or (cls.idempotency is Idempotency.KEYED and request.key is None):
             # Before the executor is up nothing can run; a full table could not keep a run from being
             # repeated; without a key nothing tells a repeat.
             self._counters.add("requests.full" if full else "requests.not_taken")
             verdict = Verdict.FAILED if self._key_ran(request) else Verdict.REFUSED
             self._answer_now(request.cls, caller, Answer(verdict, value=self._value))
             return
-        standing = self.twin.standing(now) if cls.repeat is Repeat.KEYED and entry is None else Standing.OWNS
+        standing = self.twin.standing(now) if cls.idempotency is Idempotency.KEYED and entry is None else Standing.OWNS
         if standing is Standing.CLOSED:  # it may have run in a process that can't be asked
             self._counters.add("keys.closed")
             self._answer_now(request.cls, caller, Answer(Verdict.FAILED, value=self._value))
             return
         # Guards what the module learns from the wait, and the windows of keys, against times that cannot be.
         request.arrived = max(now - cls.deadline, min(now, request.arrived))
-        attempt = self._attempts[request.id] = Attempt(request, caller, cls.repeat)
+        attempt = self._attempts[request.id] = Attempt(request, caller, cls.idempotency)
         if standing is Standing.ASKS:
             attempt.phase = Phase.ASKING
             self._due_at(request.id, min(request.due, now + ASK_BY))
@@ -272,7 +274,7 @@
             request.size,
             request.rank,
             request.caller,
-            request.again,
+            request.is_retry,
             (entry.ran or entry.holder) if entry else None,
         )
         self._settle(lambda: self._facade.pick(now, offer))
@@ -530,7 +532,7 @@
         attempt.phase = Phase.RUNNING
         self._counters.add("runs")
         self.figures.sends += 1
-        self._executor.exec(id, request.cls, request.body, attempt.repeat is Repeat.SAFE)
+        self._executor.exec(id, request.cls, request.body, attempt.idempotency is Idempotency.IDEMPOTENT)
 
     def stop(self, id: str) -> None:
         """Stop a run."""
@@ -559,7 +561,7 @@
         if self._counters.holds(attempt.phase is Phase.AT_CALL, "call only at a call"):
             attempt.phase, attempt.call_since = Phase.CALLING, self._clock.now()
             self._counters.add("calls")
-            self._records.call(id, deadline, attempt.call_body, attempt.repeat is Repeat.SAFE)
+            self._records.call(id, deadline, attempt.call_body, attempt.idempotency is Idempotency.IDEMPOTENT)
 
     def skip_call(self, id: str) -> None:
         """Go on without the call."""
@@ -628,7 +630,7 @@
 
     def _forget(self, id: str) -> None:
         attempt = self._attempts.pop(id, None)
-        if attempt is not None and attempt.repeat is Repeat.KEYED:
+        if attempt is not None and attempt.idempotency is Idempotency.KEYED:
             self._key_unused(attempt.request)  # also of one that the module has yet to hear about
         if attempt is not None and not self._counters.holds(not attempt.owed, "answered before forgotten"):
             self._answer_now(attempt.request.cls, attempt.caller, Answer(Verdict.FAILED, value=self._value))
@@ -683,7 +685,7 @@
 
     def _key_runs(self, attempt: Attempt) -> bool:
         """A key runs at most once within its window, and not before the node's other process knows."""
-        if attempt.repeat is not Repeat.KEYED:
+        if attempt.idempotency is not Idempotency.KEYED:
             return True
         request = attempt.request
         entry = self.keys.entries.get(request.key or "")
@@ -701,7 +703,7 @@
         return False
 
     def _key_ended(self, attempt: Attempt, end: End, result: bytes) -> None:
-        if attempt.repeat is Repeat.KEYED:
+        if attempt.idempotency is Idempotency.KEYED:
             entry = self.keys.entries.get(attempt.request.key or "")
             waiting = self.keys.ended(attempt.request.key or "", attempt.request.id, end, result)
             ok = end is End.OK and entry is not None
--- a/chutepin/decision/actions.py
+++ b/chutepin/decision/actions.py
@@ -20,12 +20,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class Reject:
     """Final answer: shed, with the assurance that this try never ran."""
 
     id: str
-    hold_off: float = 0.0  # advice to stay away this long
-    terminal: bool = False  # asks the caller not to try elsewhere
+    retry_after: float = 0.0  # advice to stay away this long
+    no_other_node: bool = False  # asks the caller not to try elsewhere
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Share:
+class ShareResult:
     """Answer a held request with the result of the one that it repeats."""
 
     id: str
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Announce:
-    """The value sent with every answer from now on; `Signal` says how callers read it."""
+    """The value sent with every answer from now on; `LoadSignal` says how callers read it."""
 
     value: float
 
@@ -112,13 +112,13 @@
 Action = (
     Run
     | Stop
-    | Refuse
+    | Reject
     | Fail
     | Call
     | SkipCall
     | KeepKey
     | ForgetKey
-    | Share
+    | ShareResult
     | SetHealth
     | Announce
     | IdleTimeout
--- a/chutepin/decision/events.py
+++ b/chutepin/decision/events.py
@@ -40,7 +40,7 @@
     rank: float = 0.0  # 0 to 1, by class in order of worth
     caller: int = 0
     repeats: str | None = None  # the kept request that this one repeats
-    again: bool = False  # a further try or a second copy, where the settings say that these are marked
+    is_retry: bool = False  # a further try or a second copy, where the settings say that these are marked
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,11 +93,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Elsewhere:
+class PeerProcessUsage:
     """What another process on the same cores and memory uses: runs that are or may at once be on the cores, and KB."""
 
     running: int
     memory: float
 
 
-Event = Request | Finished | CallerGone | CallNeeded | CallReturned | DrainNotice | TimerFired | Elsewhere
+Event = Request | Finished | CallerGone | CallNeeded | CallReturned | DrainNotice | TimerFired | PeerProcessUsage
--- a/chutepin/decision/policy.py
+++ b/chutepin/decision/policy.py
@@ -22,11 +22,11 @@
     IdleTimeout,
     KeepKey,
     Log,
-    Refuse,
+    Reject,
     Run,
     SetHealth,
     SetTimer,
-    Share,
+    ShareResult,
     SkipCall,
     Stop,
 )
@@ -35,15 +35,15 @@
     CallNeeded,
     CallReturned,
     DrainNotice,
-    Elsewhere,
     Event,
     Finished,
     Outcome,
+    PeerProcessUsage,
     Request,
     TimerFired,
     UsageError,
 )
-from .settings import Halt, Repeat, RequestClass, Settings, Signal
+from .settings import Cancellation, Idempotency, LoadSignal, RequestClass, Settings
 from .snapshot import Snapshot
 
 # Tuned values: ratios and shares, none of them a figure of one deployment.
@@ -199,23 +199,23 @@
         self.held: dict[str, Job] = {}
         self.classes = {cls.name: index for index, cls in enumerate(s.classes)}
         self.tenants = {tenant.name: index for index, tenant in enumerate(s.tenants)}
-        self.work = [cls.aim / 5 for cls in s.classes]  # learned per class, where no hint comes
+        self.work = [cls.latency_objective / 5 for cls in s.classes]  # learned per class, where no hint comes
         self.turned = [0.0] * len(s.classes)  # learned time until a refusal
         self.waits = [0.0] * len(s.classes)  # learned time at calls
-        self.mean_aim = sum(cls.aim for cls in s.classes) / len(s.classes)
+        self.mean_aim = sum(cls.latency_objective for cls in s.classes) / len(s.classes)
         self.patience: dict[int, float] = {}  # parts of the deadline that tries may wait: how often, of late
         self.tries = 0.0
         self.parts: dict[int, tuple[float, float]] = {}  # what each caller sent of late; first heard
         self.heard: dict[int, float] = {}  # callers, longest silent first: when last heard
-        self.returned, self.silent = 3.0, s.idle_max  # callers heard again; seconds that callers were silent
-        self.idle = s.idle_max
+        self.returned, self.silent = 3.0, s.max_idle_time  # callers heard again; seconds that callers were silent
+        self.idle = s.max_idle_time
         self.first = math.inf  # when the first request came
-        slowness = 1.0 / s.cold_from if s.cold else 1.0
+        slowness = 1.0 / s.initial_speed if s.warming_up else 1.0
         self.runs = AimdLimit(s.cores, self._ceiling(), slowness, min(self.work))
-        calls_cap = max(s.cores, int(s.calls_out * SAFETY)) if s.calls_out else 10**6
+        calls_cap = max(s.cores, int(s.max_calls * SAFETY)) if s.max_calls else 10**6
         # A tier below tells no share and turns away what it cannot take: a limit of ours on top would read
         # the long tail of sound calls as trouble, shrink to one and leave runs parked behind it.
-        calls_floor = 1 if s.calls_out else calls_cap
+        calls_floor = 1 if s.max_calls else calls_cap
         self.calls = AimdLimit(calls_floor, calls_cap, self.mean_aim / 10, self.mean_aim / 10)
         self.calls.limit = max(calls_floor, s.cores, calls_cap // 4)
         self.call_queue: list[Job] = []
@@ -249,7 +249,7 @@
     def start(self, now: float) -> list[Action]:
         """The first actions of a life: checks answered cheaply, connections kept, the value announced."""
         self.now = self.born = self.last_control = self.progress = now
-        self.out = [SetHealth(True), IdleTimeout(self.settings.idle_max)]
+        self.out = [SetHealth(True), IdleTimeout(self.settings.max_idle_time)]
         self._announce()
         return self.out
 
@@ -306,7 +306,7 @@
             self._timer(event)
         elif isinstance(event, DrainNotice):
             self._drain(event)
-        elif isinstance(event, Elsewhere):
+        elif isinstance(event, PeerProcessUsage):
             self.other_use, self.other_memory = event.running, event.memory
         elif (job := self.jobs.get(event.id)) is not None:
             if isinstance(event, Finished):
@@ -340,10 +340,10 @@
         job.due = max(self.now, due) - self.settings.tick
         if self.stop_at is not None:
             job.due = min(job.due, self.stop_at)
-        aim = min(cls.aim + cls.aim_stretch * job.work, cls.deadline) - self._age(job, cls)
+        aim = min(cls.latency_objective + cls.objective_stretch * job.work, cls.deadline) - self._age(job, cls)
         job.aim_at = min(job.arrived + aim, job.due)  # callers may give up a try before the aim
         self.refused_share *= 1 - ALPHA / 2
-        self.again_share += ALPHA / 2 * (req.again - self.again_share)  # below 1
+        self.again_share += ALPHA / 2 * (req.is_retry - self.again_share)  # below 1
         stood = max(0.0, min(self.now, self.moved) - max(job.arrived, self.stood))
         self.unread += 2 * ALPHA * (max(0.0, req.unread - stood) - self.unread)
         self._hear(req.caller)
@@ -357,7 +357,7 @@
         if reason := self._unwelcome(job, cls):
             self._refuse(job, reason)
             return
-        if cls.repeat is Repeat.KEYED:
+        if cls.idempotency is Idempotency.KEYED:
             self._keep(job, cls)
         # Never in this batch: what finds a free permit runs, or nothing would be measured.
         self._push(max(self.now + self.settings.tick, job.aim_at - self._time_for(job)), "late", job)
@@ -367,10 +367,10 @@
         First tries wait one of few parts of the deadline, by habit of their callers; what earlier tries left
         of the whole is hardly seen twice."""
         if job.req.due is None:  # as long as as many refusals take here as tries come before one
-            return self.turned[job.cls] * self.again_share / (1 - self.again_share) if job.req.again else 0.0
+            return self.turned[job.cls] * self.again_share / (1 - self.again_share) if job.req.is_retry else 0.0
         part = (job.req.due - job.arrived) / cls.deadline
         mark, tally = round(part / SAME), self.patience
-        first = self.settings.marks_retries and not job.req.again
+        first = self.settings.marks_retries and not job.req.is_retry
         if first or not self.settings.marks_retries:
             tally[mark] = tally.get(mark, 0.0) + 1
             self.tries += 1
@@ -388,7 +388,7 @@
         self.returned += self.heard.pop(caller, None) is not None
         self.heard[caller] = self.now
         while (oldest := next(iter(self.heard))) != caller and (
-            len(self.heard) > CALLERS or self.now - self.heard[oldest] > self.settings.idle_max
+            len(self.heard) > CALLERS or self.now - self.heard[oldest] > self.settings.max_idle_time
         ):
             del self.heard[oldest]
 
@@ -397,7 +397,7 @@
 
         Guards against a table full of connections that nobody uses: it costs cores and turns callers away.
         Harm: a handshake for each try of the few callers that do come again."""
-        longest = self.settings.idle_max
+        longest = self.settings.max_idle_time
         keep = math.exp(-step / max(longest, step))
         self.returned, self.silent = self.returned * keep, (self.silent + len(self.heard) * step) * keep
         # The more is refused, the more a full table helps: it turns away without handshake or reading.
@@ -414,16 +414,18 @@
         origin = self.jobs.get(job.req.repeats or "")
         # A try that reached the machine earlier may lie in the window of a run that the other is outside of.
         replaces = origin and origin.state is State.HELD and origin.arrived <= job.arrived
-        if cls.repeat is Repeat.KEYED and origin and replaces:
+        if cls.idempotency is Idempotency.KEYED and origin and replaces:
             if origin.kept:
                 origin.kept, job.kept = False, True
                 self.out.append(KeepKey(job.id, cls.window - job.req.unread + self.settings.tick))
-            self._refuse(origin, "replaced", terminal=True)
+            self._refuse(origin, "replaced", no_other_node=True)
             return False
-        if cls.repeat is Repeat.UNSAFE or (cls.repeat is Repeat.SAFE and not self.settings.share_for):
+        if cls.idempotency is Idempotency.NOT_IDEMPOTENT or (
+            cls.idempotency is Idempotency.IDEMPOTENT and not self.settings.result_reuse_time
+        ):
             return False
         self._enter(job, State.SHARING)
-        self.out.append(Share(job.id))
+        self.out.append(ShareResult(job.id))
         return True
 
     def _unwelcome(self, job: Job, cls: RequestClass) -> str:
@@ -432,7 +434,7 @@
             return "drain"
         if self.hung:
             return "hang"
-        keys = self.settings.key_memory if cls.repeat is Repeat.KEYED and not job.kept else 0.0
+        keys = self.settings.key_memory if cls.idempotency is Idempotency.KEYED and not job.kept else 0.0
         memory = self.memory + self.other_memory
         if memory + keys + job.req.size * self.settings.run_factor > self.settings.memory * SAFETY:
             return "memory"
@@ -452,7 +454,7 @@
         time, speed = work * self.slowness, self._warmth()
         if speed >= 1:
             return time
-        full, rise = time * speed, (1 - self.settings.cold_from) / self.settings.warm_after
+        full, rise = time * speed, (1 - self.settings.initial_speed) / self.settings.warm_up_time
         end = min(1.0, math.sqrt(speed**2 + 2 * rise * full))  # the speed at its end
         return (end - speed) / rise + max(0.0, full - (1 - speed**2) / 2 / rise)
 
@@ -466,8 +468,8 @@
 
     def _density(self, job: Job) -> float:
         """Worth for each unit of expected work as the told goal counts it."""
-        worth = self.settings.classes[job.cls].worth * self._matters(job)
-        return worth if self.settings.worth_by_work else worth / job.work
+        worth = self.settings.classes[job.cls].priority_weight * self._matters(job)
+        return worth if self.settings.weight_by_work else worth / job.work
 
     def _beyond_share(self, job: Job) -> bool:
         """Its tenant has used up this server's part of the quota, and more of its quota than the others.
@@ -495,7 +497,7 @@
                 return
             ready = list(self.held.values())
             if self.parked >= bound:  # what makes no call can go on while the dependency holds the others up
-                ready = [job for job in ready if not self.settings.classes[job.cls].calls]
+                ready = [job for job in ready if not self.settings.classes[job.cls].makes_calls]
             if not ready:
                 return
             job = max(ready, key=self._density)
@@ -545,31 +547,31 @@
 
     # --- ends ---
 
-    def _refuse(self, job: Job, reason: str, terminal: bool | None = None) -> None:
-        """Turn a request away that never ran. Elsewhere is worth a try only while few are refused or this
+    def _refuse(self, job: Job, reason: str, no_other_node: bool | None = None) -> None:
+        """Turn a request away that never ran. PeerProcessUsage is worth a try only while few are refused or this
         server is the sick one; else each further try costs every server its reading."""
         sick = reason in ("drain", "hang")
-        if terminal is None:
-            terminal = not sick and self.refused_share > TERMINAL_FROM
+        if no_other_node is None:
+            no_other_node = not sick and self.refused_share > TERMINAL_FROM
         self.refused_share += ALPHA / 2
         self.turned[job.cls] += ALPHA * (self.now - job.arrived - self.turned[job.cls])
         if reason in ("hopeless", "late"):
             self.share *= 1 - (1 - CUT) * self._matters(job)
         self.refusals[reason] = self.refusals.get(reason, 0) + 1
         # Where the others are full as well the client is told when this backlog will be the wanted one again.
-        hold_off = min(self.settings.max_hold_off, math.inf if sick else self.excess if terminal else 0.0)
+        hold_off = min(self.settings.max_retry_after, math.inf if sick else self.excess if no_other_node else 0.0)
         if job.state is State.HELD:
             self._leave(job)
         else:
             job.answered = True
-        self.out.append(Refuse(job.id, hold_off, terminal))
+        self.out.append(Reject(job.id, hold_off, no_other_node))
 
     def _fail(self, job: Job) -> None:
         """The final answer for what cannot be served in time, running work included."""
         if job.answered:
             return
         if job.state is State.HELD and not job.ran:
-            self._refuse(job, "due", terminal=True)
+            self._refuse(job, "due", no_other_node=True)
             return
         self.out.append(Fail(job.id))
         self._abandon(job)
@@ -587,14 +589,14 @@
             self.cut_work += job.work
         if job.state in (State.HELD, State.SHARING):
             self._leave(job)
-        elif job.state is State.RUNNING and self.settings.halt is not Halt.NONE:
-            if self.settings.classes[job.cls].repeat is not Repeat.KEYED:
+        elif job.state is State.RUNNING and self.settings.cancellation is not Cancellation.UNSUPPORTED:
+            if self.settings.classes[job.cls].idempotency is not Idempotency.KEYED:
                 self.out.append(Stop(job.id))
 
     def _finished(self, job: Job, outcome: Outcome) -> None:
         cls = self.settings.classes[job.cls]
         if job.state is State.CALLING:
-            self._hang_up(job, linger=True)
+            self._hang_up(job, abandoned=True)
         if job.state is State.RUNNING:
             self._progressed()
             if outcome is Outcome.OK:
@@ -608,7 +610,7 @@
     def _measure(self, job: Job, cls: RequestClass) -> None:
         """Feed the limit with the run time, call waits taken out."""
         rtt = max(1e-6, self.now - job.started - job.waited)
-        over = self.now - job.arrived > cls.aim and job.arrived >= self.moved
+        over = self.now - job.arrived > cls.latency_objective and job.arrived >= self.moved
         late = over or self.unread > UNREAD * self.runs.time
         if job.req.hint is None:
             own = rtt * min(1.0, self.settings.cores / max(1, self.in_use + self.other_use))
@@ -633,13 +635,13 @@
         if not job.answered:
             self.call_queue.append(job)
             cls = self.settings.classes[job.cls]
-            if not (cls.late_worth or cls.skip_worth):  # given up once no call can end in time
+            if not (cls.late_weight or cls.weight_without_call):  # given up once no call can end in time
                 self._push(job.aim_at - self.calls.time, "spent", job)
 
     def _call_returned(self, job: Job, event: CallReturned) -> None:
         if job.state is not State.CALLING:
             return
-        self._hang_up(job, linger=event.outcome is Outcome.TIMEOUT)
+        self._hang_up(job, abandoned=event.outcome is Outcome.TIMEOUT)
         if event.outcome is Outcome.OK:
             self.calls.finished(self.now, max(1e-6, event.elapsed), 1.0, self.calling + 1, False)
             self._resume(job)
@@ -655,9 +657,9 @@
         pause = CALL_PAUSE * 2**job.tries * (0.5 + self.random.random())
         job.tries += 1
         # Only a proof that it never ran, or a class safe to repeat, allows a second call.
-        if (proof or cls.repeat is Repeat.SAFE) and self.now + pause < min(job.due, job.aim_at):
+        if (proof or cls.idempotency is Idempotency.IDEMPOTENT) and self.now + pause < min(job.due, job.aim_at):
             self._push(self.now + pause, "recall", job)
-        elif cls.skip_worth:
+        elif cls.weight_without_call:
             self.out.append(SkipCall(job.id))
             self._resume(job)
         else:
@@ -668,18 +670,18 @@
         job.waited += self.now - job.since
         self._enter(job, State.RUNNING)
 
-    def _hang_up(self, job: Job, linger: bool) -> None:
+    def _hang_up(self, job: Job, abandoned: bool) -> None:
         self.calling -= 1
         self.promised -= job.promise
-        if linger and self.settings.linger:
-            self.lingering.append(self.now + self.settings.linger)
+        if abandoned and self.settings.abandoned_call_time:
+            self.lingering.append(self.now + self.settings.abandoned_call_time)
         self._step_calls()
 
     def _step_calls(self) -> None:
         """Note how many calls are in the dependency's hands, abandoned ones included."""
         while self.lingering and self.lingering[0] <= self.now:
             self.lingering.popleft()
-        if not self.settings.calls_out:
+        if not self.settings.max_calls:
             return
         at, total, count = self.call_steps[-1]
         total += count * (self.now - at) if count else 0.0
@@ -690,10 +692,10 @@
 
         Guards the shared dependency whatever slows it, also where the share is a fraction of one call: a
         server then makes short calls one after the other. Harm: a call cut off that others' room allowed."""
-        if not self.settings.calls_out:
+        if not self.settings.max_calls:
             return math.inf
         self._step_calls()
-        since, steps = self.now - self.settings.calls_over, self.call_steps
+        since, steps = self.now - self.settings.max_calls_window, self.call_steps
         while len(steps) > 1 and steps[1][0] <= since:
             steps.popleft()
         at, before, count = steps[0]
@@ -703,14 +705,14 @@
 
     def _whole_room(self) -> float:
         """Call seconds that the told share leaves in its window while no call was made."""
-        return self.settings.calls_out * SAFETY * self.settings.calls_over or math.inf
+        return self.settings.max_calls * SAFETY * self.settings.max_calls_window or math.inf
 
     def _pump_calls(self) -> None:
         """Make the calls that the limit and the told share allow; leave out those that cannot wait."""
         if not self.call_queue:
             return
         self.call_queue = [job for job in self.call_queue if not job.answered and job.id in self.jobs]
-        linger, tick = self.settings.linger, self.settings.tick
+        linger, tick = self.settings.abandoned_call_time, self.settings.tick
         # A call is never to wait for more time than the share can ever allow: where its usual time is not
         # known yet and thought longer, or has been longer of late, no call would be made and nothing learned.
         most = (self._whole_room() / 2 - linger) * (1 - MARGIN)
@@ -726,7 +728,7 @@
             self._step_calls()
             self._enter(job, State.CALLING)
             self.out.append(Call(job.id, job.promise - linger))
-        for job in [j for j in self.call_queue if self.settings.classes[j.cls].skip_worth]:
+        for job in [j for j in self.call_queue if self.settings.classes[j.cls].weight_without_call]:
             late = self.now + self.waits[job.cls] + job.work * self.slowness / 2 > job.aim_at
             if late and self._cores_take():
                 self.call_queue.remove(job)
@@ -828,14 +830,14 @@
 
     def _warmth(self) -> float:
         s = self.settings
-        if not s.cold or self.now - self.born >= s.warm_after:
+        if not s.warming_up or self.now - self.born >= s.warm_up_time:
             return 1.0
-        return s.cold_from + (1 - s.cold_from) * (self.now - self.born) / s.warm_after
+        return s.initial_speed + (1 - s.initial_speed) * (self.now - self.born) / s.warm_up_time
 
     def _crowd(self) -> float:
         """How many runs the cores survive now, cold to warm: a part of the told figure, or one run a core."""
         cores = self.settings.cores
-        return max(cores, (1 + (self.settings.crowd - 1) * self._warmth()) * cores * SAFETY)
+        return max(cores, (1 + (self.settings.max_running_per_core - 1) * self._warmth()) * cores * SAFETY)
 
     def _cores_take(self) -> bool:
         """Room on the cores for one more, should every call in hand return at once.
@@ -848,7 +850,7 @@
     def _cores_room(self) -> float:
         """Runs and calls in hand that the cores survive. Where runs wait for disk, which the told figure
         leaves out, a warm server uses the margin too: all of them back at once are still not over it."""
-        return max(self._crowd(), min(self.settings.crowd * self.settings.cores, self._spread(SAFETY)))
+        return max(self._crowd(), min(self.settings.max_running_per_core * self.settings.cores, self._spread(SAFETY)))
 
     def _spread(self, least: float) -> float:
         """The crowd where some of the runs wait for disk, which only the gauge of the cores shows."""
@@ -894,12 +896,14 @@
         self.hung = True
         self.out += [SetHealth(False), Log("no progress while work runs")]
         for job in [*self.held.values(), *running]:
-            if not job.answered and (not job.ran or self.settings.classes[job.cls].repeat is Repeat.SAFE):
+            if not job.answered and (
+                not job.ran or self.settings.classes[job.cls].idempotency is Idempotency.IDEMPOTENT
+            ):
                 self._refuse(job, "hang")
 
     def _matters(self, job: Job) -> float:
         """What a request counts for its class's worth, as told."""
-        return self.settings.over_share_worth if self._beyond_share(job) else 1.0
+        return self.settings.over_quota_weight if self._beyond_share(job) else 1.0
 
     def _backlog(self) -> float:
         """Seconds that a request waits: unread, then for the work in the hold."""
@@ -929,13 +933,13 @@
     def _announce(self) -> None:
         """The cheapest refusal is the one never sent: tell callers how much to send, in their meaning."""
         signal, value = self.settings.signal, self.share
-        if signal is Signal.NONE:
+        if signal is LoadSignal.NONE:
             return
         if self.hung or self.stop_at is not None:
             value = 0.0
-        if signal is Signal.LEVEL:
+        if signal is LoadSignal.LEVEL:
             value = 1.0 - value
-        elif signal is Signal.CREDIT:
+        elif signal is LoadSignal.CREDIT:
             work = self.slowness * sum(self.work) / len(self.work)
             room = BACKLOG * self.mean_aim * self.runs.limit / work
             could = min(self.runs.ceiling, self.runs.limit * (1 - MARGIN) / max(LEAST_USE, self.usual_use))
--- a/chutepin/decision/simulator_protocol.py
+++ b/chutepin/decision/simulator_protocol.py
@@ -15,16 +15,16 @@
     IdleTimeout,
     KeepKey,
     Log,
-    Refuse,
+    Reject,
     Run,
     SetHealth,
     SetTimer,
-    Share,
+    ShareResult,
     SkipCall,
     Stop,
 )
 from .events import CallerGone, CallNeeded, CallReturned, DrainNotice, Event, Finished, Outcome, Request, TimerFired
-from .settings import Halt, Repeat, RequestClass, Settings, SettingsError, Signal, Tenant
+from .settings import Cancellation, Idempotency, LoadSignal, RequestClass, Settings, SettingsError, Tenant
 
 Obj = dict[str, Any]
 
@@ -33,14 +33,14 @@
     """Malformed input; the message says what and where."""
 
 
-_REPEAT = {"pure": Repeat.SAFE, "token": Repeat.KEYED, "side_effect": Repeat.UNSAFE}
+_REPEAT = {"pure": Idempotency.IDEMPOTENT, "token": Idempotency.KEYED, "side_effect": Idempotency.NOT_IDEMPOTENT}
 _SIGNAL = {
-    "none": Signal.NONE,
-    "threshold": Signal.LEVEL,
-    "window": Signal.CREDIT,
-    "share_of": Signal.WEIGHT,
+    "none": LoadSignal.NONE,
+    "threshold": LoadSignal.LEVEL,
+    "window": LoadSignal.CREDIT,
+    "share_of": LoadSignal.WEIGHT,
 }
-_HALT = {"none": Halt.NONE, "abort": Halt.DROP, "suspend": Halt.PAUSE}
+_HALT = {"none": Cancellation.UNSUPPORTED, "abort": Cancellation.DISCARDS_WORK, "suspend": Cancellation.KEEPS_WORK}
 _OUTCOME = {
     "done": Outcome.OK,
     "err": Outcome.ERROR,
@@ -131,24 +131,24 @@
 # The names that the settings have outside, of what is checked inside under another.
 _NAMES = {
     "classes": "categories",
-    "aim": "slo",
+    "latency_objective": "slo",
     "cores": "familyInfo.cpus",
     "memory": "familyInfo.memoryKb",
-    "crowd": "safety.fallMultiple",
-    "crowd_over": "safety.overloadFor",
+    "max_running_per_core": "safety.fallMultiple",
+    "max_running_window": "safety.overloadFor",
     "run_factor": "familyInfo.runFactor",
-    "calls_over": "familyInfo.callsOver",
-    "cold_from": "safety.coldFrom",
-    "warm_after": "safety.warmAfter",
+    "max_calls_window": "familyInfo.callsOver",
+    "initial_speed": "safety.coldFrom",
+    "warm_up_time": "safety.warmAfter",
     "answer_slack": "safety.answerSlack",
     "drain_grace": "safety.drainGrace",
     "key_memory": "familyInfo.kbPerKey",
-    "share_for": "familyInfo.shareFor",
-    "said_for": "familyInfo.saidFor",
-    "idle_max": "familyInfo.keepaliveMax",
-    "max_hold_off": "caps.maxRetryAfter",
-    "calls_out": "familyInfo.callsOut",
-    "linger": "familyInfo.linger",
+    "result_reuse_time": "familyInfo.shareFor",
+    "announcement_lifetime": "familyInfo.saidFor",
+    "max_idle_time": "familyInfo.keepaliveMax",
+    "max_retry_after": "caps.maxRetryAfter",
+    "max_calls": "familyInfo.callsOut",
+    "abandoned_call_time": "familyInfo.abandoned_call_time",
 }
 
 
@@ -166,16 +166,16 @@
     deadline = number(raw, "deadline")
     return RequestClass(
         name=text(raw, "name"),
-        repeat=_choice(raw, "idempotency", _REPEAT),
-        worth=number(raw, "importance", 1.0),
+        idempotency=_choice(raw, "idempotency", _REPEAT),
+        priority_weight=number(raw, "importance", 1.0),
         # An aim past the deadline is no contradiction: whatever is answered by then is in time.
-        aim=min(deadline, number(raw, "slo", deadline)),
+        latency_objective=min(deadline, number(raw, "slo", deadline)),
         deadline=deadline,
-        late_worth=number(raw, "lateWorth", 0.0),
+        late_weight=number(raw, "lateWorth", 0.0),
         window=number(raw, "window", 0.0),
-        calls=_flag(_row(info, "classCalls", index), "classCalls"),
-        skip_worth=number(_row(info, "degradedWorth", index), "degradedWorth", 0.0),
-        aim_stretch=number(raw, "aimStretch", 0.0),
+        makes_calls=_flag(_row(info, "classCalls", index), "classCalls"),
+        weight_without_call=number(_row(info, "degradedWorth", index), "degradedWorth", 0.0),
+        objective_stretch=number(raw, "aimStretch", 0.0),
     )
 
 
@@ -200,31 +200,31 @@
             memory=number(info, "memoryKb"),
             servers=_present(env, "servers"),
             callers=_present(info, "senders"),
-            cold=_flag(info, "cold"),
-            cold_from=number(safety, "coldFrom", 1.0),
-            warm_after=number(safety, "warmAfter", 0.0),
+            warming_up=_flag(info, "cold"),
+            initial_speed=number(safety, "coldFrom", 1.0),
+            warm_up_time=number(safety, "warmAfter", 0.0),
             answer_slack=number(safety, "answerSlack", 0.0),
             drain_grace=number(safety, "drainGrace", 0.0),
-            crowd=number(safety, "fallMultiple", 8.0),
-            crowd_over=number(safety, "overloadFor", 1.0),
+            max_running_per_core=number(safety, "fallMultiple", 8.0),
+            max_running_window=number(safety, "overloadFor", 1.0),
             run_factor=number(info, "runFactor", 1.0),
             key_memory=number(info, "kbPerKey", 0.0),
-            share_for=number(info, "shareFor", 0.0),
-            halt=_choice(info, "halt", _HALT, "none"),
+            result_reuse_time=number(info, "shareFor", 0.0),
+            cancellation=_choice(info, "halt", _HALT, "none"),
             signal=_choice(info, "signal", _SIGNAL, "none"),
-            said_for=number(info, "saidFor", 1.0),
+            announcement_lifetime=number(info, "saidFor", 1.0),
             deep_checks=_flag(info, "deepChecks"),
-            idle_max=number(info, "keepaliveMax", 30.0),
-            max_hold_off=number(caps, "maxRetryAfter", 0.0) if _flag(caps, "retryAfter") else 0.0,
-            calls_below=info.get("downstream", "none") != "none",
-            calls_out=number(info, "callsOut", 0.0),
-            calls_over=number(info, "callsOver", 1.0),
-            linger=number(info, "linger", 0.0),
+            max_idle_time=number(info, "keepaliveMax", 30.0),
+            max_retry_after=number(caps, "maxRetryAfter", 0.0) if _flag(caps, "retryAfter") else 0.0,
+            has_dependency=info.get("downstream", "none") != "none",
+            max_calls=number(info, "callsOut", 0.0),
+            max_calls_window=number(info, "callsOver", 1.0),
+            abandoned_call_time=number(info, "linger", 0.0),
             gauges=tuple(str(name) for name in _part(info, "meters", list)),
             passes_deadline=_flag(info, "passesDeadline", True),
             marks_retries=_flag(_part(env, "clientHabits", dict), "marksRetry"),
-            worth_by_work=env.get("worthBy") == "work",
-            over_share_worth=number(env, "overShareWorth", 1.0),
+            weight_by_work=env.get("worthBy") == "work",
+            over_quota_weight=number(env, "overShareWorth", 1.0),
             tick=number(env, "tick", 0.001),
         )
     except SettingsError as error:
@@ -245,7 +245,7 @@
         rank=number(m, "precedence", 0.0),
         caller=int(number(m, "by", 0)),
         repeats=_optional_text(m, "dupOf"),
-        again=bool(attrs & 2),
+        is_retry=bool(attrs & 2),
     )
 
 
@@ -276,11 +276,11 @@
     return make(message)
 
 
-def _refuse(a: Refuse) -> Obj:
+def _refuse(a: Reject) -> Obj:
     obj: Obj = {"op": "NOT_NOW", "tid": a.id}
-    if a.hold_off > 0:
-        obj["holdOff"] = a.hold_off
-    if a.terminal:
+    if a.retry_after > 0:
+        obj["holdOff"] = a.retry_after
+    if a.no_other_node:
         obj["terminal"] = True
     return obj
 
@@ -288,13 +288,13 @@
 _ACTIONS: dict[type, Callable[[Any], Obj]] = {
     Run: lambda a: {"op": "PROCESS", "tid": a.id},
     Stop: lambda a: {"op": "ABORT_WORK", "tid": a.id},
-    Refuse: _refuse,
+    Reject: _refuse,
     Fail: lambda a: {"op": "REPORT_FAILURE", "tid": a.id},
     Call: lambda a: {"op": "GO_CALL", "tid": a.id, "tryFor": a.time_out},
     SkipCall: lambda a: {"op": "BYPASS", "tid": a.id},
     KeepKey: lambda a: {"op": "STORE_KEY", "tid": a.id, "forTime": a.keep_for},
     ForgetKey: lambda a: {"op": "UNPIN", "tid": a.id},
-    Share: lambda a: {"op": "SHARE", "tid": a.id},
+    ShareResult: lambda a: {"op": "SHARE", "tid": a.id},
     SetHealth: lambda a: {"op": "FITNESS", "enable": a.good, "cheap": a.cheap},
     Announce: lambda a: {"op": "ANNOUNCE", "x": a.value},
     IdleTimeout: lambda a: {"op": "KEEPALIVE", "forTime": a.after},
--- a/chutepin/facade.py
+++ b/chutepin/facade.py
@@ -52,7 +52,7 @@
     size: float
     rank: float
     caller: int
-    again: bool
+    is_retry: bool
     repeats: str | None  # the try that has the key's entry
 
 
@@ -127,7 +127,7 @@
 
     def start(self, now: float, born: float, cold: bool) -> None:
         """Begin the life: the executor came up at `born`, cold or warm."""
-        self._policy = Policy(dataclasses.replace(self._settings, cold=cold), self._seed)
+        self._policy = Policy(dataclasses.replace(self._settings, warming_up=cold), self._seed)
         self._apply(now, self._policy.start(min(born, now)))
 
     def pick(self, now: float, offer: Offer) -> None:
@@ -145,7 +145,7 @@
                 rank=offer.rank,
                 caller=offer.caller,
                 repeats=offer.repeats,
-                again=offer.again,
+                is_retry=offer.is_retry,
             ),
         )
 
@@ -170,7 +170,7 @@
 
     def elsewhere(self, now: float, running: int, memory: float) -> None:
         """What the node's other process uses."""
-        self._handle(now, decision.Elsewhere(running, memory))
+        self._handle(now, decision.PeerProcessUsage(running, memory))
 
     def learned(self) -> dict[str, object]:
         """The module's experience; tables as lists of pairs, as JSON has no numbers as names."""
@@ -211,7 +211,7 @@
                     core.run(id)
                 case decision.Stop(id):
                     core.stop(id)
-                case decision.Refuse(id, hold_off, terminal):
+                case decision.Reject(id, hold_off, terminal):
                     core.refuse(id, hold_off, terminal)
                 case decision.Fail(id):
                     core.fail(id)
@@ -223,7 +223,7 @@
                     core.keep_key(id, now + keep_for)
                 case decision.ForgetKey(id):
                     core.forget_key(id)
-                case decision.Share(id):
+                case decision.ShareResult(id):
                     core.share(id)
                 case decision.SetHealth(good):
                     core.set_health(good)
--- a/chutepin/net/amqp.py
+++ b/chutepin/net/amqp.py
@@ -304,7 +304,7 @@
         self._again_at = [0.0] * len(config.queues)  # when each queue may be consumed again
         self._leaving = False
         self._link: asyncio.WriteTransport | None = None
-        self._wants = [cls.worth for cls in broker.classes.values()]
+        self._wants = [cls.priority_weight for cls in broker.classes.values()]
 
     # --- from the broker's deliveries to requests ---
 
@@ -337,7 +337,7 @@
     def _request(self, queue: QueueConfig, content: Content, properties: commands.Basic.Properties) -> Request:
         now = self.clock.now()
         contract = self.broker.classes[queue.cls]
-        keyed = contract.repeat.value == "keyed"
+        keyed = contract.idempotency.value == "keyed"
         key = properties.message_id
         if keyed and not key:
             raise ProtocolError("a work order without message-id")
@@ -352,8 +352,8 @@
             size=queue.held_kb,
             tenant=queue.team,
             key=f"amqp {queue.name} {key}" if keyed else None,
-            rank=(worths.index(contract.worth) + 0.5) / len(worths),
-            again=bool(content.deliver.redelivered),
+            rank=(worths.index(contract.priority_weight) + 0.5) / len(worths),
+            is_retry=bool(content.deliver.redelivered),
             watched=False,
             remembered=self.config.redelivery_window,
         )
@@ -388,7 +388,7 @@
         if answer.verdict is Verdict.REFUSED:
             self.counters.add("amqp.nack")
             session.settle(tag, commands.Basic.Nack(tag, requeue=True))
-            self._again_at[delivery.queue] = self.clock.now() + max(MIN_PAUSE, answer.hold_off)
+            self._again_at[delivery.queue] = self.clock.now() + max(MIN_PAUSE, answer.retry_after)
             session.pause(delivery.queue)
             return
         if properties.reply_to:
@@ -412,7 +412,7 @@
         for id, delivery in list(self._open.items()):
             if delivery.session is session:
                 del self._open[id]
-                if self.broker.classes[self.config.queues[delivery.queue].cls].repeat.value != "keyed":
+                if self.broker.classes[self.config.queues[delivery.queue].cls].idempotency.value != "keyed":
                     self.broker.gone(id)
 
     def look(self, session: Session) -> None:
--- a/chutepin/net/resp.py
+++ b/chutepin/net/resp.py
@@ -156,7 +156,7 @@
         key=key,
         rank=number(fields.get("p", "0"), 1),
         caller=int(number(fields.get("f", "0"))),
-        again=fields.get("r") == "1",
+        is_retry=fields.get("r") == "1",
     )
 
 
@@ -166,9 +166,9 @@
     if answer.value is not None:
         fields.append(f"v={answer.value:.6g}")
     if answer.verdict is Verdict.REFUSED:
-        if answer.hold_off > 0:
-            fields.append(f"w={max(1, round(answer.hold_off * 1000))}")
-        if answer.terminal:
+        if answer.retry_after > 0:
+            fields.append(f"w={max(1, round(answer.retry_after * 1000))}")
+        if answer.no_other_node:
             fields.append("l=1")
     return array(tag, _WORDS[answer.verdict], ",".join(fields).encode(), answer.body)
 
--- a/chutepin/node.py
+++ b/chutepin/node.py
@@ -142,7 +142,9 @@
         self.lifecycle = Lifecycle()
         self.log = Log(self.clock, log_format)
         alarm = LoopAlarm(self.clock)
-        session = Session(self.clock, self.counters, self.log, config.settings.halt is decision.Halt.PAUSE)
+        session = Session(
+            self.clock, self.counters, self.log, config.settings.cancellation is decision.Cancellation.KEEPS_WORK
+        )
         # Descriptors that the process may really have, whatever the configuration allows.
         self.sockets = sockets = min(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         self.ledger = shares(
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -206,7 +206,7 @@
     core.pass_time(0.6)
     core.pick("b", "position-push")
     assert core.ports.ids("exec") == ["a"] and core.words("b") == ["refused"]
-    assert core.ports.answers["b"][0].hold_off > 0
+    assert core.ports.answers["b"][0].retry_after > 0
     core.pass_time(2.4)
     assert core.words("a") == ["failed"] and not core.counters.counts["answers.overdue"]
 
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -96,13 +96,13 @@
     actions: list[decision.Action] = [
         decision.Run("a"),
         decision.Stop("a"),
-        decision.Refuse("a", 0.5, True),
+        decision.Reject("a", 0.5, True),
         decision.Fail("a"),
         decision.Call("a", 1.0),
         decision.SkipCall("a"),
         decision.KeepKey("a", 1.0),
         decision.ForgetKey("a"),
-        decision.Share("a"),
+        decision.ShareResult("a"),
         decision.SetHealth(True),
         decision.Announce(0.5),
         decision.IdleTimeout(1.0),
@@ -121,4 +121,4 @@
     order = {"op": "ORDER", "server": "server_1", "tid": "a", "band": "view"}
     for attrs, again in ((0, False), (2, True), (7, True), (5, False)):
         event = wire.parse_event(order | {"attrs": attrs})
-        assert isinstance(event, decision.Request) and event.again is again and event.due is None
+        assert isinstance(event, decision.Request) and event.is_retry is again and event.due is None
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -8,12 +8,14 @@
 import pytest
 
 from chutepin import decision
-from chutepin.decision import Outcome, Repeat, RequestClass, Settings, Signal, Tenant
+from chutepin.decision import Idempotency, LoadSignal, Outcome, RequestClass, Settings, Tenant
 from chutepin.decision.policy import CALLERS, HEAP, IDLE, LEAST_SHARE, PATIENCE, AimdLimit, Policy, State
 
-VIEW = RequestClass("view", Repeat.SAFE, 1.0, 1.0, 4.0)
-PAY = RequestClass("pay", Repeat.KEYED, 1.0, 1.0, 4.0, window=5.0)
-PLAIN = Settings(classes=(VIEW, PAY), cores=2, memory=100_000.0, halt=decision.Halt.DROP, answer_slack=0.05)
+VIEW = RequestClass("view", Idempotency.IDEMPOTENT, 1.0, 1.0, 4.0)
+PAY = RequestClass("pay", Idempotency.KEYED, 1.0, 1.0, 4.0, window=5.0)
+PLAIN = Settings(
+    classes=(VIEW, PAY), cores=2, memory=100_000.0, cancellation=decision.Cancellation.DISCARDS_WORK, answer_slack=0.05
+)
 
 
 class Punctual(Policy):
@@ -88,14 +90,14 @@
 
 
 def test_ceiling_rises_with_the_warm_up() -> None:
-    policy = started(replace(PLAIN, cold=True, cold_from=0.2, warm_after=10.0))
+    policy = started(replace(PLAIN, warming_up=True, initial_speed=0.2, warm_up_time=10.0))
     cold = policy.runs.ceiling
     policy.handle(20.0, [decision.TimerFired(0)])
     assert policy.runs.ceiling > 2 * cold
 
 
 def test_parked_request_releases_its_permit_and_retakes_it_over_the_limit() -> None:
-    policy = started(replace(PLAIN, cores=1, calls_below=True))
+    policy = started(replace(PLAIN, cores=1, has_dependency=True))
     assert ids(policy.handle(0.0, [req("a"), req("b")]), decision.Run) == ["a"]
     assert ids(policy.handle(0.1, [decision.CallNeeded("a")]), decision.Run) == ["b"]
     policy.handle(0.2, [decision.CallReturned("a", Outcome.OK, 0.1), req("c")])
@@ -167,7 +169,7 @@
 
 
 def test_announced_share_never_falls_to_where_a_silent_server_draws_all() -> None:
-    policy = started(replace(PLAIN, signal=Signal.WEIGHT))
+    policy = started(replace(PLAIN, signal=LoadSignal.WEIGHT))
     for at in range(200):
         policy.progress = at / 10  # no hang
         policy.handle(at / 10, [req(f"r{at}-{i}", at / 10 + 4.0) for i in range(5)])
@@ -179,7 +181,7 @@
     tenants = (Tenant("greedy", 0.5, 0.01), Tenant("other", 0.5, 1.0))
     shares = []
     for over in (1.0, 0.0):
-        policy = started(replace(PLAIN, signal=Signal.WEIGHT, tenants=tenants, over_share_worth=over))
+        policy = started(replace(PLAIN, signal=LoadSignal.WEIGHT, tenants=tenants, over_quota_weight=over))
         for at in range(100):
             policy.progress = at / 10  # no hang
             policy.handle(at / 10, [req(f"r{at}-{i}", at / 10 + 4.0, tenant="greedy") for i in range(5)])
@@ -204,14 +206,14 @@
     policy = started(replace(PLAIN, cores=1))
     policy.handle(1.0, [req("run"), req("a", 5.0, "pay")])
     actions = policy.handle(1.1, [req("b", 5.0, "pay", unread=0.4, repeats="a")])
-    assert ids(actions, decision.Share) == ["b"] and not ids(actions, decision.Refuse)
+    assert ids(actions, decision.ShareResult) == ["b"] and not ids(actions, decision.Reject)
 
 
 # --- the hold, repeats, calls, health, advice ---
 
 
 def test_hold_runs_the_most_worth_for_its_work() -> None:
-    dear = RequestClass("dear", Repeat.SAFE, 5.0, 1.0, 4.0)
+    dear = RequestClass("dear", Idempotency.IDEMPOTENT, 5.0, 1.0, 4.0)
     policy = started(replace(PLAIN, classes=(VIEW, dear), cores=1))
     policy.handle(0.0, [req("a")])
     policy.handle(0.0, [req("cheap"), req("worthy", cls="dear")])
@@ -220,7 +222,7 @@
 
 def test_tenant_beyond_its_share_waits_but_runs_when_there_is_room() -> None:
     tenants = (Tenant("greedy", 0.5, 0.01), Tenant("small", 0.5, 100.0))
-    policy = started(replace(PLAIN, cores=1, tenants=tenants, over_share_worth=0.1))
+    policy = started(replace(PLAIN, cores=1, tenants=tenants, over_quota_weight=0.1))
     assert ids(policy.handle(0.0, [req("a", tenant="greedy")]), decision.Run) == ["a"]
     policy.handle(0.0, [req("g", tenant="greedy"), req("s", tenant="small")])
     assert ids(policy.handle(0.3, [decision.Finished("a", Outcome.OK)]), decision.Run) == ["s"]
@@ -231,7 +233,7 @@
     policy = started(replace(PLAIN, cores=1))
     policy.handle(0.0, [req("run"), req("a", 4.0, "pay")])
     actions = policy.handle(0.1, [req("b", 4.1, "pay", repeats="a")])
-    assert ids(actions, decision.KeepKey) == ["b"] and ids(actions, decision.Refuse) == ["a"]
+    assert ids(actions, decision.KeepKey) == ["b"] and ids(actions, decision.Reject) == ["a"]
     assert ids(policy.handle(0.2, [decision.Finished("run", Outcome.OK)]), decision.Run) == ["b"]
 
 
@@ -240,7 +242,7 @@
     [(Outcome.BUSY, True), (Outcome.CONNECT_FAILED, True), (Outcome.TIMEOUT, False), (Outcome.RESET, False)],
 )
 def test_keyed_call_is_repeated_only_on_proof(outcome: Outcome, again: bool) -> None:
-    policy = started(replace(PLAIN, calls_below=True))
+    policy = started(replace(PLAIN, has_dependency=True))
     policy.handle(0.0, [req("a", cls="pay")])
     assert ids(policy.handle(0.1, [decision.CallNeeded("a")]), decision.Call) == ["a"]
     actions = policy.handle(0.2, [decision.CallReturned("a", outcome, 0.1)])
@@ -249,18 +251,18 @@
 
 
 def test_hang_sends_callers_elsewhere_and_ends_with_the_first_run() -> None:
-    policy = started(replace(PLAIN, signal=Signal.WEIGHT, max_hold_off=1.0))
+    policy = started(replace(PLAIN, signal=LoadSignal.WEIGHT, max_retry_after=1.0))
     policy.handle(0.0, [req("a", 30.0), req("b", 30.0), req("c", 30.0)])
     actions = policy.handle(10.0, [decision.TimerFired(0)])
     assert policy.snapshot().state == "hung" and policy.announced == 0
-    assert decision.SetHealth(False) in actions and "a" in ids(actions, decision.Refuse)
+    assert decision.SetHealth(False) in actions and "a" in ids(actions, decision.Reject)
     actions = policy.handle(11.0, [req("d", 15.0)])
-    assert any(isinstance(a, decision.Refuse) and a.hold_off > 0 and not a.terminal for a in actions)
+    assert any(isinstance(a, decision.Reject) and a.retry_after > 0 and not a.no_other_node for a in actions)
     assert decision.SetHealth(True) in policy.handle(12.0, [decision.Finished("a", Outcome.OK)])
 
 
 def test_credit_is_what_callers_may_have_outstanding() -> None:
-    policy = started(replace(PLAIN, signal=Signal.CREDIT, callers=2))
+    policy = started(replace(PLAIN, signal=LoadSignal.CREDIT, callers=2))
     assert policy.announced * 2 >= PLAIN.cores
 
 
@@ -284,7 +286,7 @@
 
 
 @pytest.mark.parametrize(
-    ("field", "value"), [("cores", 0), ("memory", 0.0), ("drain_grace", -1.0), ("classes", ()), ("cold_from", 0.0)]
+    ("field", "value"), [("cores", 0), ("memory", 0.0), ("drain_grace", -1.0), ("classes", ()), ("initial_speed", 0.0)]
 )
 def test_contradictory_settings_name_the_field(field: str, value: object) -> None:
     with pytest.raises(decision.SettingsError, match=field):
@@ -296,7 +298,7 @@
 
 def test_share_of_calls_under_one_still_calls_within_the_share() -> None:
     """A part of 0.4 calls never called at all (heredia-main-later, big-1)."""
-    policy = started(replace(PLAIN, calls_below=True, calls_out=0.4, calls_over=5.0, linger=0.2))
+    policy = started(replace(PLAIN, has_dependency=True, max_calls=0.4, max_calls_window=5.0, abandoned_call_time=0.2))
     policy.handle(0.0, [req("a", 9.0), req("b", 9.0)])
     actions = policy.handle(0.1, [decision.CallNeeded("a"), decision.CallNeeded("b")])
     calls = [action for action in actions if isinstance(action, decision.Call)]
@@ -307,8 +309,12 @@
 def test_calls_are_made_though_they_are_thought_to_take_longer_than_the_share_allows(usual: float | None) -> None:
     """With long aims the first guess, 2.4 s, was over what a part of 0.66 allows, and no call was ever made
     (portland-ledger, calm+mass): nothing showed that they took 0.3 s. The same after calls that took long."""
-    slow = replace(VIEW, name="slow", calls=True, aim=24.0, deadline=90.0)
-    policy = started(replace(PLAIN, classes=(slow,), calls_below=True, calls_out=0.66, calls_over=5.0, linger=0.2))
+    slow = replace(VIEW, name="slow", makes_calls=True, latency_objective=24.0, deadline=90.0)
+    policy = started(
+        replace(
+            PLAIN, classes=(slow,), has_dependency=True, max_calls=0.66, max_calls_window=5.0, abandoned_call_time=0.2
+        )
+    )
     if usual is not None:
         policy.calls.time = usual
     made = 0
@@ -325,7 +331,7 @@
 
 def test_waiting_calls_keep_one_timer() -> None:
     """Each batch pushed another timer while a call waited: 148 a second on each server."""
-    policy = started(replace(PLAIN, calls_below=True, calls_out=0.1, calls_over=5.0))
+    policy = started(replace(PLAIN, has_dependency=True, max_calls=0.1, max_calls_window=5.0))
     policy.handle(0.0, [req("a", 3.0), req("b", 3.0)])
     actions = policy.handle(0.1, [decision.CallNeeded("a"), decision.CallNeeded("b")])
     policy.progress = 3.0  # no hang
@@ -363,12 +369,12 @@
     assert policy._beyond_share(policy.jobs["b"]) and not policy._beyond_share(policy.jobs["s"])
 
 
-CALLING = replace(VIEW, name="calling", calls=True)
+CALLING = replace(VIEW, name="calling", makes_calls=True)
 
 
 def test_full_dependency_holds_up_only_what_calls() -> None:
     """Cores stood idle while the requests parked at calls stood at their bound (i2bcca3)."""
-    policy = started(replace(PLAIN, cores=1, classes=(VIEW, CALLING), calls_below=True, calls_out=0.01))
+    policy = started(replace(PLAIN, cores=1, classes=(VIEW, CALLING), has_dependency=True, max_calls=0.01))
     for name in "abcdefgh":
         for id in ids(policy.handle(0.0, [req(name, cls="calling", hint=0.01)]), decision.Run):
             policy.handle(0.0, [decision.CallNeeded(id)])
@@ -377,8 +383,8 @@
 
 
 def test_calls_are_made_for_the_most_worth_first() -> None:
-    dear = replace(CALLING, name="dear", worth=5.0)
-    policy = started(replace(PLAIN, classes=(CALLING, dear), calls_below=True, calls_out=0.1, calls_over=5.0))
+    dear = replace(CALLING, name="dear", priority_weight=5.0)
+    policy = started(replace(PLAIN, classes=(CALLING, dear), has_dependency=True, max_calls=0.1, max_calls_window=5.0))
     policy.handle(0.0, [req("a", cls="calling"), req("b", cls="dear")])
     actions = policy.handle(0.1, [decision.CallNeeded("a"), decision.CallNeeded("b")])
     assert ids(actions, decision.Call)[:1] == ["b"]
@@ -390,19 +396,26 @@
 @pytest.mark.parametrize(
     "settings",
     [
-        replace(PLAIN, classes=(VIEW, CALLING), crowd=6.0, calls_below=True, calls_out=1e3, halt=decision.Halt.NONE),
         replace(
             PLAIN,
             classes=(VIEW, CALLING),
-            crowd=6.0,
-            calls_below=True,
-            calls_out=1e3,
-            halt=decision.Halt.NONE,
-            cold=True,
-            cold_from=0.5,
-            warm_after=1000.0,
+            max_running_per_core=6.0,
+            has_dependency=True,
+            max_calls=1e3,
+            cancellation=decision.Cancellation.UNSUPPORTED,
+        ),
+        replace(
+            PLAIN,
+            classes=(VIEW, CALLING),
+            max_running_per_core=6.0,
+            has_dependency=True,
+            max_calls=1e3,
+            cancellation=decision.Cancellation.UNSUPPORTED,
+            warming_up=True,
+            initial_speed=0.5,
+            warm_up_time=1000.0,
         ),
-        replace(PLAIN, classes=(VIEW, CALLING), crowd=1.0, calls_below=True, calls_out=1000.0),
+        replace(PLAIN, classes=(VIEW, CALLING), max_running_per_core=1.0, has_dependency=True, max_calls=1000.0),
     ],
 )
 @pytest.mark.parametrize("on_core_share", [1.0, 0.0])
@@ -420,8 +433,8 @@
     policy.handle(0.0, [req(f"v{at}", hint=0.01) for at in range(40)])
     calling = [job.id for job in policy.jobs.values() if job.state is State.CALLING]
     policy.handle(0.0, [decision.CallReturned(name, Outcome.OK, 0.1) for name in calling])
-    warm = settings.cold_from if settings.cold else 1.0
-    assert policy.limited and policy.in_use <= (1 + (settings.crowd - 1) * warm) * settings.cores
+    warm = settings.initial_speed if settings.warming_up else 1.0
+    assert policy.limited and policy.in_use <= (1 + (settings.max_running_per_core - 1) * warm) * settings.cores
 
 
 def test_process_that_stood_still_halves_nothing_and_is_no_hang() -> None:
@@ -462,15 +475,15 @@
 def test_marked_tries_tell_their_age_and_others_are_first(marks: bool, again: bool, aim: float) -> None:
     policy = started(replace(PLAIN, marks_retries=marks))
     heard(policy, 60)
-    policy.handle(0.0, [replace(req("a", 3.8), again=again)])
+    policy.handle(0.0, [replace(req("a", 3.8), is_retry=again)])
     assert policy.jobs["a"].aim_at == pytest.approx(aim)
 
 
 @pytest.mark.parametrize(("late_worth", "answered"), [(0.0, True), (0.5, False)])
 def test_parked_without_a_chance_is_answered_at_once(late_worth: float, answered: bool) -> None:
     """It waited for its call until its due time, given up and unanswered."""
-    classes = (replace(CALLING, late_worth=late_worth),)
-    settings = replace(PLAIN, classes=classes, calls_below=True, calls_out=1e-3)
+    classes = (replace(CALLING, late_weight=late_worth),)
+    settings = replace(PLAIN, classes=classes, has_dependency=True, max_calls=1e-3)
     policy = started(settings)
     policy.handle(0.0, [req("a", cls="calling")])
     assert not ids(policy.handle(0.1, [decision.CallNeeded("a")]), decision.Call)
@@ -480,7 +493,7 @@
 def test_a_slow_spell_below_is_unlearned() -> None:
     """No call could end in time by what earlier ones took: all were given up, and no call ever told that the
     dependency had got well."""
-    policy = started(replace(PLAIN, cores=4, classes=(CALLING,), calls_below=True))
+    policy = started(replace(PLAIN, cores=4, classes=(CALLING,), has_dependency=True))
     policy.calls.time = 5.0
     for name in "ab":
         policy.handle(0.0, [req(name, cls="calling")])
@@ -491,7 +504,7 @@
 
 
 def test_parked_after_the_aim_is_answered_in_the_same_batch() -> None:
-    policy = started(replace(PLAIN, classes=(CALLING,), calls_below=True))
+    policy = started(replace(PLAIN, classes=(CALLING,), has_dependency=True))
     policy.handle(0.0, [req("a", cls="calling")])
     policy.progress = 1.5  # no hang
     assert ids(policy.handle(1.5, [decision.CallNeeded("a")]), decision.Fail) == ["a"]
@@ -501,8 +514,8 @@
     policy = started(replace(PLAIN, cores=1))
     policy.handle(0.0, [req("run"), req("a")])
     latest = policy.jobs["a"].aim_at - policy._time_for(policy.jobs["a"])
-    assert not ids(policy.handle(latest - 0.01, []), decision.Refuse)
-    assert ids(policy.handle(latest + 0.001, []), decision.Refuse) == ["a"]
+    assert not ids(policy.handle(latest - 0.01, []), decision.Reject)
+    assert ids(policy.handle(latest + 0.001, []), decision.Reject) == ["a"]
 
 
 def test_no_hang_while_requests_wait_unread() -> None:
@@ -518,7 +531,7 @@
     """Old tries were run as if fresh where no due time comes, and a third of all answers came too late."""
     policy = started(replace(PLAIN, marks_retries=True))
     policy.turned[0], policy.again_share = 0.3, 0.5
-    policy.handle(0.0, [replace(req("again"), due=None, again=True), replace(req("first"), due=None)])
+    policy.handle(0.0, [replace(req("again"), due=None, is_retry=True), replace(req("first"), due=None)])
     assert policy.jobs["first"].aim_at == pytest.approx(1.0)
     assert policy.jobs["again"].aim_at == pytest.approx(0.7, abs=0.05)
 
@@ -526,7 +539,7 @@
 def test_marks_without_the_setting_tell_nothing_without_a_due_time() -> None:
     policy = started()
     policy.turned[0] = 0.3
-    policy.handle(0.0, [replace(req("a"), due=None, again=True)])
+    policy.handle(0.0, [replace(req("a"), due=None, is_retry=True)])
     assert policy.jobs["a"].aim_at == pytest.approx(1.0)
 
 
@@ -544,10 +557,10 @@
 def test_refusals_say_when_to_come_back_only_where_others_are_full() -> None:
     """Advice with every refusal kept clients waiting while other servers had room."""
     for share, advised in ((0.0, False), (0.9, True)):
-        policy = started(replace(PLAIN, max_hold_off=1.0, cores=1))
+        policy = started(replace(PLAIN, max_retry_after=1.0, cores=1))
         policy.refused_share, policy.excess = share, 0.4
         actions = policy.handle(0.0, [req("run"), req("big", hint=50.0)])
-        said = [a.hold_off for a in actions if isinstance(a, decision.Refuse)]
+        said = [a.retry_after for a in actions if isinstance(a, decision.Reject)]
         assert said and (said == [pytest.approx(0.4)]) is advised
 
 
@@ -559,12 +572,12 @@
         policy.refused_share = refused
         now = at / 10  # each of 150 callers comes again every 15 s: twice while a connection may idle
         policy.handle(now, [req(f"r{at}", now + 1.0, caller=at % 150)])
-    assert (policy.idle == policy.settings.idle_max) is stays
+    assert (policy.idle == policy.settings.max_idle_time) is stays
 
 
 def test_credit_fits_the_busiest_caller_not_an_even_part() -> None:
     """On the bench most callers carried little; even parts turned the busiest away at idle servers."""
-    settings = replace(PLAIN, signal=Signal.CREDIT, callers=10)
+    settings = replace(PLAIN, signal=LoadSignal.CREDIT, callers=10)
 
     def announced(callers: Sequence[int]) -> float:
         policy = started(settings)
@@ -579,7 +592,7 @@
 
 def test_calls_are_not_limited_above_a_tier_that_tells_no_share() -> None:
     """On the bench the limit shrank on the tail of sound calls and runs stood parked while cores idled."""
-    settings = replace(PLAIN, classes=(CALLING,), cores=4, calls_below=True, crowd=8.0)
+    settings = replace(PLAIN, classes=(CALLING,), cores=4, has_dependency=True, max_running_per_core=8.0)
     policy = started(settings)
     made: list[decision.Action] = []
     for index in range(6):  # an adaptive limit starts at the four cores
@@ -604,7 +617,7 @@
 
 def test_credit_is_hardly_less_where_callers_come_back_under_new_numbers() -> None:
     def busiest(lives: int) -> float:
-        policy = started(replace(PLAIN, cores=8, signal=Signal.CREDIT, callers=8))
+        policy = started(replace(PLAIN, cores=8, signal=LoadSignal.CREDIT, callers=8))
         for step in range(1600):
             at = step * 0.01
             caller = (0 if step % 2 else 1 + step % 14) + 100 * (int(at / 2.5) % lives)
@@ -627,7 +640,7 @@
 
 def test_parked_runs_may_fill_what_the_limit_leaves_of_the_crowd() -> None:
     """On the bench cores idled and requests waited while runs stood at calls, though all had fitted."""
-    settings = replace(PLAIN, classes=(CALLING,), cores=4, calls_below=True, crowd=8.0)
+    settings = replace(PLAIN, classes=(CALLING,), cores=4, has_dependency=True, max_running_per_core=8.0)
     policy = started(settings)
     runs: list[str] = []
     for index in range(40):
@@ -639,7 +652,9 @@
 
 
 def test_idle_cores_raise_limit_and_credit_by_what_they_could_run() -> None:
-    settings = replace(PLAIN, cores=8, crowd=12.0, signal=Signal.CREDIT, callers=2, gauges=("core_use",))
+    settings = replace(
+        PLAIN, cores=8, max_running_per_core=12.0, signal=LoadSignal.CREDIT, callers=2, gauges=("core_use",)
+    )
 
     def after(use: float) -> tuple[int, float]:
         policy = started(settings)
@@ -654,8 +669,8 @@
 
 # --- runs that wait for disk, and servers that warm up ---
 
-PATIENT = replace(VIEW, aim=100.0, deadline=200.0)
-DISK = replace(PLAIN, classes=(PATIENT,), cores=4, crowd=2.0, gauges=("core_use", "on_cores"))
+PATIENT = replace(VIEW, latency_objective=100.0, deadline=200.0)
+DISK = replace(PLAIN, classes=(PATIENT,), cores=4, max_running_per_core=2.0, gauges=("core_use", "on_cores"))
 
 
 def most_runs(settings: Settings, on_core: float) -> int:
@@ -669,13 +684,13 @@
 
 def test_runs_that_wait_for_disk_leave_room_for_others_up_to_the_told_crowd() -> None:
     """On the bench cores idled at 0.6 while requests were refused: all runs counted as if each had a core."""
-    told = int(DISK.crowd * DISK.cores)
+    told = int(DISK.max_running_per_core * DISK.cores)
     assert most_runs(DISK, on_core=1.0) < most_runs(DISK, on_core=0.5) <= told
     assert most_runs(DISK, on_core=0.0) <= told
 
 
 def test_a_cold_server_keeps_the_margin_though_its_runs_wait_for_disk() -> None:
-    cold = replace(DISK, cold=True, cold_from=0.5, warm_after=1000.0)
+    cold = replace(DISK, warming_up=True, initial_speed=0.5, warm_up_time=1000.0)
     assert most_runs(cold, on_core=0.5) == most_runs(cold, on_core=1.0)
 
 
@@ -685,14 +700,14 @@
     wide = policy._cores_room()
     for _ in range(4):
         policy._timer(decision.TimerFired(policy.token, (1.0, 4.0)))
-    assert wide == DISK.crowd * DISK.cores and policy._cores_room() < 1.1 * policy._crowd()
+    assert wide == DISK.max_running_per_core * DISK.cores and policy._cores_room() < 1.1 * policy._crowd()
 
 
 @pytest.mark.parametrize("work", [0.1, 1.0, 3.0, 20.0])
 @pytest.mark.parametrize("age", [0.0, 2.0, 9.9, 10.0, 50.0])
 def test_a_cold_servers_runs_are_expected_to_speed_up_as_it_warms(work: float, age: float) -> None:
     """Long runs looked hopeless at the present speed: on the bench a cold server refused nearly all."""
-    policy = started(replace(PLAIN, cold=True, cold_from=0.2, warm_after=10.0))
+    policy = started(replace(PLAIN, warming_up=True, initial_speed=0.2, warm_up_time=10.0))
     policy.now = age
     policy.slowness = 1 / policy._warmth()
     left, time, step = work, 0.0, 0.001
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -501,7 +501,7 @@
     refusal = Answer(Verdict.REFUSED, b"", 0.25, True, 3.5)
     assert format_answer(b"7", refusal) == array(b"7", b"BUSY", b"v=3.5,w=250,l=1", b"")
     assert format_answer(b"7", Answer(Verdict.SERVED, b"x")) == array(b"7", b"OK", b"", b"x")
-    assert format_answer(b"7", Answer(Verdict.FAILED, hold_off=1.0)) == array(b"7", b"FAILED", b"", b"")
+    assert format_answer(b"7", Answer(Verdict.FAILED, retry_after=1.0)) == array(b"7", b"FAILED", b"", b"")
 
 
 def test_the_fields_of_a_call() -> None:
@@ -523,7 +523,7 @@
         b"\0",
     )
     assert request.arrived == 1764576000.123 and abs(request.due - 1764576000.603) < 1e-5
-    assert (request.caller, request.size, request.rank, request.again) == (4, 24.5, 0.625, True)
+    assert (request.caller, request.size, request.rank, request.is_retry) == (4, 24.5, 0.625, True)
 
 
 @pytest.mark.parametrize("raw", [b"x" * 600, b"\r\n", b"EXIT 1 a complete 1 x\r\n", b"EXIT 1 a complete 1 2\r\nabcd"])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,36 +9,38 @@
 import pytest
 
 from chutepin import decision
-from chutepin.decision import Halt, Settings, Signal, Tenant
+from chutepin.decision import Cancellation, LoadSignal, Settings, Tenant
 from chutepin.decision.policy import CALLERS, PATIENCE, AimdLimit, Job, Policy
 from tests.world import BASE, KEYED, SAFE, UNSAFE, RuleBrokenError, cold, play
 
 ODD: dict[str, Settings] = {
     "usual": BASE,
     "cold": cold(BASE),
-    "credit": replace(BASE, signal=Signal.CREDIT),
-    "level": replace(BASE, signal=Signal.LEVEL),
-    "silent": replace(BASE, signal=Signal.NONE),
-    "no halt": replace(BASE, halt=Halt.NONE),
-    "no halt, a small crowd, cold": cold(replace(BASE, halt=Halt.NONE, crowd=2.0, memory=1e5, warm_after=60.0)),
-    "a crowd of one": replace(BASE, crowd=1.0, memory=1e5),
-    "pause": replace(BASE, halt=Halt.PAUSE),
-    "pause, tiny memory": replace(BASE, halt=Halt.PAUSE, memory=900.0),
+    "credit": replace(BASE, signal=LoadSignal.CREDIT),
+    "level": replace(BASE, signal=LoadSignal.LEVEL),
+    "silent": replace(BASE, signal=LoadSignal.NONE),
+    "no halt": replace(BASE, cancellation=Cancellation.UNSUPPORTED),
+    "no halt, a small crowd, cold": cold(
+        replace(BASE, cancellation=Cancellation.UNSUPPORTED, max_running_per_core=2.0, memory=1e5, warm_up_time=60.0)
+    ),
+    "a crowd of one": replace(BASE, max_running_per_core=1.0, memory=1e5),
+    "pause": replace(BASE, cancellation=Cancellation.KEEPS_WORK),
+    "pause, tiny memory": replace(BASE, cancellation=Cancellation.KEEPS_WORK, memory=900.0),
     "marked tries": replace(BASE, marks_retries=True),
     "no tenants": replace(BASE, tenants=()),
     "one core": replace(BASE, cores=1),
     "tiny memory": replace(BASE, memory=900.0),
-    "call share under one": replace(BASE, calls_out=0.6),
-    "call share far under one": replace(BASE, calls_out=0.05),
-    "credit for more callers than permits": replace(BASE, signal=Signal.CREDIT, callers=1000),
+    "call share under one": replace(BASE, max_calls=0.6),
+    "call share far under one": replace(BASE, max_calls=0.05),
+    "credit for more callers than permits": replace(BASE, signal=LoadSignal.CREDIT, callers=1000),
     "quota too small for one request": replace(BASE, tenants=(Tenant("a", 0.5, 0.001), Tenant("b", 0.5, 0.0))),
     "table of at most one connection": replace(BASE, gauges=("links",)),
-    "no idle connections": replace(BASE, idle_max=0.0),
+    "no idle connections": replace(BASE, max_idle_time=0.0),
     "windows beyond memory": replace(BASE, key_memory=400.0),
     "single class": replace(BASE, classes=(SAFE,)),
     "unsafe with calls": replace(BASE, classes=(UNSAFE,)),
     "keyed only": replace(BASE, classes=(KEYED,)),
-    "no calls": replace(BASE, classes=tuple(replace(c, calls=False) for c in BASE.classes)),
+    "no calls": replace(BASE, classes=tuple(replace(c, makes_calls=False) for c in BASE.classes)),
 }
 
 
@@ -64,10 +66,10 @@
     assert any(isinstance(action, decision.Run) for action in world.log)
 
 
-@pytest.mark.parametrize("halt", [Halt.PAUSE, Halt.DROP])
-def test_run_whose_caller_leaves_is_stopped_once_and_its_memory_comes_back(halt: Halt) -> None:
+@pytest.mark.parametrize("halt", [Cancellation.KEEPS_WORK, Cancellation.DISCARDS_WORK])
+def test_run_whose_caller_leaves_is_stopped_once_and_its_memory_comes_back(halt: Cancellation) -> None:
     for answered_first in (True, False):
-        policy = Policy(replace(BASE, halt=halt), 1)
+        policy = Policy(replace(BASE, cancellation=halt), 1)
         policy.start(0.0)
         policy.handle(0.0, [decision.Request("a", "view", 0.0, 20.0, due=0.5)])
         news: list[decision.Event] = [] if answered_first else [decision.CallerGone("a")]
@@ -91,7 +93,7 @@
 
 @pytest.mark.parametrize("seed", range(2))
 def test_rules_and_memory_hold_when_callers_never_repeat(seed: int) -> None:
-    world = play(replace(BASE, idle_max=1e6), seed, steps=9000, drain=False, callers=10**9)
+    world = play(replace(BASE, max_idle_time=1e6), seed, steps=9000, drain=False, callers=10**9)
     assert world.serial > CALLERS
     assert len(world.policy.heard) <= CALLERS + 1 and len(world.policy.patience) <= PATIENCE + 1
 
@@ -118,7 +120,7 @@
 
 def _refuse_ran(self: Policy, job: Job) -> None:
     if not job.answered:
-        self.out.append(decision.Refuse(job.id))
+        self.out.append(decision.Reject(job.id))
         job.answered = True
 
 
@@ -146,7 +148,7 @@
     ("_unwelcome", _welcome, "fall-over: memory", replace(BASE, key_memory=400.0, classes=(KEYED,))),
     ("_repeat", _never_repeat, "duplicate: second run in the window", replace(BASE, classes=(KEYED,))),
     ("_drain", _drain_late, "drain: unanswered at the stop", BASE),
-    ("_room", _room_always, "fall-over: calls below", replace(BASE, calls_out=0.6)),
+    ("_room", _room_always, "fall-over: calls below", replace(BASE, max_calls=0.6)),
 ]
 
 
@@ -156,7 +158,7 @@
     monkeypatch.setattr(Policy, "_cores_take", _room_for_all)
     with pytest.raises(RuleBrokenError, match="fall-over: crowd"):
         for seed in range(30):
-            play(cold(replace(BASE, memory=1e6, warm_after=60.0)), seed, speed=0.5)
+            play(cold(replace(BASE, memory=1e6, warm_up_time=60.0)), seed, speed=0.5)
 
 
 @pytest.mark.parametrize(("guard", "without", "broken", "settings"), GUARDS)
--- a/tests/world.py
+++ b/tests/world.py
@@ -10,12 +10,12 @@
 from itertools import pairwise
 
 from chutepin import decision
-from chutepin.decision import Halt, Outcome, Repeat, RequestClass, Settings, Signal, Tenant
+from chutepin.decision import Cancellation, Idempotency, LoadSignal, Outcome, RequestClass, Settings, Tenant
 from chutepin.decision.policy import Policy
 
-SAFE = RequestClass("view", Repeat.SAFE, 1.0, 0.8, 2.0, 0.2, 0.0, True, 0.5)
-KEYED = RequestClass("pay", Repeat.KEYED, 4.0, 1.0, 2.5, 0.2, 3.0, True)
-UNSAFE = RequestClass("send", Repeat.UNSAFE, 2.0, 1.0, 2.5, 0.0, 0.0, True)
+SAFE = RequestClass("view", Idempotency.IDEMPOTENT, 1.0, 0.8, 2.0, 0.2, 0.0, True, 0.5)
+KEYED = RequestClass("pay", Idempotency.KEYED, 4.0, 1.0, 2.5, 0.2, 3.0, True)
+UNSAFE = RequestClass("send", Idempotency.NOT_IDEMPOTENT, 2.0, 1.0, 2.5, 0.0, 0.0, True)
 
 BASE = Settings(
     classes=(SAFE, KEYED, UNSAFE),
@@ -24,23 +24,23 @@
     tenants=(Tenant("a", 0.5, 20.0), Tenant("b", 0.5, 5.0)),
     servers=2,
     callers=3,
-    cold_from=0.3,
-    warm_after=5.0,
+    initial_speed=0.3,
+    warm_up_time=5.0,
     answer_slack=0.06,
     drain_grace=0.5,
-    crowd=6.0,
-    crowd_over=1.0,
+    max_running_per_core=6.0,
+    max_running_window=1.0,
     run_factor=8.0,
     key_memory=40.0,
-    halt=Halt.DROP,
-    signal=Signal.WEIGHT,
-    max_hold_off=1.0,
-    calls_below=True,
-    calls_out=3.0,
-    calls_over=2.0,
-    linger=0.2,
+    cancellation=Cancellation.DISCARDS_WORK,
+    signal=LoadSignal.WEIGHT,
+    max_retry_after=1.0,
+    has_dependency=True,
+    max_calls=3.0,
+    max_calls_window=2.0,
+    abandoned_call_time=0.2,
     gauges=("core_use",),
-    over_share_worth=0.1,
+    over_quota_weight=0.1,
     tick=0.005,
 )
 
@@ -89,8 +89,8 @@
     table: dict[str, float] = field(default_factory=dict)  # kept id -> expiry
     timers: list[tuple[float, int]] = field(default_factory=list)
     inbox: list[decision.Event] = field(default_factory=list)
-    crowd: list[tuple[float, float]] = field(default_factory=list)
-    calls: list[tuple[float, float]] = field(default_factory=list)  # (time, in hand)
+    running_steps: list[tuple[float, float]] = field(default_factory=list)
+    call_steps: list[tuple[float, float]] = field(default_factory=list)  # (time, in hand)
     lingering: list[float] = field(default_factory=list)
     log: list[decision.Action] = field(default_factory=list)
 
@@ -130,7 +130,7 @@
     def _advance(self, item: Tracked, events: list[decision.Event], gap: float) -> None:
         roll = self.rng.random()
         if item.state == "running" and roll < self.speed * gap:
-            if item.cls.calls and not item.done and self.rng.random() < 0.6:
+            if item.cls.makes_calls and not item.done and self.rng.random() < 0.6:
                 item.done = True
                 item.state = "over" if item.answered else "at_call"
                 events.append(
@@ -169,7 +169,7 @@
         item.unproven |= outcome not in (Outcome.BUSY, Outcome.CONNECT_FAILED)
         item.state = "running" if outcome is Outcome.OK else "at_call"
         if outcome is Outcome.TIMEOUT:
-            self.lingering.append(self.now + self.settings.linger)
+            self.lingering.append(self.now + self.settings.abandoned_call_time)
         events.append(decision.CallReturned(item.req.id, outcome, 0.1))
 
     def _arrival(self) -> decision.Request:
@@ -177,7 +177,7 @@
         cls = self.rng.choice(self.settings.classes)
         unread = self.rng.choice([0.0, 0.0, 0.01, 0.4])
         repeats, effect = None, self.serial
-        if cls.repeat is Repeat.KEYED and self.rng.random() < 0.5:
+        if cls.idempotency is Idempotency.KEYED and self.rng.random() < 0.5:
             old = [t for t in self.requests.values() if t.cls is cls and self.now - unread - t.arrived < cls.window]
             if old:
                 origin = self.rng.choice(old)
@@ -219,8 +219,8 @@
                 must(action.after >= 0, "a timer in the past")
                 self.timers.append((self.now + action.after, action.token))
             elif isinstance(action, decision.Announce):
-                must(self.settings.signal is not Signal.NONE and action.value >= 0, "a faulty value")
-                must(self.settings.signal is Signal.CREDIT or action.value <= 1, "a faulty share")
+                must(self.settings.signal is not LoadSignal.NONE and action.value >= 0, "a faulty value")
+                must(self.settings.signal is LoadSignal.CREDIT or action.value <= 1, "a faulty share")
             elif not isinstance(action, (decision.SetHealth, decision.IdleTimeout, decision.Log)):
                 item = self.requests.get(action.id)
                 must(item is not None, "an action on an unknown request")
@@ -230,8 +230,10 @@
 
     def _run(self, item: Tracked, action: decision.Run) -> None:
         must(item.state == "held" and not item.answered, "run of what is not held")
-        must(not (item.ran and item.cls.repeat is not Repeat.SAFE), "duplicate: second run after a stop")
-        if item.cls.repeat is Repeat.KEYED:
+        must(
+            not (item.ran and item.cls.idempotency is not Idempotency.IDEMPOTENT), "duplicate: second run after a stop"
+        )
+        if item.cls.idempotency is Idempotency.KEYED:
             for other in self.requests.values():
                 if other.ran and other.effect == item.effect:
                     apart = item.arrived - other.arrived
@@ -240,9 +242,9 @@
             must(item.arrived <= self.drain_at + self.settings.drain_grace, "drain: run after the grace")
         item.state, item.ran = "running", True
 
-    def _refuse(self, item: Tracked, action: decision.Refuse) -> None:
+    def _reject(self, item: Tracked, action: decision.Reject) -> None:
         must(not item.answered, "answered twice")
-        must(item.cls.repeat is Repeat.SAFE or not item.ran, "duplicate: refused after a run")
+        must(item.cls.idempotency is Idempotency.IDEMPOTENT or not item.ran, "duplicate: refused after a run")
         self._answer(item)
 
     def _fail(self, item: Tracked, action: decision.Fail) -> None:
@@ -255,26 +257,29 @@
             item.state = "over"
         elif item.state in ("at_call", "calling"):
             if item.state == "calling":
-                self.lingering.append(self.now + self.settings.linger)
+                self.lingering.append(self.now + self.settings.abandoned_call_time)
             item.state = "over"
             self.inbox.append(decision.Finished(item.req.id, Outcome.CANCELLED))
 
     def _stop(self, item: Tracked, action: decision.Stop) -> None:
-        must(self.settings.halt is not Halt.NONE, "a faulty stop")
+        must(self.settings.cancellation is not Cancellation.UNSUPPORTED, "a faulty stop")
         if item.state != "running":
             return
-        paused = self.settings.halt is Halt.PAUSE  # keeps the memory of a run
+        paused = self.settings.cancellation is Cancellation.KEEPS_WORK  # keeps the memory of a run
         item.state = "over" if item.answered else "paused" if paused else "held"
         self.inbox.append(decision.Finished(item.req.id, Outcome.CANCELLED))
 
     def _call(self, item: Tracked, action: decision.Call) -> None:
-        must(item.cls.repeat is Repeat.SAFE or not item.unproven, "duplicate: a call repeated without proof")
+        must(
+            item.cls.idempotency is Idempotency.IDEMPOTENT or not item.unproven,
+            "duplicate: a call repeated without proof",
+        )
         must(action.time_out > 0, "a call without a time-out")
         if item.state == "at_call":
             item.state = "calling"
 
     def _skipcall(self, item: Tracked, action: decision.SkipCall) -> None:
-        must(item.cls.skip_worth > 0, "a faulty skip")
+        must(item.cls.weight_without_call > 0, "a faulty skip")
         if item.state == "at_call":
             item.state = "running"
 
@@ -287,7 +292,7 @@
     def _forgetkey(self, item: Tracked, action: decision.ForgetKey) -> None:
         self.table.pop(item.req.id, None)
 
-    def _share(self, item: Tracked, action: decision.Share) -> None:
+    def _shareresult(self, item: Tracked, action: decision.ShareResult) -> None:
         must(item.req.repeats is not None, "a faulty share")
         item.state = "sharing"
 
@@ -308,13 +313,13 @@
         must(memory <= s.memory, "fall-over: memory")
         self.lingering = [end for end in self.lingering if end > self.now]
         warm = 1.0
-        if s.cold:
-            warm = min(1.0, s.cold_from + (1 - s.cold_from) * (self.now - self.born) / s.warm_after)
-        most = (1 + (s.crowd - 1) * warm) * s.cores
-        self._mean(self.crowd, float(running), s.crowd_over, most, "crowd")
-        if s.calls_out:
+        if s.warming_up:
+            warm = min(1.0, s.initial_speed + (1 - s.initial_speed) * (self.now - self.born) / s.warm_up_time)
+        most = (1 + (s.max_running_per_core - 1) * warm) * s.cores
+        self._mean(self.running_steps, float(running), s.max_running_window, most, "crowd")
+        if s.max_calls:
             in_hand = float(calling + len(self.lingering))
-            self._mean(self.calls, in_hand, s.calls_over, s.calls_out, "calls below")
+            self._mean(self.call_steps, in_hand, s.max_calls_window, s.max_calls, "calls below")
         if len(self.requests) > 600:
             self.requests = {
                 k: t for k, t in self.requests.items() if t.state != "over" or self.now - t.arrived < 2 * t.cls.window
@@ -347,4 +352,4 @@
 
 
 def cold(settings: Settings) -> Settings:
-    return replace(settings, cold=True)
+    return replace(settings, warming_up=True)
