--- /dev/null
+++ b/tests/data/__init__.py
@@ -0,0 +1,1 @@
+"""Data that the present version made, for later versions to meet."""
