--- a/chutepin/agree/subsystem.py
+++ b/chutepin/agree/subsystem.py
@@ -13,7 +13,7 @@
 from ..config import ConfigError
 from ..config.agree import AgreeSetup
 from ..ops import Counters, Log
-from ..store import Store, StoreBusy, StoreError
+from ..store import Store, StoreBusyError, StoreError
 from ..subsystem import Order
 from .codec import Hello, Said
 from .core import RefusedError, Role, Times
@@ -203,7 +203,7 @@
                     else:
                         self._store.offer(key, value, NO_EXPIRY)
                     break
-                except StoreBusy:
+                except StoreBusyError:
                     await self._store.room()
         await self._store.committed()
         self._slowest = max(self._slowest, now() - begun)
--- a/chutepin/cli/store.py
+++ b/chutepin/cli/store.py
@@ -14,7 +14,7 @@
 import click
 
 from ..ops import say
-from ..store import Store, StoreDamaged, StoreError, StoreLocked
+from ..store import Store, StoreDamagedError, StoreError, StoreLockedError
 from ..store import inspect as looking
 from ..store.codec import NEVER
 from ..store.store import MAX_BYTES
@@ -33,7 +33,13 @@
             return work(*arguments, **options)
         except StoreError as error:
             say(str(error))
-            return LOCKED if isinstance(error, StoreLocked) else DAMAGED if isinstance(error, StoreDamaged) else REFUSED
+            return (
+                LOCKED
+                if isinstance(error, StoreLockedError)
+                else DAMAGED
+                if isinstance(error, StoreDamagedError)
+                else REFUSED
+            )
 
     return wrapped
 
--- a/chutepin/store/__init__.py
+++ b/chutepin/store/__init__.py
@@ -7,7 +7,24 @@
 
 `docs/store.md` states what it promises, what it assumes of the disk, and how each is proven."""
 
-from .errors import StoreBusy, StoreClosed, StoreDamaged, StoreError, StoreFailed, StoreFull, StoreLocked
+from .errors import (
+    StoreBusyError,
+    StoreClosedError,
+    StoreDamagedError,
+    StoreError,
+    StoreFailedError,
+    StoreFullError,
+    StoreLockedError,
+)
 from .store import Store
 
-__all__ = ["Store", "StoreBusy", "StoreClosed", "StoreDamaged", "StoreError", "StoreFailed", "StoreFull", "StoreLocked"]
+__all__ = [
+    "Store",
+    "StoreBusyError",
+    "StoreClosedError",
+    "StoreDamagedError",
+    "StoreError",
+    "StoreFailedError",
+    "StoreFullError",
+    "StoreLockedError",
+]
--- a/chutepin/store/engine.py
+++ b/chutepin/store/engine.py
@@ -35,7 +35,7 @@
     encode_manifest,
     encode_mark,
 )
-from .errors import StoreClosed, StoreDamaged, StoreError, StoreFailed, StoreFull
+from .errors import StoreClosedError, StoreDamagedError, StoreError, StoreFailedError, StoreFullError
 from .files import File, Files
 from .plan import MIN_SEGMENTS, STEP, Facts, Limits, plan
 from .recover import MANIFEST, MARKS, NEW, WINDOW, Reader, Recovered, Scan, hint_name, segment_name
@@ -82,7 +82,7 @@
         self.at_rest = False  # the last step found nothing to do, and nothing has changed or been asked for since
         self._stirred = False  # something has, since the present step began
         self.no_room = ""  # why no further segment could be laid out
-        self.damage: StoreDamaged | None = None  # the last that was met
+        self.damage: StoreDamagedError | None = None  # the last that was met
         self.compact_before = 0  # empty all segments numbered below this
         self._time = 0
         self._generation = 0
@@ -240,13 +240,15 @@
     def check(self) -> None:
         """Raise what keeps the store from taking anything."""
         if self.closed:
-            raise StoreClosed(f"{self.files.label}: closed")
+            raise StoreClosedError(f"{self.files.label}: closed")
         if self.failed:
-            raise StoreFailed(f"{self.files.label}: {self.failed}; nothing is acknowledged until it is opened again")
+            raise StoreFailedError(
+                f"{self.files.label}: {self.failed}; nothing is acknowledged until it is opened again"
+            )
 
     def put(self, key: bytes, value: bytes, expires: float, waited: bool = False) -> bool:
         """Lay out a value, to be written by the next flush. False: there is no room just now, wait for the next
-        flush or step. Raises StoreFull if waiting will not help, and it does not once `waited` and at rest."""
+        flush or step. Raises StoreFullError if waiting will not help, and it does not once `waited` and at rest."""
         key_size = len(key)
         if key_size > MAX_KEY:
             raise StoreError(f"a key of {key_size} bytes; at most {MAX_KEY}")
@@ -286,7 +288,7 @@
 
     def put_many(self, items: Sequence[tuple[bytes, bytes]], expires: float, waited: bool = False) -> int:
         """As `put` for each of these keys and values, with one expiry; how many were laid out before there was no
-        room just now. Raises StoreFull, with nothing laid out, if all of them have no room."""
+        room just now. Raises StoreFullError, with nothing laid out, if all of them have no room."""
         sizes = [RECORD_HEAD + len(key) + len(value) for key, value in items]
         keys = {key for key, _ in items}
         with self.lock:
@@ -296,7 +298,7 @@
             memory = sum(map(len, keys)) + KEY_MEMORY * len(keys)
             if why := self.limits.refuses(book.live, book.memory, adds, memory):
                 self.counts["full"] += 1
-                raise StoreFull(f"{self.files.label}: {why}")
+                raise StoreFullError(f"{self.files.label}: {why}")
             even = (
                 len(keys) == len(items)
                 and all(len(key) == key_size for key in keys)
@@ -331,7 +333,7 @@
             book.expire_all(now)
             if why := limits.refuses(book.live, book.memory, *book.cost(key, size)):
                 self.counts["full"] += 1
-                raise StoreFull(f"{self.files.label}: {why}")
+                raise StoreFullError(f"{self.files.label}: {why}")
 
     def delete(self, key: bytes, waited: bool = False) -> bool:
         """Lay out that a key is gone, unless it is anyway. As `put`."""
@@ -360,7 +362,7 @@
                 return True
         if waited and self.at_rest:
             self.counts["full"] += 1
-            raise StoreFull(f"{self.files.label}: {self.no_room or 'compaction can make no room'}")
+            raise StoreFullError(f"{self.files.label}: {self.no_room or 'compaction can make no room'}")
         self._stir()
         return False
 
@@ -368,10 +370,10 @@
         self.at_rest, self._stirred = False, True
 
     def get(self, key: bytes) -> bytes | None:
-        """The value, whether durable yet or not. Raises StoreDamaged if it can't be read as it was written."""
+        """The value, whether durable yet or not. Raises StoreDamagedError if it can't be read as it was written."""
         with self.lock:
             if self.closed:
-                raise StoreClosed(f"{self.files.label}: closed")
+                raise StoreClosedError(f"{self.files.label}: closed")
             place = self.book.find(key, self.now())
             return None if place is None else self._value(key, *place)
 
@@ -389,7 +391,7 @@
             raise self._damage(number, offset, error.strerror or str(error)) from None
         return record.value
 
-    def _damage(self, number: int, offset: int, what: str) -> StoreDamaged:
+    def _damage(self, number: int, offset: int, what: str) -> StoreDamagedError:
         """Note that a segment can't be read as it was written. It stays as it is: compaction never drops it."""
         with self.lock:
             segment = self.book.segments[number]
@@ -397,7 +399,7 @@
                 segment.damaged = True
                 self.counts["damaged"] += 1
                 self._event("store.damaged", file=segment_name(number), offset=offset, why=what)
-            self.damage = StoreDamaged(self.files.label, segment_name(number), offset, what)
+            self.damage = StoreDamagedError(self.files.label, segment_name(number), offset, what)
             return self.damage
 
     def holds(self, key: bytes) -> bool:
@@ -439,10 +441,10 @@
                 self._barred = True
             self.counts["failed"] += 1
             self._event("store.failed", why=self.failed)
-            raise StoreFailed(f"{self.files.label}: {self.failed}") from error
+            raise StoreFailedError(f"{self.files.label}: {self.failed}") from error
 
     def flush(self) -> int:
-        """Write and sync all that is laid out; its bytes. Raises StoreFailed, and then always."""
+        """Write and sync all that is laid out; its bytes. Raises StoreFailedError, and then always."""
         with self.lock:
             self.check()
             seq = self.book.seq
@@ -487,7 +489,7 @@
         """A piece of the work beside the writers, reading about `budget` bytes; False if there was none to do.
 
         Forgets what expired, lays out the next segment, copies what tells out of the segment that the planner
-        chose, and drops segments. Raises StoreFailed."""
+        chose, and drops segments. Raises StoreFailedError."""
         with self.lock:
             self.check()
             self._stirred = False
@@ -592,7 +594,7 @@
                 self.files.remove(segment_name(laying.number))
 
     def _swap(self, segments: list[Segment]) -> None:
-        """Replace the manifest. Raises OSError for a full disk, with the old one in force; StoreFailed else."""
+        """Replace the manifest. Raises OSError for a full disk, with the old one in force; StoreFailedError else."""
         with self.lock:
             entries = [self._entry(segment) for segment in segments]
             manifest = Manifest(
--- a/chutepin/store/errors.py
+++ b/chutepin/store/errors.py
@@ -7,29 +7,29 @@
     """The base of all."""
 
 
-class StoreFull(StoreError):
+class StoreFullError(StoreError):
     """There is no room for this put: on the disk, in the store's size limit or in the index's. Nothing was changed,
     and nothing that is remembered was dropped. Room comes back as records expire or are deleted."""
 
 
-class StoreBusy(StoreError):
+class StoreBusyError(StoreError):
     """The queue to the disk is full just now; `await store.room()` tells when it is not."""
 
 
-class StoreLocked(StoreError):
+class StoreLockedError(StoreError):
     """Another store, here or in another process, has this directory open."""
 
 
-class StoreClosed(StoreError):
+class StoreClosedError(StoreError):
     """The store was closed."""
 
 
-class StoreFailed(StoreError):
+class StoreFailedError(StoreError):
     """A write or a sync failed. What was not acknowledged before may be lost; nothing is acknowledged until the store
     is opened again, as the page cache can show what the disk does not hold."""
 
 
-class StoreDamaged(StoreError):
+class StoreDamagedError(StoreError):
     """Something that was durable is not as it was written. `file`, `offset` (bytes) and `what` say where and how."""
 
     def __init__(self, directory: str, file: str, offset: int, what: str) -> None:
--- a/chutepin/store/files.py
+++ b/chutepin/store/files.py
@@ -23,7 +23,7 @@
 from pathlib import Path
 from typing import Protocol
 
-from .errors import StoreLocked
+from .errors import StoreLockedError
 
 LOCK = "LOCK"
 MAX_VECTOR = 1024  # buffers that the system takes in one call
@@ -59,7 +59,7 @@
         """The directory, for messages."""
 
     def lock(self, create: bool) -> None:
-        """Take the directory for this store alone, or raise StoreLocked. `create` makes it where it is missing."""
+        """Take the directory for this store alone, or raise StoreLockedError. `create` makes it where it is missing."""
 
     def unlock(self) -> None:
         """Give it back."""
@@ -153,7 +153,7 @@
         except OSError as error:
             os.close(descriptor)
             if error.errno in (errno.EWOULDBLOCK, errno.EACCES):
-                raise StoreLocked(f"{self._path}: open in another process or by another store") from None
+                raise StoreLockedError(f"{self._path}: open in another process or by another store") from None
             raise
         self._lock = descriptor
 
--- a/chutepin/store/inspect.py
+++ b/chutepin/store/inspect.py
@@ -24,7 +24,7 @@
     decode_manifest,
     decode_marks,
 )
-from .errors import StoreDamaged, StoreError
+from .errors import StoreDamagedError, StoreError
 from .files import File, Files, RealFiles
 from .recover import MANIFEST, MARKS, Reader, Scan, hint_name, segment_name
 from .store import Store
@@ -70,7 +70,7 @@
 
 @contextmanager
 def directory(path: str | Path) -> Iterator[Files]:
-    """A store's directory, locked while it is looked at. Raises StoreLocked, or StoreError if it is none."""
+    """A store's directory, locked while it is looked at. Raises StoreLockedError, or StoreError if it is none."""
     files = RealFiles(path)
     try:
         files.lock(create=False)
@@ -141,7 +141,7 @@
                     loss=False,
                 )
             )
-    except StoreDamaged as error:
+    except StoreDamagedError as error:
         if not any(f.loss and f.file == error.file and f.offset == error.offset for f in found.findings):
             found.findings.append(Finding(error.file, error.offset, error.what))
 
@@ -211,7 +211,7 @@
 
 
 def stat(files: Files) -> dict[str, object]:
-    """Figures of the store and of each segment. Raises StoreDamaged as opening would."""
+    """Figures of the store and of each segment. Raises StoreDamagedError as opening would."""
     found = Reader(files).read()
     if found is None:
         return {"keys": 0, "segments": []}
--- a/chutepin/store/recover.py
+++ b/chutepin/store/recover.py
@@ -37,7 +37,7 @@
     decode_marks,
     later_floor,
 )
-from .errors import StoreDamaged
+from .errors import StoreDamagedError
 from .files import File, Files
 from .state import Book, Segment
 
@@ -104,13 +104,13 @@
 
 
 class Reader:
-    """Reads one store. Raises StoreDamaged, and OSError where the system can't read."""
+    """Reads one store. Raises StoreDamagedError, and OSError where the system can't read."""
 
     def __init__(self, files: Files) -> None:
         self._files = files
 
-    def _damaged(self, file: str, offset: int, what: str) -> StoreDamaged:
-        return StoreDamaged(self._files.label, file, offset, what)
+    def _damaged(self, file: str, offset: int, what: str) -> StoreDamagedError:
+        return StoreDamagedError(self._files.label, file, offset, what)
 
     def whole(self, name: str) -> bytes:
         """All of a small file."""
--- a/chutepin/store/store.py
+++ b/chutepin/store/store.py
@@ -17,7 +17,7 @@
 
 from ..ops import Clock, Log
 from .engine import Engine, Event
-from .errors import StoreBusy, StoreClosed, StoreError, StoreFull
+from .errors import StoreBusyError, StoreClosedError, StoreError, StoreFullError
 from .files import Files, RealFiles
 from .plan import MIN_SEGMENTS, Limits, pace
 
@@ -66,7 +66,7 @@
         after which a put is made durable unasked. `clock` gives Unix seconds. `event(name, **fields)` takes what an
         operator should see; by default it goes to the log.
 
-        Raises StoreDamaged, StoreLocked, or StoreError for what the system or the arguments do not allow."""
+        Raises StoreDamagedError, StoreLockedError, or StoreError for what the system or the arguments do not allow."""
         size = min(segment_bytes or min(MAX_SEGMENT, max_bytes // 32), max_bytes // MIN_SEGMENTS)
         if not MIN_SEGMENT <= size < 2**31:
             raise StoreError(f"segment_bytes: {size}; from {MIN_SEGMENT} to {2**31 - 1}, and an eighth of max_bytes")
@@ -88,15 +88,15 @@
     def put(self, key: bytes, value: bytes, expires: float) -> None:
         """Keep a value until `expires` (Unix seconds; `math.inf`: for good), in place of what the key had.
 
-        Waits while the queue to the disk is full. Raises StoreFull, and then nothing has changed; StoreFailed after
-        a failed write; StoreClosed."""
+        Waits while the queue to the disk is full. Raises StoreFullError, and then nothing has changed;
+        StoreFailedError after a failed write; StoreClosedError."""
         if not self._engine.put(key, value, expires):
             self._wait_for_room(lambda: self._engine.put(key, value, expires, waited=True))
         self._touch()
 
     def put_many(self, items: Sequence[tuple[bytes, bytes]], expires: float) -> None:
         """Put many keys and values with one expiry, several times as fast as one by one. All are refused with
-        StoreFull if there is no room for all; they are durable one by one, as after as many `put`."""
+        StoreFullError if there is no room for all; they are durable one by one, as after as many `put`."""
         done = self._engine.put_many(items, expires)
         while done < len(items):
             rest = items[done:]
@@ -108,27 +108,29 @@
         self._touch()
 
     def offer(self, key: bytes, value: bytes, expires: float) -> None:
-        """As `put`, but raises StoreBusy where that would wait."""
+        """As `put`, but raises StoreBusyError where that would wait."""
         if not self._engine.put(key, value, expires):
             self._wake()
-            raise StoreBusy(f"{self._engine.files.label}: {self._engine.book.queued} bytes wait for the disk")
+            raise StoreBusyError(f"{self._engine.files.label}: {self._engine.book.queued} bytes wait for the disk")
         self._touch()
 
     def withdraw(self, key: bytes) -> None:
-        """As `delete`, but raises StoreBusy where that would wait."""
+        """As `delete`, but raises StoreBusyError where that would wait."""
         if not self._engine.delete(key):
             self._wake()
-            raise StoreBusy(f"{self._engine.files.label}: {self._engine.book.queued} bytes wait for the disk")
+            raise StoreBusyError(f"{self._engine.files.label}: {self._engine.book.queued} bytes wait for the disk")
         self._touch()
 
     def delete(self, key: bytes) -> None:
-        """Forget a key; nothing happens if it is not there. As `put`, but never StoreFull for what is remembered."""
+        """Forget a key; nothing happens if it is not there.
+
+        As `put`, but never StoreFullError for what is remembered."""
         if not self._engine.delete(key):
             self._wait_for_room(lambda: self._engine.delete(key, waited=True))
         self._touch()
 
     def get(self, key: bytes) -> bytes | None:
-        """The value, or None. Raises StoreDamaged if it can't be read as it was written."""
+        """The value, or None. Raises StoreDamagedError if it can't be read as it was written."""
         return self._engine.get(key)
 
     def items(self) -> Iterator[tuple[bytes, bytes]]:
@@ -152,7 +154,7 @@
     # --- durability ---
 
     def commit(self) -> None:
-        """Wait until all that this thread has put and deleted is durable. Raises StoreFailed if it will not be."""
+        """Wait until all that this thread has put and deleted is durable. Raises StoreFailedError if it will not be."""
         if self._writing.acquire(blocking=False):
             # Nobody writes: this thread would wait anyway, so it spares two changes of threads.
             try:
@@ -199,8 +201,10 @@
         return target
 
     def compact(self) -> None:
-        """Leave behind all that is dead now. Raises StoreDamaged if something can't be read, StoreFull if there is
-        no room to copy to, StoreFailed."""
+        """Leave behind all that is dead now.
+
+        Raises StoreDamagedError if something can't be read, StoreFullError if there is no room to copy to,
+        StoreFailedError."""
         with self._changed:
             self._engine.compact()
             self._engine.damage = None
@@ -210,7 +214,7 @@
                 if self._error is not None:
                     raise self._error
                 if self._engine.at_rest:
-                    raise StoreFull(
+                    raise StoreFullError(
                         f"{self._engine.files.label}: "
                         f"{self._engine.no_room or 'no room to copy to'}; compaction can't end"
                     )
@@ -219,7 +223,7 @@
             raise self._engine.damage
 
     def close(self) -> None:
-        """Make all durable, end the thread and give the directory back. Raises StoreFailed if that fails."""
+        """Make all durable, end the thread and give the directory back. Raises StoreFailedError if that fails."""
         with self._changed:
             self._stopping = True
             self._changed.notify_all()
@@ -228,7 +232,7 @@
             self._engine.close()
         finally:
             with self._changed:
-                self._error = self._error or StoreClosed(f"{self._engine.files.label}: closed")
+                self._error = self._error or StoreClosedError(f"{self._engine.files.label}: closed")
                 self._settle()
 
     # --- the thread ---
--- a/tests/powercut.py
+++ b/tests/powercut.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
-from chutepin.store.errors import StoreLocked
+from chutepin.store.errors import StoreLockedError
 
 
 class PowerCut(Exception):  # noqa: N818 - it is an event, not an error of the program
@@ -95,7 +95,7 @@
 
     def lock(self, create: bool) -> None:
         if self.locked:
-            raise StoreLocked("sim: open")
+            raise StoreLockedError("sim: open")
         self.locked = True
 
     def unlock(self) -> None:
--- a/tests/test_assembly.py
+++ b/tests/test_assembly.py
@@ -21,7 +21,7 @@
 from chutepin.lab.claims import broken
 from chutepin.lab.faults import Fault, Schedule, split
 from chutepin.ops import Clock, Counters, Log
-from chutepin.store import Store, StoreFull
+from chutepin.store import Store, StoreFullError
 
 from .helper import run_command
 from .powercut import SimFiles
@@ -281,7 +281,7 @@
         order = part.orders()["agree-set"]
         await until(lambda: agreed(order, ["k", "v1"]))
         filled: list[bytes] = []
-        with contextlib.suppress(StoreFull):
+        with contextlib.suppress(StoreFullError):
             while True:
                 for size in (4000, 100):
                     filled.append(b"%d" % len(filled))
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -13,7 +13,15 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from chutepin.store import Store, StoreDamaged, StoreError, StoreFailed, StoreFull, StoreLocked, inspect
+from chutepin.store import (
+    Store,
+    StoreDamagedError,
+    StoreError,
+    StoreFailedError,
+    StoreFullError,
+    StoreLockedError,
+    inspect,
+)
 from chutepin.store.engine import Engine
 from chutepin.store.plan import Limits
 
@@ -217,7 +225,7 @@
     """All that was acknowledged, or a clear refusal, at opening or at reading; whether it refused."""
     try:
         engine = world.check_recovered(files, note)
-    except StoreDamaged as error:
+    except StoreDamagedError as error:
         assert error.file in str(error) and "repair" in str(error)
         return True
     engine.close()
@@ -293,7 +301,7 @@
     files = world.files.copy()
     files.seen["ACKED"].seen[:] = bytes(8192)  # as if no mark had reached the disk
     files.seen[f"{active.number:010d}.seg"].seen[64 + 40] ^= 1  # in the first record
-    with pytest.raises(StoreDamaged, match="a later record proves it had been durable"):
+    with pytest.raises(StoreDamagedError, match="a later record proves it had been durable"):
         World(files).start()
 
 
@@ -311,10 +319,10 @@
         )
         try:
             script(world)
-        except StoreFailed:
-            with pytest.raises(StoreFailed, match="until it is opened again"):
+        except StoreFailedError:
+            with pytest.raises(StoreFailedError, match="until it is opened again"):
                 world.open.flush()
-            with pytest.raises(StoreFailed, match="until it is opened again"):
+            with pytest.raises(StoreFailedError, match="until it is opened again"):
                 world.open.put(b"x", b"", math.inf)
         except StoreError:
             assert number == errno.ENOSPC and world.engine is not None and not world.open.failed
@@ -351,7 +359,7 @@
     world.settle()
     world.put(b"a", b"1")
     world.files.fail = lambda operation, _: OSError(errno.EIO, "lost") if operation == "sync" else None
-    with pytest.raises(StoreFailed):
+    with pytest.raises(StoreFailedError):
         world.flush()
     world.files.fail = lambda *_: None
     world.open.close()
@@ -375,7 +383,7 @@
         and not world.files.seen[name].seen
         else None
     )
-    with pytest.raises(StoreFull, match="No space left"):
+    with pytest.raises(StoreFullError, match="No space left"):
         for index in range(100):
             world.put(b"%d" % index, b"v" * 100)
     world.settle()
@@ -390,7 +398,7 @@
 def test_a_full_store_drops_nothing_and_takes_deletes() -> None:
     world = World()
     world.start()
-    with pytest.raises(StoreFull, match="bytes are remembered"):
+    with pytest.raises(StoreFullError, match="bytes are remembered"):
         for index in range(1000):
             world.put(b"%d" % index, b"v" * 100)
     count = len(world.states) - 1
@@ -407,7 +415,7 @@
 def test_a_full_index_refuses_new_keys_and_replaces_old_ones() -> None:
     world = World(limits=Limits(SEGMENT, 64 * SEGMENT, 2000))
     world.start()
-    with pytest.raises(StoreFull, match="of memory"):
+    with pytest.raises(StoreFullError, match="of memory"):
         for index in range(100):
             world.put(b"%d" % index, b"v")
     world.put(b"0", b"w")
@@ -417,7 +425,7 @@
 def test_one_directory_has_one_store() -> None:
     world = World()
     world.start()
-    with pytest.raises(StoreLocked):
+    with pytest.raises(StoreLockedError):
         Engine.open(world.files, LIMITS, lambda: 0.0, lambda *_, **__: None)
     world.open.close()
     world.check_recovered(world.files)
@@ -489,7 +497,7 @@
     def put(self, key: int, size: int, life: float) -> None:
         try:
             self.world.put(b"%d" % key, bytes([key]) * size, self.world.time + life)
-        except StoreFull:
+        except StoreFullError:
             assert self.world.open.book.live > LIMITS.capacity / 2
 
     @rule(
@@ -515,7 +523,7 @@
                 if items:
                     world.flush()
                     world.open.step()
-        except StoreFull:
+        except StoreFullError:
             pass
 
     @rule(key=st.integers(0, 12))
@@ -659,6 +667,6 @@
         assert inspect.check(files).findings == []
         assert inspect.stat(files)["keys"] == 70
         assert len([*inspect.dump(files)]) == 70 < len([*inspect.dump(files, every=True)])
-        with pytest.raises(StoreLocked):
+        with pytest.raises(StoreLockedError):
             Store.open(tmp_path)
     assert {path.name: path.read_bytes() for path in tmp_path.iterdir()} == before
--- a/tests/test_store_threads.py
+++ b/tests/test_store_threads.py
@@ -19,7 +19,7 @@
 import pytest
 
 from chutepin.lab.standins import EXAMPLE, Standins
-from chutepin.store import Store, StoreBusy, StoreClosed, StoreError, StoreFailed, StoreFull
+from chutepin.store import Store, StoreBusyError, StoreClosedError, StoreError, StoreFailedError, StoreFullError
 from chutepin.store.files import RealFile, RealFiles
 
 from .helper import ROOT
@@ -75,7 +75,7 @@
 def _close(store: Store) -> None:
     try:
         store.close()
-    except StoreFailed:
+    except StoreFailedError:
         pass
 
 
@@ -111,7 +111,7 @@
                 put += 1
                 if index % 100 == 0:
                     waiting.append(asyncio.ensure_future(store.committed()))
-            except (StoreBusy, StoreFull):
+            except (StoreBusyError, StoreFullError):
                 busy += 1
             assert store.get(b"first") == b""
             longest = max(longest, time.monotonic() - begun)
@@ -137,14 +137,14 @@
         disk.error = OSError(errno.EIO, "Input/output error")
         disk.gate.set()
         results = await asyncio.gather(*waiting, return_exceptions=True)
-        assert all(isinstance(result, StoreFailed) for result in results)
+        assert all(isinstance(result, StoreFailedError) for result in results)
         disk.error = None  # a later sync would succeed, and lie
-        with pytest.raises(StoreFailed):
+        with pytest.raises(StoreFailedError):
             store.put(b"b", b"", math.inf)
         for attempt in (store.commit, store.compact):
-            with pytest.raises(StoreFailed):
+            with pytest.raises(StoreFailedError):
                 attempt()
-        with pytest.raises(StoreFailed):
+        with pytest.raises(StoreFailedError):
             await store.committed()
         assert store.get(b"first") == b""
 
@@ -162,9 +162,9 @@
         assert time.monotonic() < until
         time.sleep(0.005)
     store.close()
-    with pytest.raises(StoreClosed):
+    with pytest.raises(StoreClosedError):
         store.put(b"b", b"", math.inf)
-    with pytest.raises(StoreClosed):
+    with pytest.raises(StoreClosedError):
         store.commit()
 
 
