--- a/benchmarks/operation.py
+++ b/benchmarks/operation.py
@@ -22,7 +22,7 @@
 from pathlib import Path
 
 from chutepin.handover.frames import Frames, key_frame
-from chutepin.keys import Entry
+from chutepin.idempotency import IdempotencyRecord
 from chutepin.lab.known import Known
 from chutepin.lab.standins import EXAMPLE, Balancer, Standins
 
@@ -128,7 +128,7 @@
     _, writer = await asyncio.open_unix_connection(path)
     begun, telling = time.perf_counter(), 0.0
     for number in range(count):
-        entry = Entry(f"{number:032x}", f"{number:016x}", 1e9, bytes(16), f"{number:016x}")
+        entry = IdempotencyRecord(f"{number:032x}", f"{number:016x}", 1e9, bytes(16), f"{number:016x}")
         start = time.perf_counter()
         writer.write(key_frame(entry))
         telling += time.perf_counter() - start
--- a/chutepin/broker.py
+++ b/chutepin/broker.py
@@ -19,7 +19,7 @@
 from .decision import Idempotency
 from .facade import CallEnded, CallWanted, Drain, End, Facade, Left, Offer, RunEnded
 from .figures import Figures
-from .keys import Entry, Single, Standing, Table, Twin
+from .idempotency import IdempotencyRecord, IdempotencyTable, KeyOwnership, NoPeerProcess, PeerProcess
 from .ops import Clock, Counters, Log
 
 MAX_REQUESTS = 2048  # requests in hand; each holds a body of up to 2 KiB
@@ -154,7 +154,7 @@
         alarm: Alarm,
         memory: int,
     ) -> None:
-        self.keys = Table(int(memory * KEYS_PART))
+        self.keys = IdempotencyTable(int(memory * KEYS_PART))
         self._clock, self._counters, self._log = clock, counters, log
         self._executor, self._records, self._alarm = executor, records, alarm
         self._classes = {cls.name: cls for cls in settings.classes}
@@ -167,7 +167,7 @@
         self.figures = Figures(self._classes)
         self._started = False
         self.began: Callable[[], None] = lambda: None  # told once the executor is up
-        self.twin: Twin = Single()
+        self.twin: PeerProcess = NoPeerProcess()
         self._attempts: dict[str, Attempt] = {}
         self._reports: deque[facade.Report] = deque()
         self._reporting = False
@@ -246,22 +246,24 @@
             verdict = Verdict.FAILED if self._key_ran(request) else Verdict.REFUSED
             self._answer_now(request.cls, caller, Answer(verdict, value=self._value))
             return
-        standing = self.twin.standing(now) if cls.idempotency is Idempotency.KEYED and entry is None else Standing.OWNS
-        if standing is Standing.CLOSED:  # it may have run in a process that can't be asked
+        standing = (
+            self.twin.standing(now) if cls.idempotency is Idempotency.KEYED and entry is None else KeyOwnership.OWNS
+        )
+        if standing is KeyOwnership.CLOSED:  # it may have run in a process that can't be asked
             self._counters.add("keys.closed")
             self._answer_now(request.cls, caller, Answer(Verdict.FAILED, value=self._value))
             return
         # Guards what the module learns from the wait, and the windows of keys, against times that cannot be.
         request.arrived = max(now - cls.deadline, min(now, request.arrived))
         attempt = self._attempts[request.id] = Attempt(request, caller, cls.idempotency)
-        if standing is Standing.ASKS:
+        if standing is KeyOwnership.ASKS:
             attempt.phase = Phase.ASKING
             self._due_at(request.id, min(request.due, now + ASK_BY))
             self.twin.ask(request.id, request.key or "", _contents(request), request.arrived + cls.window)
             return
         self._offer(attempt, entry)
 
-    def _offer(self, attempt: Attempt, entry: Entry | None) -> None:
+    def _offer(self, attempt: Attempt, entry: IdempotencyRecord | None) -> None:
         """Let the module decide about a request."""
         request, now = attempt.request, self._clock.now()
         offer = Offer(
@@ -340,7 +342,7 @@
         self._counters.holds(self._facade.adopt(learned), "adopts what was learned")
 
     def granted(self, id: str, key: str, may: bool) -> None:
-        """The other process's answer to `Twin.ask`: the key may be taken, or its entry was told before."""
+        """The other process's answer to `PeerProcess.ask`: the key may be taken, or its entry was told before."""
         attempt = self._attempts.get(id)
         if attempt is None or attempt.phase is not Phase.ASKING:
             if may and self.keys.find(key, 0.0) is None:
@@ -366,10 +368,10 @@
         if self.keys.find(key, self._clock.now()) is None:
             if self.keys.full or key in self.keys.entries:  # its window is over, but some may have come within it
                 return False
-            self.keys.learn(Entry(key, id, until, contents), self._clock.now())
+            self.keys.learn(IdempotencyRecord(key, id, until, contents), self._clock.now())
         return True
 
-    def heard(self, entry: Entry) -> None:
+    def heard(self, entry: IdempotencyRecord) -> None:
         """The other process tells what became of a key."""
         self._waited(self.keys.learn(entry, self._clock.now()), entry.end or End.ERROR, entry.result)
         self._settle()
--- a/chutepin/handover/dialogue.py
+++ b/chutepin/handover/dialogue.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterator
 from typing import Any, Protocol
 
-from ..keys import Entry, Standing
+from ..idempotency import IdempotencyRecord, KeyOwnership
 from ..net.lines import ProtocolError
 from ..ops import Clock, Counters
 from .frames import Frame, frame, key_entry, key_frame
@@ -15,12 +15,12 @@
 class Host(Protocol):
     """The node, as the hand-over needs it."""
 
-    def entries(self) -> list[Entry]: ...
+    def entries(self) -> list[IdempotencyRecord]: ...
 
-    def current(self, entry: Entry) -> bool:
+    def current(self, entry: IdempotencyRecord) -> bool:
         """It is still in the table."""
 
-    def heard(self, entry: Entry) -> None: ...
+    def heard(self, entry: IdempotencyRecord) -> None: ...
     def unheard(self, key: str) -> None: ...
     def asked(self, id: str, key: str, contents: bytes, until: float) -> bool: ...
     def granted(self, id: str, key: str, may: bool) -> None: ...
@@ -42,7 +42,7 @@
 
 
 class Dialogue:
-    """One process's side. It is the core's `keys.Twin`, and what the table of keys tells."""
+    """One process's side. It is the core's `keys.PeerProcess`, and what the table of keys tells."""
 
     def __init__(self, host: Host, succession: Succession, clock: Clock, counters: Counters) -> None:
         self._host, self._clock, self._counters = host, clock, counters
@@ -53,9 +53,9 @@
         self._welcomed = False
         self._whole = False  # the successor has been told all keys
 
-    # --- keys.Twin, and keys.Table.told ---
+    # --- keys.PeerProcess, and keys.Table.told ---
 
-    def standing(self, now: float) -> Standing:
+    def standing(self, now: float) -> KeyOwnership:
         """Who may take a key that is not known here."""
         return self.succession.standing(now)
 
@@ -64,7 +64,7 @@
         self._counters.add("handover.asked")
         self._say(frame("ASK", id=id, key=key, contents=contents.hex(), until=until))
 
-    def told(self, key: str, entry: Entry | None) -> bool:
+    def told(self, key: str, entry: IdempotencyRecord | None) -> bool:
         """An entry of this process has changed. True once the other process is sure to hear of it: the bytes are in the
         kernel's hands, or there is no other process."""
         if self.send is None:
--- a/chutepin/handover/frames.py
+++ b/chutepin/handover/frames.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ..facade import End
-from ..keys import Entry
+from ..idempotency import IdempotencyRecord
 from ..net.lines import LineParser, ProtocolError, line
 
 VERSION = 1
@@ -63,7 +63,7 @@
     return line(verb, body=json.dumps(fields, separators=(",", ":")).encode())
 
 
-def key_frame(entry: Entry) -> bytes:
+def key_frame(entry: IdempotencyRecord) -> bytes:
     """An entry as its owner has it. Bytes travel as Latin-1 text."""
     return frame(
         "KEY",
@@ -77,11 +77,11 @@
     )
 
 
-def key_entry(fields: dict[str, Any]) -> Entry:
+def key_entry(fields: dict[str, Any]) -> IdempotencyRecord:
     """The entry of a frame. Raises ProtocolError."""
     try:
         ran, end = fields["ran"], fields["end"]
-        return Entry(
+        return IdempotencyRecord(
             str(fields["key"]),
             str(fields["holder"]),
             float(fields["until"]),
--- a/chutepin/handover/succession.py
+++ b/chutepin/handover/succession.py
@@ -5,7 +5,7 @@
 import math
 from enum import Enum
 
-from ..keys import Standing
+from ..idempotency import KeyOwnership
 
 ANSWER_BY = 2.0  # seconds in which a predecessor must answer HELLO
 WORD_BY = 3.0  # seconds in which it must go on telling
@@ -49,11 +49,11 @@
         """This process accepts connections."""
         return self.stage in SERVING
 
-    def standing(self, now: float) -> Standing:
+    def standing(self, now: float) -> KeyOwnership:
         """Who may take a key that this process does not know."""
         if self.stage is Stage.YIELDED:
-            return Standing.ASKS
-        return Standing.OWNS if self.stage in OWNING and now >= self.closed_until else Standing.CLOSED
+            return KeyOwnership.ASKS
+        return KeyOwnership.OWNS if self.stage in OWNING and now >= self.closed_until else KeyOwnership.CLOSED
 
     # --- the newer process ---
 
--- a/chutepin/keys/twin.py
+++ b/chutepin/idempotency/peer.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 
-class Standing(Enum):
+class KeyOwnership(Enum):
     """Who may take a key that is not in the table."""
 
     OWNS = "this process"
@@ -14,21 +14,21 @@
     CLOSED = "nobody, as it can't be known whether it ran"
 
 
-class Twin(Protocol):
+class PeerProcess(Protocol):
     """The other process."""
 
-    def standing(self, now: float) -> Standing: ...
+    def standing(self, now: float) -> KeyOwnership: ...
 
     def ask(self, id: str, key: str, contents: bytes, until: float) -> None:
         """Ask for a key that a try wants. The answer comes as `Broker.granted`, unless the other process has gone."""
 
 
-class Single:
+class NoPeerProcess:
     """There is no other process."""
 
-    def standing(self, now: float) -> Standing:
+    def standing(self, now: float) -> KeyOwnership:
         """All keys are this process's."""
-        return Standing.OWNS
+        return KeyOwnership.OWNS
 
     def ask(self, id: str, key: str, contents: bytes, until: float) -> None:
         """Never called: the standing says so."""
--- a/chutepin/keys/table.py
+++ b/chutepin/idempotency/table.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True)
-class Entry:
+class IdempotencyRecord:
     """One key: which try has it, which one ran, and what came of that."""
 
     key: str
@@ -27,25 +27,25 @@
     foreign: bool = False  # its holder is in the hands of the node's other process
 
 
-class Table:
+class IdempotencyTable:
     """All keys of one process, bounded by the memory that it is given."""
 
     def __init__(self, room: int) -> None:
         """`room`: bytes that entries and results may take together."""
         self._room = room
         self.results = 0  # bytes of kept results
-        self.entries: dict[str, Entry] = {}
-        self._outlived: dict[str, Entry] = {}  # by run that goes on past its window, while some wait for it
+        self.entries: dict[str, IdempotencyRecord] = {}
+        self._outlived: dict[str, IdempotencyRecord] = {}  # by run that goes on past its window, while some wait for it
         # Told of an entry that has changed, before anybody acts on the change; false where the other process can't be
         # known to hear of it. Of an entry that is gone, `None` stands in its place.
-        self.told: Callable[[str, Entry | None], bool] = lambda key, entry: True
+        self.told: Callable[[str, IdempotencyRecord | None], bool] = lambda key, entry: True
 
     @property
     def full(self) -> bool:
         """No room for another key."""
         return len(self.entries) * KEY_BYTES + self.results >= self._room
 
-    def find(self, key: str | None, arrived: float) -> Entry | None:
+    def find(self, key: str | None, arrived: float) -> IdempotencyRecord | None:
         """The entry that a try repeats: one whose window it arrived in, however late it was read, or one that has not
         run yet, however long it has been held: its window will count from its run's arrival."""
         entry = self.entries.get(key or "")
@@ -56,13 +56,13 @@
         entry = self.entries.get(key)
         if entry is None or (entry.ran is not None and arrived > entry.until):
             self._outlive(entry)
-            entry = self.entries[key] = Entry(key, holder, until + KEY_SLACK, b"")
+            entry = self.entries[key] = IdempotencyRecord(key, holder, until + KEY_SLACK, b"")
         entry.until = max(entry.until, until + KEY_SLACK)
         if entry.ran is None:
             entry.holder, entry.contents, entry.foreign = holder, contents, False
         self.told(key, entry)
 
-    def _outlive(self, entry: Entry | None) -> None:
+    def _outlive(self, entry: IdempotencyRecord | None) -> None:
         """Another entry takes the place of one whose window is over. Its run may go on, and some may wait for it."""
         if entry is not None:
             self.results -= len(entry.result)
@@ -96,7 +96,7 @@
             return self.drop(entry)
         return self._over(entry, End.OK if end is End.OK else End.ERROR, result)
 
-    def _over(self, entry: Entry, end: End, result: bytes) -> list[str]:
+    def _over(self, entry: IdempotencyRecord, end: End, result: bytes) -> list[str]:
         entry.end, entry.result = end, result if end is End.OK else b""
         self.results += len(entry.result)
         if not entry.foreign:
@@ -104,7 +104,7 @@
         waiting, entry.waiting = entry.waiting, []
         return waiting
 
-    def drop(self, entry: Entry, tell: bool = True) -> list[str]:
+    def drop(self, entry: IdempotencyRecord, tell: bool = True) -> list[str]:
         """Take an entry out; who waited for it."""
         del self.entries[entry.key]
         self.results -= len(entry.result)
@@ -112,17 +112,17 @@
             self.told(entry.key, None)
         return entry.waiting
 
-    def stale(self, now: float, alive: Callable[[str], bool]) -> list[Entry]:
+    def stale(self, now: float, alive: Callable[[str], bool]) -> list[IdempotencyRecord]:
         """Entries whose window is over, unless their try is still in hand here."""
 
-        def open_here(entry: Entry) -> bool:
+        def open_here(entry: IdempotencyRecord) -> bool:
             return entry.end is None and alive(entry.ran or entry.holder)
 
         return [e for e in self.entries.values() if e.until + KEY_GRACE < now and not open_here(e)]
 
     # --- the node's other process ---
 
-    def learn(self, heard: Entry, now: float) -> list[str]:
+    def learn(self, heard: IdempotencyRecord, now: float) -> list[str]:
         """The other process tells of an entry of its own; who waited for it and is to be told now."""
         entry = self.entries.get(heard.key)
         if entry is not None and not entry.foreign and entry.ran is not None:
@@ -131,7 +131,7 @@
             self._outlive(entry)  # but that was in a window which is over, and this is the key's next
             entry = None
         if entry is None:
-            entry = self.entries[heard.key] = Entry(heard.key, heard.holder, heard.until, heard.contents)
+            entry = self.entries[heard.key] = IdempotencyRecord(heard.key, heard.holder, heard.until, heard.contents)
         entry.foreign, entry.holder, entry.ran, entry.contents = True, heard.holder, heard.ran, heard.contents
         entry.until = max(entry.until, heard.until)
         return self._over(entry, heard.end, heard.result) if heard.end is not None and entry.end is None else []
--- a/chutepin/node.py
+++ b/chutepin/node.py
@@ -18,7 +18,7 @@
 from .broker import Broker
 from .config import AdmissionSetup, AmqpConfig, Config, ConfigError, Setup, StoreSetup, load, load_setup
 from .handover import Dialogue, Handover, Succession, meeting_place
-from .keys import Entry
+from .idempotency import IdempotencyRecord
 from .lifecycle import Lifecycle, Move
 from .net.control import Reporter
 from .net.executor import ExecutorLink, Session
@@ -515,11 +515,11 @@
         self.asked, self.granted = broker.asked, broker.granted
         self.learned, self.adopt = broker.learned, broker.adopt
 
-    def entries(self) -> list[Entry]:
+    def entries(self) -> list[IdempotencyRecord]:
         """All keys that are this process's to tell."""
         return list(self._node.broker.keys.entries.values())
 
-    def current(self, entry: Entry) -> bool:
+    def current(self, entry: IdempotencyRecord) -> bool:
         """It is still in the table."""
         return self._node.broker.keys.entries.get(entry.key) is entry
 
--- a/tests/data/make_stored_bytes.py
+++ b/tests/data/make_stored_bytes.py
@@ -31,7 +31,7 @@
 from chutepin.cluster.records import BadLink, Links, Record, ShortRecord, Status
 from chutepin.facade import End
 from chutepin.handover.frames import frame, key_frame
-from chutepin.keys import Entry as KeyEntry
+from chutepin.idempotency import IdempotencyRecord as KeyEntry
 from chutepin.store.engine import Engine
 from chutepin.store.files import RealFiles
 from chutepin.store.plan import Limits
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -11,7 +11,7 @@
 
 from chutepin import broker
 from chutepin.facade import End
-from chutepin.keys import KEY_GRACE
+from chutepin.idempotency import KEY_GRACE
 
 from .helper import STEPS, WINDOW, Core
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -24,7 +24,7 @@
 from chutepin.handover import Dialogue, Stage, Succession, meeting_place
 from chutepin.handover.frames import Frames, frame, key_entry, key_frame
 from chutepin.handover.link import answers
-from chutepin.keys import Entry, Standing
+from chutepin.idempotency import IdempotencyRecord, KeyOwnership
 from chutepin.lab.standins import PATIENCE, Balancer, eventually, free_port
 from chutepin.net.lines import ProtocolError
 
@@ -35,7 +35,7 @@
 
 
 def test_frames_in_any_pieces_and_what_no_peer_says() -> None:
-    entry = Entry("k", "id", 7.25, b"\x00\xff", "id", End.OK, bytes(range(256)))
+    entry = IdempotencyRecord("k", "id", 7.25, b"\x00\xff", "id", End.OK, bytes(range(256)))
     data = key_frame(entry) + frame("SYNCED", closed_until=0)
     frames, got = Frames(), []
     for byte in data:
@@ -60,8 +60,8 @@
 
 def test_who_owns_the_keys_at_every_stage() -> None:
     owning = {stage: at(stage).standing(0.0) for stage in Stage}
-    assert {s for s, o in owning.items() if o is Standing.OWNS} == {Stage.ALONE, Stage.OWNER, Stage.TELLING}
-    assert [s for s, o in owning.items() if o is Standing.ASKS] == [Stage.YIELDED]
+    assert {s for s, o in owning.items() if o is KeyOwnership.OWNS} == {Stage.ALONE, Stage.OWNER, Stage.TELLING}
+    assert [s for s, o in owning.items() if o is KeyOwnership.ASKS] == [Stage.YIELDED]
 
 
 @pytest.mark.parametrize(
@@ -98,7 +98,7 @@
     assert succession.stage is after and (succession.closed_until == 144.0) is closed
     if after is Stage.CUT_OFF:
         succession.gone(110.0)
-        assert succession.standing(120.0) is Standing.CLOSED and succession.standing(155.0) is Standing.OWNS
+        assert succession.standing(120.0) is KeyOwnership.CLOSED and succession.standing(155.0) is KeyOwnership.OWNS
 
 
 class Process:
@@ -116,10 +116,10 @@
         self.dialogue = Dialogue(self, Succession(WINDOW + 1.0), self.core.hand.clock, self.core.counters)
         broker.twin, broker.keys.told = self.dialogue, self.dialogue.told
 
-    def entries(self) -> list[Entry]:
+    def entries(self) -> list[IdempotencyRecord]:
         return list(self.core.broker.keys.entries.values())
 
-    def current(self, entry: Entry) -> bool:
+    def current(self, entry: IdempotencyRecord) -> bool:
         return self.core.broker.keys.entries.get(entry.key) is entry
 
     def use(self) -> tuple[int, float, int]:
