--- a/benchmarks/capacity/measure/log.py
+++ b/benchmarks/capacity/measure/log.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from benchmarks.fleet_size import ASSUMPTIONS, TARGET
-from chutepin.agree.codec import encode
-from chutepin.agree.core import Times
+from chutepin.consensus.codec import encode
+from chutepin.consensus.core import Times
 from chutepin.lab.claims import Record, broken
 from chutepin.lab.faults import Schedule
 from chutepin.lab.quorum import TIMES, WAY, WRITE, Simulator
--- a/benchmarks/capacity/measure/start.py
+++ b/benchmarks/capacity/measure/start.py
@@ -10,13 +10,13 @@
 
 import msgpack
 
-from chutepin.agree.facts import Facts, set_fact
-from chutepin.agree.messages import Entry, Kind, Snapshot, Voters
-from chutepin.agree.replica import REMEMBERED, Proposal, Replica, new_id, pack
 from chutepin.cluster.frames import StreamReader, cluster_id, decode, stream_frame
 from chutepin.cluster.messages import Packet, Sync
 from chutepin.cluster.records import Record, Status
 from chutepin.cluster.table import Table as Members
+from chutepin.consensus.facts import Facts, set_fact
+from chutepin.consensus.messages import Entry, Kind, Snapshot, Voters
+from chutepin.consensus.replica import REMEMBERED, Proposal, Replica, new_id, pack
 
 from .tools import Measured, Table
 
--- a/benchmarks/capacity/roles.py
+++ b/benchmarks/capacity/roles.py
@@ -7,9 +7,9 @@
 from collections.abc import Mapping
 
 from benchmarks.fleet_size import ASSUMPTIONS, MEGABYTE, TARGET
-from chutepin.agree.facts import MAX_NAMES
-from chutepin.agree.replica import MAX_STATE
 from chutepin.cluster.frames import MAX_STREAM
+from chutepin.consensus.facts import MAX_NAMES
+from chutepin.consensus.replica import MAX_STATE
 from chutepin.lab.scale.traffic import WINDOW
 
 from .bounds import most_members
@@ -27,7 +27,7 @@
 ADDED = Limit(TARGET.added_p99_ms, "ms", "the operators")
 IN_FORCE = Limit(TARGET.config_in_force_s, "s", "a change is in force everywhere")
 IN_FORCE_CPU = Limit(1000 * TARGET.config_in_force_s, "ms", "a change is in force everywhere")
-LOG_STATE = Limit(MAX_STATE, "B", "chutepin.agree.replica.MAX_STATE")
+LOG_STATE = Limit(MAX_STATE, "B", "chutepin.consensus.replica.MAX_STATE")
 
 REQUEST_LOADS = {
     PEAK: Load(TARGET.requests_per_node_per_s),
@@ -187,7 +187,7 @@
 
 VOTER = Role(
     "a voter and the leader of the log",
-    "`agree/`: one log, a leader among voters; one machine of names with values; observers feed each other",
+    "`consensus/`: one log, a leader among voters; one machine of names with values; observers feed each other",
     (
         Demand(
             Aspect.STATE,
@@ -227,7 +227,7 @@
             Aspect.STATE,
             "names in the machine: tenants and routes",
             LOG_ENTRIES,
-            Limit(MAX_NAMES, "names", "chutepin.agree.facts.MAX_NAMES"),
+            Limit(MAX_NAMES, "names", "chutepin.consensus.facts.MAX_NAMES"),
             "a machine of policies and routes on the log (`policy/`, `routes/`)",
         ),
     ),
@@ -239,7 +239,7 @@
 
 OBSERVER = Role(
     "an observer, and those that feed others",
-    "`agree/observer.py`: each asks one member, which is asked by several",
+    "`consensus/observer.py`: each asks one member, which is asked by several",
     (
         Demand(
             Aspect.MESSAGES,
--- a/benchmarks/agree.py
+++ b/benchmarks/consensus.py
@@ -1,4 +1,4 @@
-"""Measures the log in common: `python -O -m benchmarks.agree [PART …] [--charts DIR]`.
+"""Measures the log in common: `python -O -m benchmarks.consensus [PART …] [--charts DIR]`.
 
 In the simulator, over the cores: `seeds` (claims over drawn schedules), `planted` (seeds that a planted error needs),
 `flapping`, `observers`, `behind`. On real processes of this machine: `rate` (beside a bare loop of writes and syncs),
@@ -83,7 +83,7 @@
 
 
 def _planted(name: str) -> Row:
-    from tests.agree_mutants import PLANTED
+    from tests.consensus_mutants import PLANTED
     from tests.test_quorum import seeds_needed
 
     parts, schedule, claim = PLANTED[name]
@@ -93,7 +93,7 @@
 
 def planted() -> list[Row]:
     """How many seeds each planted error needs."""
-    from tests.agree_mutants import PLANTED
+    from tests.consensus_mutants import PLANTED
 
     return over_cores(_planted, PLANTED)
 
@@ -175,7 +175,7 @@
             (host for host in simulator.hosts.values() if host.member is not None and host.member.core.role == 3), None
         )
         if host is not None and host.member is not None and state["made"] < entries:
-            from chutepin.agree.facts import set_fact
+            from chutepin.consensus.facts import set_fact
 
             for _ in range(min(250, 250 - host.member.waiting)):
                 state["made"] += 1
--- a/chutepin/cli/__init__.py
+++ b/chutepin/cli/__init__.py
@@ -16,7 +16,7 @@
     "store": "store",
     "admission": "admission",
     "cluster": "cluster",
-    "agree": "agree",
+    "agree": "consensus",
     "lab": "lab",
 }
 
--- a/chutepin/cli/agree.py
+++ b/chutepin/cli/consensus.py
@@ -12,9 +12,9 @@
 from .output import as_json, show_fields, show_json, show_table
 
 if TYPE_CHECKING:
-    from ..agree.core import Durable
-    from ..agree.identity import StoredIdentity
-    from ..agree.messages import Persist
+    from ..consensus.core import Durable
+    from ..consensus.identity import StoredIdentity
+    from ..consensus.messages import Persist
 
 NUMBERS = frozenset({"term", "commit", "applied", "log-bytes", "snapshot"})
 JSON = click.option("--json", "json_asked", is_flag=True, help="Print JSON also on a terminal.")
@@ -156,9 +156,9 @@
 def open_log(directory: Path, work: Callable[[str, Durable], Persist] | None = None) -> StoredLog:
     """Read a store that no node has open; where there is `work` to do by the node's identity, write what it returns.
     Raises ClickException for damage, AskError where there is nothing."""
-    from ..agree.identity import IDENTITY_KEY, Identity, StoredIdentity
-    from ..agree.journal import Journal, JournalError
-    from ..agree.subsystem import NO_EXPIRY
+    from ..consensus.identity import IDENTITY_KEY, Identity, StoredIdentity
+    from ..consensus.journal import Journal, JournalError
+    from ..consensus.subsystem import NO_EXPIRY
     from ..store import Store, StoreError
 
     try:
@@ -188,7 +188,7 @@
 def recover(directory: Path, cluster: str | None) -> int:
     """Make the store in DIRECTORY the only voter, after a majority of the voters is lost for good. The node must not
     run. Exit code 1 if the name was not the cluster's: nothing has changed."""
-    from ..agree.recovery import alone
+    from ..consensus.recovery import alone
 
     owner, durable, _ = open_log(directory)
     click.echo(
--- a/chutepin/config/agree.py
+++ b/chutepin/config/consensus.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AgreeSetup:
+class ConsensusSetup:
     """The first voters of the replicated log, and the times of elections, in seconds."""
 
     voters: tuple[str, ...]
@@ -35,11 +35,11 @@
 }
 
 
-def checked(values: dict[str, Any]) -> AgreeSetup:
+def checked(values: dict[str, Any]) -> ConsensusSetup:
     """Check the block's values against each other and build its setup. Raises ConfigError."""
     if "voters" not in values:
         raise ConfigError("agree.voters: missing")
-    setup = AgreeSetup(**values)
+    setup = ConsensusSetup(**values)
     if len(set(setup.voters)) != len(setup.voters):
         raise ConfigError("agree.voters: a member stands there twice")
     if len(setup.voters) not in (1, 3, 5, 7):
--- a/chutepin/config/operator.py
+++ b/chutepin/config/operator.py
@@ -16,8 +16,8 @@
 from .checks import RATE, SHARE, TIME, Check, ConfigError, Many, choice, count, network, quantity, size, text
 
 if TYPE_CHECKING:
-    from .agree import AgreeSetup
     from .cluster import ClusterSetup
+    from .consensus import ConsensusSetup
 
 MAX_NETWORKS = 1024  # in one list
 MAX_FILE = 256 * 1024  # bytes of an operator's file
@@ -71,10 +71,11 @@
     store: StoreSetup | None = None
     admission: AdmissionSetup = field(default_factory=AdmissionSetup)
     cluster: ClusterSetup | None = None
-    agree: AgreeSetup | None = None
+    consensus: ConsensusSetup | None = None
 
 
-LAZY = ("cluster", "agree")  # blocks whose modules are imported only where the file has them
+# Blocks to the modules here that check them, imported only where the file has the block.
+LAZY = {"cluster": "cluster", "agree": "consensus"}
 
 BLOCKS: dict[str, dict[str, Check | Many]] = {
     "log": {"format": choice(*(format.value for format in LogFormat))},
@@ -144,7 +145,7 @@
         if node.name in blocks:
             raise ConfigError(f"{node.name}: given twice")
         if node.name in LAZY:
-            lazy = importlib.import_module(f".{node.name}", __package__)
+            lazy = importlib.import_module(f".{LAZY[node.name]}", __package__)
             blocks[node.name] = {"setup": lazy.checked(_block(node, lazy.KNOWN))}
         else:
             blocks[node.name] = _block(node, BLOCKS[node.name])
@@ -153,10 +154,10 @@
     if admission.new_share + admission.reserve > 1 and admission.new_share < 1:
         raise ConfigError("admission.new-share: with admission.reserve more than 100 %")
     store = _store(blocks["store"]) if "store" in blocks else None
-    cluster, agree = (blocks.get(name, {}).get("setup") for name in LAZY)
-    if agree is not None and (cluster is None or store is None):
+    cluster, consensus = (blocks.get(name, {}).get("setup") for name in LAZY)
+    if consensus is not None and (cluster is None or store is None):
         raise ConfigError(f"agree: needs the block {'cluster' if cluster is None else 'store'} as well")
-    return Setup(log, store, admission, cluster, agree)
+    return Setup(log, store, admission, cluster, consensus)
 
 
 def _store(values: dict[str, Any]) -> StoreSetup:
--- a/chutepin/agree/subsystem.py
+++ b/chutepin/consensus/subsystem.py
@@ -11,7 +11,7 @@
 
 from ..admission import Ledger
 from ..config import ConfigError
-from ..config.agree import AgreeSetup
+from ..config.consensus import ConsensusSetup
 from ..ops import Counters, Log
 from ..store import Store, StoreBusyError, StoreError
 from ..subsystem import Order
@@ -36,7 +36,7 @@
     """This node's part in the replicated log (`subsystem.Subsystem`, `operators.Participant`)."""
 
     def __init__(
-        self, setup: AgreeSetup, name: str, links: Links, store: Store, ledger: Ledger, counters: Counters, log: Log
+        self, setup: ConsensusSetup, name: str, links: Links, store: Store, ledger: Ledger, counters: Counters, log: Log
     ) -> None:
         self._setup, self._name, self._links, self._store = setup, name, links, store
         # Not the configuration's seed: ids of proposals must not come again after a restart.
--- a/chutepin/idempotency/__init__.py
+++ b/chutepin/idempotency/__init__.py
@@ -1,7 +1,7 @@
-"""Idempotent requests: which attempt holds an idempotency key, which one ran, and its result. No I/O; time is an argument.
+"""Idempotent requests: which attempt holds an idempotency key, which one ran, and its result.
 
-`IdempotencyTable` is the table of one process. Where two processes serve one node during an upgrade, `handover` tells
-each of the other's changes and decides who may claim a key."""
+No I/O; time is an argument. `IdempotencyTable` is the table of one process. Where two processes serve one node during
+an upgrade, `handover` tells each of the other's changes and decides who may claim a key."""
 
 from .peer import KeyOwnership, NoPeerProcess, PeerProcess
 from .table import KEY_GRACE, KEY_SLACK, IdempotencyRecord, IdempotencyTable
--- a/chutepin/lab/explorer.py
+++ b/chutepin/lab/explorer.py
@@ -16,8 +16,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
 
-from ..agree.core import Core, Durable, RefusedError, Role, Times
-from ..agree.messages import Apply, Effect, Entry, Message, Persist, Restore, Send, Voters
+from ..consensus.core import Core, Durable, RefusedError, Role, Times
+from ..consensus.messages import Apply, Effect, Entry, Message, Persist, Restore, Send, Voters
 
 Packet = tuple[str, str, Message]  # to, from, what
 # Time stands still: nothing may rest on it here. One entry a message: so old entries arrive without newer ones.
--- a/chutepin/lab/quorum.py
+++ b/chutepin/lab/quorum.py
@@ -12,14 +12,14 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from ..agree.codec import Hello, Said, decode, encode
-from ..agree.core import Core, RefusedError, Role, Times
-from ..agree.facts import Facts, set_fact
-from ..agree.identity import Identity, Meet, Met, Standing, plain
-from ..agree.journal import Journal, Operation
-from ..agree.member import Answer, Effect, Member, Send
-from ..agree.messages import Apply, Persist, Readable, Restore, Voters
-from ..agree.replica import Outcome, State
+from ..consensus.codec import Hello, Said, decode, encode
+from ..consensus.core import Core, RefusedError, Role, Times
+from ..consensus.facts import Facts, set_fact
+from ..consensus.identity import Identity, Meet, Met, Standing, plain
+from ..consensus.journal import Journal, Operation
+from ..consensus.member import Answer, Effect, Member, Send
+from ..consensus.messages import Apply, Persist, Readable, Restore, Voters
+from ..consensus.replica import Outcome, State
 from .claims import Asked, Record, Showed
 from .faults import Fault, Schedule
 from .history import Truth
--- a/chutepin/node.py
+++ b/chutepin/node.py
@@ -77,7 +77,7 @@
 
 
 def shares(
-    limit: int, amqp: bool, store: bool, ops: bool = False, cluster: bool = False, agree: bool = False
+    limit: int, amqp: bool, store: bool, ops: bool = False, cluster: bool = False, consensus: bool = False
 ) -> Ledger:
     """Build the ledger of descriptors: half for the front at most, two fifths for records, as after a
     reload old and new connections stand side by side; what must reconnect has its own."""
@@ -92,7 +92,7 @@
             "store": (8 * store, 40),
             "files": (2, 8),
             "ops": (4 * ops, max(4, min(16, limit // 32)) * ops),
-            "cluster": (8 * cluster, 24 * cluster + 72 * agree),
+            "cluster": (8 * cluster, 24 * cluster + 72 * consensus),
         },
         descriptors() or 0,
     )
@@ -153,7 +153,7 @@
             self.setup.store is not None,
             config.ops is not None,
             self.setup.cluster is not None,
-            self.setup.agree is not None,
+            self.setup.consensus is not None,
         )
         self.executor = ExecutorLink(config.executor, session, self.counters, self.log)
         self.records = RecordsService(
--- a/chutepin/registry.py
+++ b/chutepin/registry.py
@@ -19,14 +19,14 @@
 ) -> list[Subsystem]:
     """Build each subsystem that has a block in `setup`, in the order in which they start.
 
-    `agree` needs the cluster and a store; the file's check refuses it without them."""
+    The replicated log needs the cluster and a store; the file's check refuses it without them."""
     if setup.cluster is None:
         return []
     from .cluster.subsystem import Cluster
 
     cluster = Cluster(setup.cluster, config.name, config.seed, ledger, counters, log, store)
-    if setup.agree is None or store is None:
+    if setup.consensus is None or store is None:
         return [cluster]
-    from .agree.subsystem import Agreement
+    from .consensus.subsystem import Agreement
 
-    return [cluster, Agreement(setup.agree, config.name, cluster, store, ledger, counters, log)]
+    return [cluster, Agreement(setup.consensus, config.name, cluster, store, ledger, counters, log)]
--- a/tests/agree_mutants.py
+++ b/tests/consensus_mutants.py
@@ -4,11 +4,11 @@
 
 import random
 
-from chutepin.agree import Core, Durable, Entry, Readable, Role, Times, Voters
-from chutepin.agree.identity import Identity, Standing
-from chutepin.agree.member import Member
-from chutepin.agree.messages import Ask
-from chutepin.agree.replica import Machine, Replica, new_id
+from chutepin.consensus import Core, Durable, Entry, Readable, Role, Times, Voters
+from chutepin.consensus.identity import Identity, Standing
+from chutepin.consensus.member import Member
+from chutepin.consensus.messages import Ask
+from chutepin.consensus.replica import Machine, Replica, new_id
 from chutepin.lab.quorum import Parts
 
 
--- a/tests/data/make_stored_bytes.py
+++ b/tests/data/make_stored_bytes.py
@@ -18,17 +18,17 @@
 
 import msgpack
 
-from chutepin.agree.codec import PREFACE, WORDS
-from chutepin.agree.codec import encode as consensus_frame
-from chutepin.agree.facts import Facts, set_fact
-from chutepin.agree.identity import IDENTITY_KEY, MET_KEY, Standing, StoredIdentity
-from chutepin.agree.journal import Journal
-from chutepin.agree.messages import Entry, Kind, Persist, Snapshot, Voters
-from chutepin.agree.replica import Proposal, Replica, new_id, pack
 from chutepin.cluster.frames import BODIES, cluster_id, stream_frame
 from chutepin.cluster.frames import encode as gossip_frame
 from chutepin.cluster.messages import Packet
 from chutepin.cluster.records import BadLink, Links, Record, ShortRecord, Status
+from chutepin.consensus.codec import PREFACE, WORDS
+from chutepin.consensus.codec import encode as consensus_frame
+from chutepin.consensus.facts import Facts, set_fact
+from chutepin.consensus.identity import IDENTITY_KEY, MET_KEY, Standing, StoredIdentity
+from chutepin.consensus.journal import Journal
+from chutepin.consensus.messages import Entry, Kind, Persist, Snapshot, Voters
+from chutepin.consensus.replica import Proposal, Replica, new_id, pack
 from chutepin.facade import End
 from chutepin.handover.frames import frame, key_frame
 from chutepin.idempotency import IdempotencyRecord as KeyEntry
--- a/tests/test_assembly.py
+++ b/tests/test_assembly.py
@@ -14,9 +14,9 @@
 import pytest
 
 from chutepin.admission import Ledger
-from chutepin.agree.subsystem import Agreement
 from chutepin.config import ConfigError
-from chutepin.config.agree import AgreeSetup
+from chutepin.config.consensus import ConsensusSetup
+from chutepin.consensus.subsystem import Agreement
 from chutepin.lab.assembly import Assembly, play
 from chutepin.lab.claims import broken
 from chutepin.lab.faults import Fault, Schedule, split
@@ -237,7 +237,7 @@
 
 def agreement(store: Store, name: str = "n1") -> Agreement:
     log = Log(Clock())
-    return Agreement(AgreeSetup(("n1",)), name, Alone(), store, Ledger(64, {"cluster": (0, 8)}), Counters(), log)
+    return Agreement(ConsensusSetup(("n1",)), name, Alone(), store, Ledger(64, {"cluster": (0, 8)}), Counters(), log)
 
 
 def test_a_failed_sync_ends_its_part_and_says_so_and_a_restart_has_what_was_agreed() -> None:
@@ -329,7 +329,7 @@
     cluster = 'cluster { name "f"; region "r"; zone "z"; listen "127.0.0.1:7301"; }\n'
     store = f'store {{ directory "{tmp_path}"; }}\n'
     setup = parse_setup(cluster + store + 'agree { voters "n1" "n2" "n3"; election (ms)500; heartbeat (ms)100; }')
-    assert setup.agree == AgreeSetup(("n1", "n2", "n3"), 0.5, 0.1)
+    assert setup.consensus == ConsensusSetup(("n1", "n2", "n3"), 0.5, 0.1)
     for text, why in (
         (store + 'agree { voters "n1"; }', "agree: needs the block cluster as well"),
         (cluster + 'agree { voters "n1"; }', "agree: needs the block store as well"),
--- a/tests/test_agree.py
+++ b/tests/test_consensus.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from chutepin.agree import (
+from chutepin.consensus import (
     Core,
     Durable,
     Effect,
@@ -21,7 +21,7 @@
     Times,
     Voters,
 )
-from chutepin.agree.messages import Append, Appended, Ask, Message, Vote
+from chutepin.consensus.messages import Append, Appended, Ask, Message, Vote
 from chutepin.lab.explorer import Scope, explore, walk
 
 THREE = Voters(("v1", "v2", "v3"))
--- a/tests/test_agree_voters.py
+++ b/tests/test_consensus_voters.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from chutepin.agree import Apply, Durable, Readable, RefusedError, Restore, Role, Times, Voters
-from chutepin.agree.facts import Facts
-from chutepin.agree.identity import plain
-from chutepin.agree.member import AddedNode, HandsOver, Member, Send
+from chutepin.consensus import Apply, Durable, Readable, RefusedError, Restore, Role, Times, Voters
+from chutepin.consensus.facts import Facts
+from chutepin.consensus.identity import plain
+from chutepin.consensus.member import AddedNode, HandsOver, Member, Send
 
 TURN = 0.05  # seconds of virtual time between two ticks
 FIRST = ("n1", "n2", "n3")
--- a/tests/test_frame_bytes.py
+++ b/tests/test_frame_bytes.py
@@ -12,9 +12,9 @@
 import msgpack
 import pytest
 
-from chutepin.agree import codec as consensus
 from chutepin.cluster import frames as gossip
 from chutepin.cluster import messages
+from chutepin.consensus import codec as consensus
 from chutepin.facade import End
 from chutepin.handover import frames as handover
 
--- a/tests/test_quorum.py
+++ b/tests/test_quorum.py
@@ -10,19 +10,19 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from chutepin.agree import Durable, Entry, Kind, Persist, Snapshot, Voters
-from chutepin.agree.codec import MAX_FRAME, CodecError, Hello, Reader, Said, decode, encode
-from chutepin.agree.identity import Identity, Meet, Met, Standing, StoredIdentity
-from chutepin.agree.journal import Journal, JournalError, entry_key
-from chutepin.agree.member import Forward, Greet, Rejected
-from chutepin.agree.messages import Append, Piece
-from chutepin.agree.observer import Feed, Pull
-from chutepin.agree.replica import Outcome, State
+from chutepin.consensus import Durable, Entry, Kind, Persist, Snapshot, Voters
+from chutepin.consensus.codec import MAX_FRAME, CodecError, Hello, Reader, Said, decode, encode
+from chutepin.consensus.identity import Identity, Meet, Met, Standing, StoredIdentity
+from chutepin.consensus.journal import Journal, JournalError, entry_key
+from chutepin.consensus.member import Forward, Greet, Rejected
+from chutepin.consensus.messages import Append, Piece
+from chutepin.consensus.observer import Feed, Pull
+from chutepin.consensus.replica import Outcome, State
 from chutepin.lab.claims import Record, broken
 from chutepin.lab.faults import Fault, Schedule, draw, split
 from chutepin.lab.quorum import WRITE, Disk, Parts, Simulator
 
-from .agree_mutants import PLANTED
+from .consensus_mutants import PLANTED
 from .helper import STEPS
 
 SOUND = Parts()
--- a/tests/test_setup.py
+++ b/tests/test_setup.py
@@ -105,7 +105,7 @@
 def test_a_node_without_the_block_loads_nothing_of_the_cluster() -> None:
     code = (
         "import sys; import chutepin.serve; from chutepin.config import parse_setup; parse_setup('log {}'); "
-        "print([name for name in sys.modules if 'cluster' in name or 'agree' in name or name == 'msgpack'])"
+        "print([name for name in sys.modules if 'cluster' in name or 'consensus' in name or name == 'msgpack'])"
     )
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
     assert done.stdout == "[]\n"
--- a/tests/test_stored_bytes.py
+++ b/tests/test_stored_bytes.py
@@ -12,11 +12,11 @@
 
 import pytest
 
-from chutepin.agree.facts import Facts
-from chutepin.agree.identity import IDENTITY_KEY, MET_KEY, StoredIdentity
-from chutepin.agree.journal import Journal
-from chutepin.agree.messages import Snapshot
-from chutepin.agree.replica import Replica
+from chutepin.consensus.facts import Facts
+from chutepin.consensus.identity import IDENTITY_KEY, MET_KEY, StoredIdentity
+from chutepin.consensus.journal import Journal
+from chutepin.consensus.messages import Snapshot
+from chutepin.consensus.replica import Replica
 from chutepin.store import Store
 
 from .data.make_stored_bytes import (
