--- a/benchmarks/capacity/measure/operators.py
+++ b/benchmarks/capacity/measure/operators.py
@@ -7,11 +7,13 @@
 
 from chutepin.admin.exposition import exposition
 from chutepin.admission import Ledger
+from chutepin.clock import Clock
 from chutepin.cluster.subsystem import Cluster
 from chutepin.config import Address
 from chutepin.config.cluster import ClusterSetup
+from chutepin.counters import Counters
 from chutepin.figures import Figures
-from chutepin.ops import Clock, Counters, Log
+from chutepin.logs import Log
 
 from .start import record
 from .tools import Measured, Table
--- a/chutepin/admin/listener.py
+++ b/chutepin/admin/listener.py
@@ -6,7 +6,8 @@
 import socket
 
 from ..admission import CLOSING_AT_ONCE, Acceptor, Ledger, Welcome
-from ..ops import Counters, Log
+from ..counters import Counters
+from ..logs import Log
 from .calls import Calls, failure
 from .lines import LineError, LineReader
 
--- a/chutepin/admission/acceptor.py
+++ b/chutepin/admission/acceptor.py
@@ -16,7 +16,8 @@
 from enum import Enum
 from typing import Any, NamedTuple, Protocol
 
-from ..ops import Counters, Log
+from ..counters import Counters
+from ..logs import Log
 from .addresses import pack
 
 # In one turn of the loop. A connection needs some four turns until it is known to be dead or to speak, so up to four
--- a/chutepin/broker.py
+++ b/chutepin/broker.py
@@ -16,11 +16,13 @@
 from typing import Protocol
 
 from . import decision, facade
+from .clock import Clock
+from .counters import Counters
 from .decision import Idempotency
 from .facade import CallEnded, CallWanted, Drain, End, Facade, Left, Offer, RunEnded
 from .figures import Figures
 from .idempotency import IdempotencyRecord, IdempotencyTable, KeyOwnership, NoPeerProcess, PeerProcess
-from .ops import Clock, Counters, Log
+from .logs import Log
 
 MAX_REQUESTS = 2048  # requests in hand; each holds a body of up to 2 KiB
 KEYS_PART = 1 / 3  # of the node's own memory that the table of keys may take
@@ -339,7 +341,7 @@
 
     def adopt(self, learned: dict[str, object]) -> None:
         """Begin with what another process's module had learned. What makes no sense is counted and left."""
-        self._counters.holds(self._facade.adopt(learned), "adopts what was learned")
+        self._counters.check_invariant(self._facade.adopt(learned), "adopts what was learned")
 
     def granted(self, id: str, key: str, may: bool) -> None:
         """The other process's answer to `PeerProcess.ask`: the key may be taken, or its entry was told before."""
@@ -528,7 +530,7 @@
         attempt = self._attempts[id]
         request = attempt.request
         late = self._last_arrival is not None and request.arrived > self._last_arrival
-        if not self._counters.holds(not late, "no run after the grace") or not self._key_runs(attempt):
+        if not self._counters.check_invariant(not late, "no run after the grace") or not self._key_runs(attempt):
             self._reports.append(RunEnded(id, End.NEVER))
             return
         attempt.phase = Phase.RUNNING
@@ -560,7 +562,7 @@
     def call(self, id: str, deadline: float) -> None:
         """Make the call that a run stands at."""
         attempt = self._attempts[id]
-        if self._counters.holds(attempt.phase is Phase.AT_CALL, "call only at a call"):
+        if self._counters.check_invariant(attempt.phase is Phase.AT_CALL, "call only at a call"):
             attempt.phase, attempt.call_since = Phase.CALLING, self._clock.now()
             self._counters.add("calls")
             self._records.call(id, deadline, attempt.call_body, attempt.idempotency is Idempotency.IDEMPOTENT)
@@ -568,7 +570,7 @@
     def skip_call(self, id: str) -> None:
         """Go on without the call."""
         attempt = self._attempts[id]
-        if self._counters.holds(attempt.phase is Phase.AT_CALL, "skip only at a call"):
+        if self._counters.check_invariant(attempt.phase is Phase.AT_CALL, "skip only at a call"):
             attempt.phase = Phase.RUNNING
             self._counters.add("calls.skipped")
             self._executor.bypass(id, attempt.notice)
@@ -634,7 +636,7 @@
         attempt = self._attempts.pop(id, None)
         if attempt is not None and attempt.idempotency is Idempotency.KEYED:
             self._key_unused(attempt.request)  # also of one that the module has yet to hear about
-        if attempt is not None and not self._counters.holds(not attempt.owed, "answered before forgotten"):
+        if attempt is not None and not self._counters.check_invariant(not attempt.owed, "answered before forgotten"):
             self._answer_now(attempt.request.cls, attempt.caller, Answer(Verdict.FAILED, value=self._value))
 
     def _report(self, what: facade.Report) -> None:
@@ -692,7 +694,7 @@
         request = attempt.request
         entry = self.keys.entries.get(request.key or "")
         fresh = entry is not None and entry.holder == request.id and entry.ran is None
-        if not self._counters.holds(fresh, "one run a key"):
+        if not self._counters.check_invariant(fresh, "one run a key"):
             return False
         window = max(self._classes[request.cls].window, request.remembered)
         if self.keys.run(request.key or "", request.id, request.arrived + window):
--- a/chutepin/cli/__init__.py
+++ b/chutepin/cli/__init__.py
@@ -7,7 +7,7 @@
 
 import click
 
-from ..ops import say
+from ..logs import print_line
 
 # A command to its module here.
 COMMANDS = {
@@ -53,6 +53,6 @@
         error.show()
         return error.exit_code
     except click.Abort:
-        say("interrupted")
+        print_line("interrupted")
         return 130
     return code if isinstance(code, int) else 0
--- a/chutepin/cli/admission.py
+++ b/chutepin/cli/admission.py
@@ -7,8 +7,8 @@
 from ..admission import Table
 from ..admission.addresses import LOCAL, pack
 from ..config import ConfigError, load_setup
+from ..logs import print_line
 from ..node import rules_of
-from ..ops import say
 from .output import as_json, show_json, show_table
 
 
@@ -34,11 +34,11 @@
     try:
         rules = rules_of(load_setup(file).admission)
     except ConfigError as error:
-        say(str(error))
+        print_line(str(error))
         return 2
     packed = pack(address)
     if packed == LOCAL:
-        say(f"ADDRESS: {address} is no address")
+        print_line(f"ADDRESS: {address} is no address")
         return 2
     met = Table(rules, limit).explain(0.0, packed)
     if as_json(json_asked):
--- a/chutepin/cli/node.py
+++ b/chutepin/cli/node.py
@@ -4,7 +4,7 @@
 
 import click
 
-from ..ops import LogFormat
+from ..logs import LogFormat
 from ..serve import serve
 
 
--- a/chutepin/cli/store.py
+++ b/chutepin/cli/store.py
@@ -13,7 +13,7 @@
 
 import click
 
-from ..ops import say
+from ..logs import print_line
 from ..store import Store, StoreDamagedError, StoreError, StoreLockedError
 from ..store import inspect as looking
 from ..store.codec import NEVER
@@ -32,7 +32,7 @@
         try:
             return work(*arguments, **options)
         except StoreError as error:
-            say(str(error))
+            print_line(str(error))
             return (
                 LOCKED
                 if isinstance(error, StoreLockedError)
--- a/chutepin/cluster/subsystem.py
+++ b/chutepin/cluster/subsystem.py
@@ -13,7 +13,8 @@
 from ..admission import Ledger
 from ..config import ConfigError
 from ..config.cluster import ClusterSetup
-from ..ops import Counters, Log
+from ..counters import Counters
+from ..logs import Log
 from ..subsystem import Order
 from .detector import Answer, Detector, Effect, Send
 from .incarnation import Incarnations
--- a/chutepin/cluster/transport.py
+++ b/chutepin/cluster/transport.py
@@ -14,7 +14,8 @@
 
 from ..admission import Acceptor, Ledger, Share, Welcome
 from ..config import Address
-from ..ops import Counters, Log
+from ..counters import Counters
+from ..logs import Log
 from .detector import Send
 from .frames import MAX_DATAGRAM, FrameError, StreamReader, cluster_id, decode, encode, stream_frame
 from .messages import Packet
--- a/chutepin/config/operator.py
+++ b/chutepin/config/operator.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from ..ops import LogFormat
+from ..logs import LogFormat
 from .checks import RATE, SHARE, TIME, Check, ConfigError, Many, choice, count, network, quantity, size, text
 
 if TYPE_CHECKING:
--- a/chutepin/consensus/subsystem.py
+++ b/chutepin/consensus/subsystem.py
@@ -12,7 +12,8 @@
 from ..admission import Ledger
 from ..config import ConfigError
 from ..config.consensus import ConsensusSetup
-from ..ops import Counters, Log
+from ..counters import Counters
+from ..logs import Log
 from ..store import Store, StoreBusyError, StoreError
 from ..subsystem import Order
 from .codec import Hello, Said
--- a/chutepin/consensus/wire.py
+++ b/chutepin/consensus/wire.py
@@ -15,7 +15,7 @@
 
 from ..admission import Ledger
 from ..cluster.transport import PART, numeric
-from ..ops import Counters
+from ..counters import Counters
 from .codec import PREFACE, CodecError, Hello, Reader, Said, encode
 from .identity import plain
 
--- a/chutepin/handover/dialogue.py
+++ b/chutepin/handover/dialogue.py
@@ -5,9 +5,10 @@
 from collections.abc import Callable, Iterator
 from typing import Any, Protocol
 
+from ..clock import Clock
+from ..counters import Counters
 from ..idempotency import IdempotencyRecord, KeyOwnership
 from ..net.lines import ProtocolError
-from ..ops import Clock, Counters
 from .frames import Frame, frame, key_entry, key_frame
 from .succession import OWNING, Stage, Succession
 
--- a/chutepin/handover/link.py
+++ b/chutepin/handover/link.py
@@ -11,8 +11,10 @@
 from pathlib import Path
 from typing import Any
 
+from ..clock import Clock
+from ..counters import Counters
+from ..logs import Log
 from ..net.lines import ProtocolError
-from ..ops import Clock, Counters, Log
 from .dialogue import Dialogue
 from .frames import VERSION, Frame, Frames, frame
 from .succession import Stage
--- a/chutepin/lab/scale/hollow.py
+++ b/chutepin/lab/scale/hollow.py
@@ -11,9 +11,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from ...clock import Clock
 from ...config import Config, parse, parse_setup
+from ...counters import Counters
+from ...logs import Log
 from ...node import descriptors, shares
-from ...ops import Clock, Counters, Log
 from ...registry import build_subsystems
 from ...subsystem import Subsystem
 from ..standins import EXAMPLE
--- a/chutepin/ops.py
+++ b/chutepin/logs.py
@@ -1,35 +1,21 @@
-"""What an operator sees and what every part needs: the clock, the log, counters and invariants."""
+"""The log: events with fields, rate-limited, on standard error."""
 
 from __future__ import annotations
 
 import contextlib
 import importlib
 import sys
-import time
-from collections import Counter
-from collections.abc import Callable
 from enum import Enum
 from types import ModuleType
 from typing import TYPE_CHECKING, Any
 
+from .clock import Clock
+
 if TYPE_CHECKING:
     from structlog.typing import EventDict, Processor
 
-LOG_LINES = 20  # lines that may be printed at once
-LOG_RATE = 5.0  # lines a second after that
-
-
-class Clock:
-    """Unix time in seconds, clamped: it never runs backwards, whatever is done to the system's clock."""
-
-    def __init__(self, source: Callable[[], float] = time.time) -> None:
-        self._source = source
-        self._last = 0.0
-
-    def now(self) -> float:
-        """The present time."""
-        self._last = max(self._last, self._source())
-        return self._last
+MAX_BURST_LINES = 20
+MAX_LINES_PER_S = 5.0  # after a burst
 
 
 class LogFormat(Enum):
@@ -39,14 +25,14 @@
     JSON = "json"
 
 
-def say(text: str) -> None:
+def print_line(text: str) -> None:
     """Print a line. Guards the node against a log that nobody reads any more."""
     with contextlib.suppress(OSError, ValueError):
         print(f"chutepin: {text}", file=sys.stderr, flush=True)
 
 
 class _Sink:
-    """The end of the log: standard error, as it is at the time. Guards as `say` does."""
+    """The end of the log: standard error, as it is at the time. Guards as `print_line` does."""
 
     def msg(self, message: str) -> None:
         """Write one line."""
@@ -93,13 +79,13 @@
         self._logger: Any = structlog.wrap_logger(
             _Sink(), processors=_processors(format), wrapper_class=structlog.BoundLogger
         )
-        self._tokens, self._at = float(LOG_LINES), clock.now()
+        self._tokens, self._at = float(MAX_BURST_LINES), clock.now()
         self.dropped = 0
 
     def event(self, name: str, /, **fields: object) -> None:
         """Write one event, or count it."""
         now = self._clock.now()
-        self._tokens = min(LOG_LINES, self._tokens + (now - self._at) * LOG_RATE)
+        self._tokens = min(MAX_BURST_LINES, self._tokens + (now - self._at) * MAX_LINES_PER_S)
         self._at = now
         if self._tokens < 1:
             self.dropped += 1
@@ -110,25 +96,3 @@
     def always(self, name: str, /, **fields: object) -> None:
         """Write one event that the rate limit must not drop: what an operator asked for."""
         self._logger.info(name, **fields)
-
-
-class Counters:
-    """Named counts of what is taken in, sent and answered, and of invariants that did not hold."""
-
-    def __init__(self) -> None:
-        self.counts: Counter[str] = Counter()
-
-    def add(self, name: str, by: int = 1) -> None:
-        """Count an occurrence."""
-        self.counts[name] += by
-
-    def holds(self, condition: bool, name: str) -> bool:
-        """An invariant: asserted in debug builds, counted in release builds (`python -O`)."""
-        if not condition:
-            self.add(f"invariant.{name}")
-        assert condition, name
-        return condition
-
-    def text(self) -> str:
-        """All counts on one line."""
-        return " ".join(f"{name}={count}" for name, count in sorted(self.counts.items()))
--- a/chutepin/net/amqp.py
+++ b/chutepin/net/amqp.py
@@ -27,8 +27,10 @@
 from pamqp import base, body, commands, exceptions, frame, header, heartbeat
 
 from ..broker import Answer, Broker, Request, Verdict
+from ..clock import Clock
 from ..config import AmqpConfig, QueueConfig
-from ..ops import Clock, Counters, Log
+from ..counters import Counters
+from ..logs import Log
 from .lines import ProtocolError
 
 FRAME_MAX = 64 * 1024
--- a/chutepin/net/control.py
+++ b/chutepin/net/control.py
@@ -11,7 +11,7 @@
 import h11
 
 from ..config import Address
-from ..ops import Counters
+from ..counters import Counters
 
 EVERY = 1.0  # seconds at most; a node is dropped 3 s after its last report
 SPREAD = 0.2  # part of it by which a report may come sooner, so that nodes which lost the service together spread
--- a/chutepin/net/executor.py
+++ b/chutepin/net/executor.py
@@ -11,9 +11,11 @@
 from dataclasses import dataclass
 from typing import Protocol
 
+from ..clock import Clock
 from ..config import Address
+from ..counters import Counters
 from ..facade import End
-from ..ops import Clock, Counters, Log
+from ..logs import Log
 from .lines import LineParser, ProtocolError, line, number, word
 
 MAX_BODY = 64 * 1024
--- a/chutepin/net/records.py
+++ b/chutepin/net/records.py
@@ -7,9 +7,11 @@
 from typing import Protocol
 
 from ..admission import Ledger
+from ..clock import Clock
 from ..config import Address
+from ..counters import Counters
 from ..facade import End
-from ..ops import Clock, Counters, Log
+from ..logs import Log
 from .lines import LineParser, ProtocolError, line
 
 MAX_BODY = 64 * 1024
--- a/chutepin/net/resp.py
+++ b/chutepin/net/resp.py
@@ -26,9 +26,11 @@
     Welcome,
 )
 from ..broker import Answer, Broker, Request, Verdict
+from ..clock import Clock
 from ..config import Address
+from ..counters import Counters
 from ..lifecycle import Lifecycle
-from ..ops import Clock, Counters, Log
+from ..logs import Log
 from .lines import ProtocolError
 
 MAX_ITEMS = 8  # bulk strings in an array
--- a/chutepin/node.py
+++ b/chutepin/node.py
@@ -16,15 +16,17 @@
 from .admission import Ledger, Rules, Share
 from .admission.addresses import Networks
 from .broker import Broker
+from .clock import Clock
 from .config import AdmissionSetup, AmqpConfig, Config, ConfigError, Setup, StoreSetup, load, load_setup
+from .counters import Counters
 from .handover import Dialogue, Handover, Succession, meeting_place
 from .idempotency import IdempotencyRecord
 from .lifecycle import Lifecycle, Move
+from .logs import Log, LogFormat
 from .net.control import Reporter
 from .net.executor import ExecutorLink, Session
 from .net.records import RecordsService
 from .net.resp import SWEEP, Front
-from .ops import Clock, Counters, Log, LogFormat
 from .registry import build_subsystems
 
 if TYPE_CHECKING:
@@ -464,7 +466,7 @@
             if turn % RECONCILE == 0 and (held := descriptors()) is not None:
                 # One look may fall between the claim of a descriptor and its opening.
                 over = over + 1 if self.ledger.reconcile(held) else 0
-                self.counters.holds(over < 3, "ledger")
+                self.counters.check_invariant(over < 3, "ledger")
             await asyncio.sleep(SWEEP)
             self.front.close_idle()
             self.front.close_replayed()
--- a/chutepin/pcap.py
+++ b/chutepin/pcap.py
@@ -16,9 +16,10 @@
 
 import dpkt  # type: ignore[import-untyped]
 
+from .clock import Clock
 from .config import ConfigError
+from .counters import Counters
 from .net.resp import Connection, Front
-from .ops import Clock, Counters
 
 MAX_PACKET = 256 * 1024  # bytes of a packet, as other tools bound it
 MAX_STREAMS = 512  # streams in one direction that are put together at once
--- a/chutepin/registry.py
+++ b/chutepin/registry.py
@@ -9,7 +9,8 @@
 if TYPE_CHECKING:
     from .admission import Ledger
     from .config import Config, Setup
-    from .ops import Counters, Log
+    from .counters import Counters
+    from .logs import Log
     from .store import Store
     from .subsystem import Subsystem
 
--- a/chutepin/serve.py
+++ b/chutepin/serve.py
@@ -6,8 +6,8 @@
 
 from . import signals
 from .config import ConfigError, Setup, load, load_amqp, load_setup
+from .logs import LogFormat, print_line
 from .node import Node
-from .ops import LogFormat, say
 
 
 def serve(
@@ -30,8 +30,8 @@
         node = Node(config, queues, read, record, log_format or operator.log.format, operator, setup)
         return asyncio.run(node.run())
     except ConfigError as error:
-        say(str(error))
+        print_line(str(error))
         return 2
     except KeyboardInterrupt:
-        say("interrupted")
+        print_line("interrupted")
         return 130
--- a/chutepin/store/store.py
+++ b/chutepin/store/store.py
@@ -15,7 +15,8 @@
 from pathlib import Path
 from types import TracebackType
 
-from ..ops import Clock, Log
+from ..clock import Clock
+from ..logs import Log
 from .engine import Engine, Event
 from .errors import StoreBusyError, StoreClosedError, StoreError, StoreFullError
 from .files import Files, RealFiles
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -12,11 +12,13 @@
 from hypothesis import strategies as st
 
 from chutepin.broker import Answer, Broker, Request
+from chutepin.clock import Clock
+from chutepin.counters import Counters
 from chutepin.decision import simulator_protocol as wire
 from chutepin.facade import End
 from chutepin.lab import standins
 from chutepin.lab.standins import EXAMPLE
-from chutepin.ops import Clock, Counters, Log
+from chutepin.logs import Log
 
 ROOT = Path(__file__).parent.parent
 # The same steps every time: CI must give the same verdict on the same text.
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -38,12 +38,14 @@
 from chutepin.admission.limits import Gcra, Standing
 from chutepin.admission.proxy import proxy_head
 from chutepin.admission.rules import SETTLED
+from chutepin.clock import Clock
 from chutepin.config import ConfigError, parse_setup
+from chutepin.counters import Counters
 from chutepin.figures import Figures
 from chutepin.lab.standins import eventually, free_port
 from chutepin.lifecycle import Lifecycle
+from chutepin.logs import Log
 from chutepin.node import rules_of
-from chutepin.ops import Clock, Counters, Log
 
 from .helper import ROOT, STEPS
 from .test_setup import chutepin
--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -21,9 +21,9 @@
 from chutepin.decision import simulator_protocol as wire
 from chutepin.facade import End
 from chutepin.lab.standins import eventually
+from chutepin.logs import Log
 from chutepin.net.amqp import GREETING, Consumer, Content, FrameParser, Session, State, decode
 from chutepin.net.lines import ProtocolError
-from chutepin.ops import Log
 
 from .helper import ENV, ROOT, STEPS, Core, Standins
 
--- a/tests/test_assembly.py
+++ b/tests/test_assembly.py
@@ -14,13 +14,15 @@
 import pytest
 
 from chutepin.admission import Ledger
+from chutepin.clock import Clock
 from chutepin.config import ConfigError
 from chutepin.config.consensus import ConsensusSetup
 from chutepin.consensus.subsystem import Agreement
+from chutepin.counters import Counters
 from chutepin.lab.assembly import Assembly, play
 from chutepin.lab.claims import broken
 from chutepin.lab.faults import Fault, Schedule, split
-from chutepin.ops import Clock, Counters, Log
+from chutepin.logs import Log
 from chutepin.store import Store, StoreFullError
 
 from .helper import run_command
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -9,6 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from chutepin.clock import Clock
 from chutepin.cluster import Answer, Detector, Record, Send, Status
 from chutepin.cluster.anti_entropy import MAX_BUCKETS, RepairPace, as_bits, bucket_count, differing, digests, from_bits
 from chutepin.cluster.budget import ByteBudget
@@ -21,11 +22,12 @@
 from chutepin.cluster.view import BELIEVED_AFTER, View
 from chutepin.config import Address
 from chutepin.config.cluster import ClusterSetup
+from chutepin.counters import Counters
 from chutepin.lab.faults import Fault, Schedule
 from chutepin.lab.invariants import broken
 from chutepin.lab.scale.traffic import TrafficMeter
 from chutepin.lab.simulator import Simulator
-from chutepin.ops import Clock, Counters, Log
+from chutepin.logs import Log
 
 from . import mutants
 from .helper import STEPS
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -21,14 +21,16 @@
 
 from chutepin import signals
 from chutepin.admission import Ledger, Welcome
+from chutepin.clock import Clock
 from chutepin.config import Address
+from chutepin.counters import Counters
 from chutepin.facade import End
 from chutepin.lab.standins import eventually
+from chutepin.logs import Log
 from chutepin.net import resp
 from chutepin.net.executor import ExecutorLink, Session
 from chutepin.net.records import RecordsService
 from chutepin.net.resp import BYE_GRACE, FIRST_BY, LINGER, WHOLE_BY, Connection, Front
-from chutepin.ops import Clock, Counters, Log
 
 from .helper import ENV, Core, Hand
 from .test_standing import answer_all, asks, call, heard, on_front, on_links
--- a/tests/test_ops.py
+++ b/tests/test_logs.py
@@ -8,7 +8,9 @@
 
 import pytest
 
-from chutepin.ops import LOG_LINES, Clock, Counters, Log, LogFormat
+from chutepin.clock import Clock
+from chutepin.counters import Counters
+from chutepin.logs import MAX_BURST_LINES, Log, LogFormat
 
 from .helper import ROOT
 
@@ -22,24 +24,26 @@
 def test_the_log_is_limited_and_counts_what_it_drops(capsys: pytest.CaptureFixture[str]) -> None:
     time = [0.0]
     log = Log(Clock(lambda: time[0]))
-    for index in range(LOG_LINES + 5):
+    for index in range(MAX_BURST_LINES + 5):
         log.event("line", index=index)
     time[0] = 1.0
     log.event("later", why="a = b")
     lines = capsys.readouterr().err.splitlines()
-    assert len(lines) == LOG_LINES + 1 and lines[-1] == 'chutepin: later why="a = b"' and log.dropped == 5
+    assert len(lines) == MAX_BURST_LINES + 1 and lines[-1] == 'chutepin: later why="a = b"' and log.dropped == 5
 
 
 def test_invariants_are_asserted_in_debug_and_counted_in_release() -> None:
     with pytest.raises(AssertionError, match="sound"):
-        Counters().holds(False, "sound")
-    code = "from chutepin.ops import Counters; c = Counters(); print(c.holds(False, 'sound'), c.text())"
+        Counters().check_invariant(False, "sound")
+    code = (
+        "from chutepin.counters import Counters; c = Counters(); print(c.check_invariant(False, 'sound'), c.as_line())"
+    )
     done = subprocess.run([sys.executable, "-O", "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
     assert done.stdout == "False invariant.sound=1\n"
 
 
 def test_a_log_that_nobody_reads_does_not_end_the_node() -> None:
-    code = "import os; from chutepin.ops import say; os.close(2); say('x'); print('alive')"
+    code = "import os; from chutepin.logs import print_line; os.close(2); print_line('x'); print('alive')"
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=False)
     assert done.stdout == "alive\n"
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -12,15 +12,17 @@
 
 from chutepin.admission import Use, Welcome
 from chutepin.broker import Answer, Verdict
+from chutepin.clock import Clock
 from chutepin.config import Address
+from chutepin.counters import Counters
 from chutepin.facade import End
 from chutepin.lab.standins import eventually
+from chutepin.logs import Log
 from chutepin.net import records
 from chutepin.net.executor import ExecutorLink, Session
 from chutepin.net.lines import LineParser, ProtocolError, line
 from chutepin.net.records import RecordsService
 from chutepin.net.resp import Connection, Front, RespParser, array, format_answer, parse_call
-from chutepin.ops import Clock, Counters, Log
 
 from .helper import STEPS, Core, Hand
 
--- a/tests/test_pcap.py
+++ b/tests/test_pcap.py
@@ -14,10 +14,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from chutepin.clock import Clock
 from chutepin.config import ConfigError
+from chutepin.counters import Counters
 from chutepin.lab.standins import eventually, free_port
 from chutepin.net.resp import RespParser, array
-from chutepin.ops import Clock, Counters
 from chutepin.pcap import Chunk, Recorder, Report, chunks
 
 from .helper import STEPS, Standins
--- a/tests/test_setup.py
+++ b/tests/test_setup.py
@@ -10,7 +10,7 @@
 import pytest
 
 from chutepin.config import ConfigError, LogSetup, StoreSetup, load_setup, parse_setup
-from chutepin.ops import LogFormat
+from chutepin.logs import LogFormat
 
 from .helper import ROOT
 
@@ -87,7 +87,8 @@
 
 def test_a_node_loads_no_library_of_the_tools() -> None:
     code = (
-        "import sys; import chutepin.node, chutepin.serve; from chutepin.ops import Clock, Log; Log(Clock())\n"
+        "import sys; import chutepin.node, chutepin.serve; "
+        "from chutepin.clock import Clock; from chutepin.logs import Log; Log(Clock())\n"
         "print(sorted({'click', 'rich', 'ckdl', 'google_crc32c', 'pamqp', 'dpkt'} & set(sys.modules)))"
     )
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -19,16 +19,18 @@
 import pytest
 
 from chutepin.admission import Ledger
+from chutepin.clock import Clock
 from chutepin.config import Address
 from chutepin.config.platform import parse
+from chutepin.counters import Counters
 from chutepin.facade import End
 from chutepin.lab.standins import EXAMPLE, eventually, free_port
+from chutepin.logs import Log
 from chutepin.net import executor, records
 from chutepin.net.executor import ExecutorLink, Session
 from chutepin.net.records import RecordsService
 from chutepin.net.resp import BYE, Front, RespParser, array
 from chutepin.node import Node
-from chutepin.ops import Clock, Counters, Log
 
 from .helper import Core, Standins
 from .test_node import KEY, on_sockets
