--- a/benchmarks/capacity/measure/operators.py
+++ b/benchmarks/capacity/measure/operators.py
@@ -6,14 +6,14 @@
 import time
 
 from chutepin.admin.exposition import exposition
-from chutepin.admission import Ledger
+from chutepin.admission import DescriptorBudget
 from chutepin.clock import Clock
 from chutepin.cluster.subsystem import Cluster
 from chutepin.config import Address
 from chutepin.config.cluster import ClusterSetup
 from chutepin.counters import Counters
-from chutepin.figures import Figures
 from chutepin.logs import Log
+from chutepin.request_metrics import RequestMetrics
 
 from .start import record
 from .tools import Measured, Table
@@ -36,16 +36,16 @@
 
 
 def _show_stat(table: Table, classes: int, rng: random.Random) -> None:
-    figures = Figures(f"class-{number:05d}" for number in range(classes))
+    figures = RequestMetrics(f"class-{number:05d}" for number in range(classes))
     for row in figures.rows.values():
-        row.taken = row.answered = rng.randrange(10**6)
+        row.received = row.answered = rng.randrange(10**6)
     spent, size = _answer(lambda: exposition(figures))
     table.add(classes, show_stat_cpu_ms=spent, show_stat_bytes=size)
 
 
 def _members(table: Table, members: int) -> None:
     setup = ClusterSetup("capacity", "r0", "z0", Address("127.0.0.1", 7410), members=members + 1)
-    cluster = Cluster(setup, "node-me", 1, Ledger(64, {}), Counters(), Log(Clock()), None)
+    cluster = Cluster(setup, "node-me", 1, DescriptorBudget(64, {}), Counters(), Log(Clock()), None)
     for number in range(members):
         cluster._detector.view.table.put(0.0, record(number))
     spent, size = _answer(cluster.calls()["members"])
--- a/chutepin/admin/calls.py
+++ b/chutepin/admin/calls.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Awaitable, Callable, Mapping
 
-from ..figures import Figures
 from ..lifecycle import Lifecycle, Move
+from ..request_metrics import RequestMetrics
 from .exposition import exposition
 
 # Calls of subsystems that may be off, and what is said then.
@@ -41,7 +41,7 @@
     def __init__(
         self,
         lifecycle: Lifecycle,
-        figures: Figures,
+        figures: RequestMetrics,
         more: Mapping[str, Callable[[], str]] | None = None,
         orders: Mapping[str, Callable[[list[str]], Awaitable[str]]] | None = None,
     ) -> None:
--- a/chutepin/admin/exposition.py
+++ b/chutepin/admin/exposition.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from ..figures import Figures
+from ..request_metrics import RequestMetrics
 
 _STATES = ("answered", "deferred", "errored")
 
@@ -15,7 +15,7 @@
     return label.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
 
 
-def exposition(figures: Figures) -> str:
+def exposition(figures: RequestMetrics) -> str:
     """All figures, one a line, each line ended."""
     lines = [
         f'node_transactions_total{{group="{escaped(name)}",state="{state}"}} {getattr(row, state)}'
@@ -23,5 +23,5 @@
         for state in _STATES
     ]
     lines += [f'node_withdrawn_total{{group="{escaped(name)}"}} {row.withdrawn}' for name, row in figures.rows.items()]
-    lines += [f"node_sends_total {figures.sends}", f"node_current {figures.current}"]
+    lines += [f"node_sends_total {figures.runs_sent}", f"node_current {figures.current}"]
     return "".join(f"{line}\n" for line in lines)
--- a/chutepin/admin/listener.py
+++ b/chutepin/admin/listener.py
@@ -5,13 +5,13 @@
 import asyncio
 import socket
 
-from ..admission import CLOSING_AT_ONCE, Acceptor, Ledger, Welcome
+from ..admission import CLOSING_AT_ONCE, Acceptor, DescriptorBudget, Welcome
 from ..counters import Counters
 from ..logs import Log
 from .calls import Calls, failure
 from .lines import LineError, LineReader
 
-PART = "ops"  # in the ledger of descriptors
+PART = "ops"  # in the descriptors of descriptors
 LINE_BY = 5.0  # seconds in which a caller must have sent its line
 GONE_BY = 1.0  # seconds that it has to read the answer
 PIECE = 512  # bytes read at a time
@@ -21,8 +21,8 @@
     """Serves callers at one address. Decides nothing but who must go: callers that have not finished their line give
     way to newcomers, oldest first, so that they can't shut the others out."""
 
-    def __init__(self, calls: Calls, ledger: Ledger, counters: Counters, log: Log) -> None:
-        self._calls, self._ledger, self._counters = calls, ledger, counters
+    def __init__(self, calls: Calls, descriptors: DescriptorBudget, counters: Counters, log: Log) -> None:
+        self._calls, self._descriptors, self._counters = calls, descriptors, counters
         self._acceptor = Acceptor(self, failure("busy").encode(), counters, log, self._has_descriptor)
         self._tasks: dict[int, asyncio.Task[None]] = {}  # by number of arrival
         self._unfinished: dict[int, asyncio.Task[None]] = {}  # of these, oldest first
@@ -41,11 +41,11 @@
 
     def _has_descriptor(self, dropped: int) -> bool:
         """One is free, or few are about to be: callers that made room hold theirs until their tasks have ended."""
-        return self._ledger.free(PART) > dropped or len(self._making_room) + dropped < CLOSING_AT_ONCE
+        return self._descriptors.available(PART) > dropped or len(self._making_room) + dropped < CLOSING_AT_ONCE
 
     def admits(self, address: bytes, short: bool) -> Welcome:
         """There is room, or the oldest unfinished caller makes some."""
-        if self._ledger.free(PART) > 0 and not short:
+        if self._descriptors.available(PART) > 0 and not short:
             return Welcome.SERVE
         if not self._unfinished:
             self._counters.add("ops.refused")
@@ -59,7 +59,7 @@
     def serve(self, sock: socket.socket, address: bytes) -> None:
         """Take over a caller."""
         self._counters.add("ops.connections")
-        self._ledger.parts[PART].held += 1
+        self._descriptors.parts[PART].in_use += 1
         self._number += 1
         number, task = self._number, asyncio.get_running_loop().create_task(self._live(self._number, sock))
         self._tasks[number] = self._unfinished[number] = task
@@ -71,7 +71,7 @@
         self._tasks.pop(number, None)
         self._unfinished.pop(number, None)
         self._making_room.discard(number)
-        self._ledger.give(PART)
+        self._descriptors.release(PART)
         self._acceptor.room()
 
     async def _live(self, number: int, sock: socket.socket) -> None:
--- a/chutepin/admission/acceptor.py
+++ b/chutepin/admission/acceptor.py
@@ -24,7 +24,7 @@
 # times as many places of the table are taken by those that just came.
 ACCEPTS = 8
 # Connections that may be on their way to being closed, newcomers and those that made room, where no descriptor is
-# free for another. They come out of the ledger's margin: more would take what others have reserved there.
+# free for another. They come out of the budget's margin: more would take what others have reserved there.
 CLOSING_AT_ONCE = 2
 BACKLOG = 4096  # the system caps it; a burst that overflows it waits a second for its SYN to be sent again
 AGAIN_AFTER = 0.05  # seconds after which accepting is tried again where nothing tells that it would work
--- a/chutepin/broker.py
+++ b/chutepin/broker.py
@@ -20,9 +20,9 @@
 from .counters import Counters
 from .decision import Idempotency
 from .facade import CallEnded, CallWanted, Drain, End, Facade, Left, Offer, RunEnded
-from .figures import Figures
 from .idempotency import IdempotencyRecord, IdempotencyTable, KeyOwnership, NoPeerProcess, PeerProcess
 from .logs import Log
+from .request_metrics import RequestMetrics
 
 MAX_REQUESTS = 2048  # requests in hand; each holds a body of up to 2 KiB
 KEYS_PART = 1 / 3  # of the node's own memory that the table of keys may take
@@ -166,7 +166,7 @@
         self._dues_told = settings.passes_deadline
         self._says = settings.signal is not decision.LoadSignal.NONE
         self._facade = Facade(settings, seed, self)
-        self.figures = Figures(self._classes)
+        self.metrics = RequestMetrics(self._classes)
         self._started = False
         self.began: Callable[[], None] = lambda: None  # told once the executor is up
         self.twin: PeerProcess = NoPeerProcess()
@@ -200,7 +200,7 @@
     @property
     def in_hand(self) -> int:
         """Requests that are owed an answer."""
-        return self.figures.current
+        return self.metrics.current
 
     @property
     def unsettled(self) -> bool:
@@ -215,7 +215,7 @@
     def pick(self, request: Request, caller: Caller) -> None:
         """A request came in; its caller gets exactly one answer, unless it goes first."""
         self._counters.add("requests")
-        self.figures.taken(request.cls)
+        self.metrics.request_received(request.cls)
         cls = self._classes.get(request.cls)
         now = self._clock.now()
         known = cls is not None and (not self._tenants or request.tenant in self._tenants)
@@ -302,7 +302,7 @@
             return
         self._counters.add("callers.gone")
         attempt.owed = False
-        self.figures.ended(attempt.request.cls, "withdrawn")
+        self.metrics.request_ended(attempt.request.cls, "withdrawn")
         self._end_unwatched(attempt)
         self._report(Left(id))
 
@@ -535,7 +535,7 @@
             return
         attempt.phase = Phase.RUNNING
         self._counters.add("runs")
-        self.figures.sends += 1
+        self.metrics.runs_sent += 1
         self._executor.exec(id, request.cls, request.body, attempt.idempotency is Idempotency.IDEMPOTENT)
 
     def stop(self, id: str) -> None:
@@ -628,7 +628,7 @@
             self._executor.kill(attempt.request.id)
 
     def _answer_now(self, cls: str, caller: Caller, answer: Answer) -> None:
-        self.figures.ended(cls, _COLUMNS[answer.verdict])
+        self.metrics.request_ended(cls, _COLUMNS[answer.verdict])
         self._counters.add(f"answers.{answer.verdict.value}")
         caller.answer(answer)
 
--- a/chutepin/cluster/subsystem.py
+++ b/chutepin/cluster/subsystem.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Coroutine, Iterable
 from typing import TYPE_CHECKING, Any
 
-from ..admission import Ledger
+from ..admission import DescriptorBudget
 from ..config import ConfigError
 from ..config.cluster import ClusterSetup
 from ..counters import Counters
@@ -39,7 +39,7 @@
         setup: ClusterSetup,
         name: str,
         seed: int,
-        ledger: Ledger,
+        descriptors: DescriptorBudget,
         counters: Counters,
         log: Log,
         store: Store | None,
@@ -48,7 +48,7 @@
         self._incarnations = Incarnations(name, store)
         incarnation = self._begun(store)
         self._detector = Detector(setup, name, incarnation, time.monotonic(), random.Random(seed))
-        self._transport = Transport(setup.name, setup.listen, self._deliver, ledger, counters, log)
+        self._transport = Transport(setup.name, setup.listen, self._deliver, descriptors, counters, log)
         self._timer: asyncio.TimerHandle | None = None
         self._at = 0.0
         self._changes: deque[tuple[int, float, Tell]] = deque(maxlen=CHANGES)
--- a/chutepin/cluster/transport.py
+++ b/chutepin/cluster/transport.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from ..admission import Acceptor, Ledger, Share, Welcome
+from ..admission import Acceptor, DescriptorBudget, Share, Welcome
 from ..config import Address
 from ..counters import Counters
 from ..logs import Log
@@ -20,7 +20,7 @@
 from .frames import MAX_DATAGRAM, FrameError, StreamReader, cluster_id, decode, encode, stream_frame
 from .messages import Packet
 
-PART = "cluster"  # in the ledger of descriptors
+PART = "cluster"  # in the descriptors of descriptors
 OUT = 4  # exchanges that this member begins, at once
 MOST_SERVED = 50  # exchanges that others begin, in a second: each may cost milliseconds in a large cluster
 BY = 3.0  # seconds in which an exchange must be over
@@ -47,11 +47,17 @@
     """The sockets of one member. It is its own acceptor's gate."""
 
     def __init__(
-        self, cluster: str, listen: Address, deliver: Deliver, ledger: Ledger, counters: Counters, log: Log
+        self,
+        cluster: str,
+        listen: Address,
+        deliver: Deliver,
+        descriptors: DescriptorBudget,
+        counters: Counters,
+        log: Log,
     ) -> None:
         """`deliver(packet, stream)` takes in what came; what it gives is the answer to an exchange."""
         self._cluster, self._listen, self._deliver = cluster_id(cluster), listen, deliver
-        self._ledger, self._counters, self._log = ledger, counters, log
+        self._descriptors, self._counters, self._log = descriptors, counters, log
         self._udp: socket.socket | None = None
         self._acceptor = Acceptor(self, b"", counters, log)
         self._tasks: set[asyncio.Task[None]] = set()
@@ -75,7 +81,7 @@
                 rest.append(sock)
             elif sock.type == socket.SOCK_DGRAM:
                 self._udp = sock
-                self._ledger.parts[PART].held += 1
+                self._descriptors.parts[PART].in_use += 1
             else:
                 self._acceptor.halt()
                 self._acceptor.adopt([sock])
@@ -96,7 +102,7 @@
                 sock.close()
                 raise
             self._udp = sock
-            self._ledger.parts[PART].held += 1
+            self._descriptors.parts[PART].in_use += 1
         self._udp.setblocking(False)
         with contextlib.suppress(OSError):
             self._udp.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
@@ -212,7 +218,7 @@
         now = time.monotonic()
         if now >= self._second + 1.0:
             self._second, self._served = now, 0
-        if short or self._served >= MOST_SERVED or self._ledger.free(PART) <= OUT - self._out:
+        if short or self._served >= MOST_SERVED or self._descriptors.available(PART) <= OUT - self._out:
             self._counters.add("cluster.refused_connections")
             return Welcome.DROP
         return Welcome.SERVE
@@ -220,11 +226,11 @@
     def serve(self, sock: socket.socket, address: bytes) -> None:
         """Answer one exchange."""
         self._served += 1
-        self._ledger.parts[PART].held += 1
+        self._descriptors.parts[PART].in_use += 1
         self._spawn(sock, self._answer(sock))
 
     def _begin(self, where: tuple[str, int], packet: Packet) -> None:
-        if self._out >= OUT or not self._ledger.take(PART):
+        if self._out >= OUT or not self._descriptors.acquire(PART):
             self._counters.add("cluster.not_sent")
             return
         self._out += 1
@@ -241,7 +247,7 @@
 
         def ended(task: asyncio.Task[None]) -> None:
             sock.close()
-            self._ledger.give(PART)
+            self._descriptors.release(PART)
             self._acceptor.room()
             self._tasks.discard(task)
 
--- a/chutepin/consensus/subsystem.py
+++ b/chutepin/consensus/subsystem.py
@@ -9,7 +9,7 @@
 
 import msgpack
 
-from ..admission import Ledger
+from ..admission import DescriptorBudget
 from ..config import ConfigError
 from ..config.consensus import ConsensusSetup
 from ..counters import Counters
@@ -37,7 +37,14 @@
     """This node's part in the replicated log (`subsystem.Subsystem`, `operators.Participant`)."""
 
     def __init__(
-        self, setup: ConsensusSetup, name: str, links: Links, store: Store, ledger: Ledger, counters: Counters, log: Log
+        self,
+        setup: ConsensusSetup,
+        name: str,
+        links: Links,
+        store: Store,
+        descriptors: DescriptorBudget,
+        counters: Counters,
+        log: Log,
     ) -> None:
         self._setup, self._name, self._links, self._store = setup, name, links, store
         # Not the configuration's seed: ids of proposals must not come again after a restart.
@@ -47,7 +54,7 @@
         self._identity = self._load_identity()
         self.member: Member | None = None
         self._journal = Journal()
-        self._wire = Wire(links, self._hello, self._deliver, ledger, counters)
+        self._wire = Wire(links, self._hello, self._deliver, descriptors, counters)
         self.idle_reason = "starts"  # why it takes no part
         self._queue: list[Effect] = []
         self._more, self._wanted = asyncio.Event(), asyncio.Event()
--- a/chutepin/consensus/wire.py
+++ b/chutepin/consensus/wire.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Protocol
 
-from ..admission import Ledger
+from ..admission import DescriptorBudget
 from ..cluster.transport import PART, numeric
 from ..counters import Counters
 from .codec import PREFACE, CodecError, Hello, Reader, Said, encode
@@ -68,12 +68,12 @@
         links: Links,
         hello: Callable[[str], Hello],
         deliver: Callable[[Hello, Said], None],
-        ledger: Ledger,
+        descriptors: DescriptorBudget,
         counters: Counters,
     ) -> None:
         """`hello` is what a connection to a member begins with; `deliver` takes a word and who said it."""
         self._links, self._hello, self._deliver = links, hello, deliver
-        self._ledger, self._counters = ledger, counters
+        self._descriptors, self._counters = descriptors, counters
         self._peers: dict[str, _Peer] = {}
         self._open = True
         links.takes(PREFACE, self._serve)
@@ -114,7 +114,7 @@
     async def _speak(self, name: str, peer: _Peer) -> None:
         """Say all that is to be said to one member, as long as there is something."""
         while peer.frames or await self._waited(peer):
-            if not self._ledger.take(PART):
+            if not self._descriptors.acquire(PART):
                 self._counters.add("agree.no_descriptor")
                 peer.clear()
                 await asyncio.sleep(AGAIN)
@@ -125,7 +125,7 @@
             except (OSError, ValueError, TimeoutError):  # also an address that is none
                 self._counters.add("agree.broken")
             finally:
-                self._ledger.give(PART)
+                self._descriptors.release(PART)
             peer.clear()  # what was on its way may be lost, so what stands behind it is old
             await asyncio.sleep(AGAIN)
 
--- a/chutepin/lab/scale/hollow.py
+++ b/chutepin/lab/scale/hollow.py
@@ -1,7 +1,7 @@
 """Hollow nodes: a node's control parts on real sockets, put together as the node does, with no front and no module.
 
-A hollow node is made by `registry.build_subsystems` out of an operator's file, with a ledger, counters and a log of
-its own, as `node.Node` makes them. Many share a process, `hollow_worker`."""
+A hollow node is made by `registry.build_subsystems` out of an operator's file, with a budget of descriptors, counters
+and a log of its own, as `node.Node` makes them. Many share a process, `hollow_worker`."""
 
 from __future__ import annotations
 
@@ -108,8 +108,8 @@
         self.crash()
         self._counters = Counters()
         log = RecordingLog(self.place.name, self._died)
-        ledger = shares((descriptors() or 0) + SOCKETS, amqp=False, store=False, cluster=True)
-        self._parts = build_subsystems(self._config, parse_setup(self.place.setup), ledger, self._counters, log, None)
+        budget = shares((descriptors() or 0) + SOCKETS, amqp=False, store=False, cluster=True)
+        self._parts = build_subsystems(self._config, parse_setup(self.place.setup), budget, self._counters, log, None)
         for part in self._parts:
             part.start()
         self._tasks = [asyncio.ensure_future(part.run()) for part in self._parts]
--- a/chutepin/net/records.py
+++ b/chutepin/net/records.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from ..admission import Ledger
+from ..admission import DescriptorBudget
 from ..clock import Clock
 from ..config import Address
 from ..counters import Counters
@@ -63,7 +63,7 @@
     return len(words) > 2 or words[1:2] == ["DONE"]
 
 
-PART = "records"  # in the ledger of descriptors
+PART = "records"  # in the descriptors of descriptors
 
 
 class RecordsService:
@@ -78,12 +78,12 @@
         counters: Counters,
         log: Log,
         most: int,
-        ledger: Ledger | None = None,
+        descriptors: DescriptorBudget | None = None,
     ) -> None:
         self._address, self._clock, self._counters, self._log = address, clock, counters, log
         self._most = most  # connections
         # Old connections stand beside those that take their places until they have gone.
-        self._ledger = ledger or Ledger(2 * most + 8, {PART: (0, 2 * most)})
+        self._descriptors = descriptors or DescriptorBudget(2 * most + 8, {PART: (0, 2 * most)})
         self.listener: Called | None = None
         self._connections: list[Connection] = []  # the last used one last
         self._timers: dict[str, asyncio.TimerHandle] = {}
@@ -154,7 +154,7 @@
                 return min(fit, key=lambda connection: len(connection.calls), default=None)
         if self._address is None:
             return None
-        if not self._ledger.take(PART):  # shared, or ended unreachable: it has not run then
+        if not self._descriptors.acquire(PART):  # shared, or ended unreachable: it has not run then
             self._counters.add("records.no_descriptor")
             return min(fit, key=lambda connection: len(connection.calls), default=None)
         connection = Connection(last_used=now)
@@ -197,7 +197,7 @@
             self._log.event("records.malformed", why=str(error))
         finally:
             self._connections.remove(connection)
-            self._ledger.give(PART)
+            self._descriptors.release(PART)
             if connection.writer is not None:
                 connection.writer.transport.abort()
         for call in connection.calls.values():
--- a/chutepin/net/resp.py
+++ b/chutepin/net/resp.py
@@ -15,7 +15,7 @@
     CLOSING_AT_ONCE,
     Acceptor,
     Deadlines,
-    Ledger,
+    DescriptorBudget,
     ProxyError,
     ProxyHead,
     Reason,
@@ -42,7 +42,7 @@
 SWEEP = 0.25  # seconds between looks at idle connections
 FIRST_BY = 2.0  # seconds in which a connection must have sent its first whole message
 WHOLE_BY = 5.0  # seconds in which any later message that has begun must be whole
-PART = "front"  # in the ledger of descriptors
+PART = "front"  # in the descriptors of descriptors
 FLUSH_BY = 5.0  # seconds in which a balancer that sends no more must have read its last answers
 LINGER = 1.0  # seconds in which what a connection still sends after its last words is read and thrown away
 READ = 4096  # bytes that one connection may have taken in before others have their turn
@@ -330,14 +330,14 @@
         log: Log,
         sockets: int,
         rules: Rules | None = None,
-        ledger: Ledger | None = None,
+        descriptors: DescriptorBudget | None = None,
         lifecycle: Lifecycle | None = None,
     ) -> None:
         self._lifecycle = lifecycle or Lifecycle()
         self.broker, self.clock, self.counters, self.log = broker, clock, counters, log
         self.max_connections = max(8, sockets // 2)
         self.table = Table(rules or Rules(), self.max_connections)
-        self.ledger = ledger or Ledger(2 * sockets, {PART: (0, sockets)})
+        self.descriptors = descriptors or DescriptorBudget(2 * sockets, {PART: (0, sockets)})
         self.connections: dict[int, Connection] = {}
         self._acceptor: Acceptor | None = None
         self._links: dict[int, Link] = {}
@@ -448,15 +448,17 @@
 
         Guards what others have reserved: under a flood the many that are being closed would take it, and a report, the
         executor's link or a call that has to connect just then would find no descriptor."""
-        return self.ledger.free(PART) > dropped or len(self._making_room) + dropped < CLOSING_AT_ONCE
+        return self.descriptors.available(PART) > dropped or len(self._making_room) + dropped < CLOSING_AT_ONCE
 
     def admits(self, address: bytes, short: bool) -> Welcome:
-        """The table and the ledger have room for a newcomer, or some is made.
+        """The table and the descriptors have room for a newcomer, or some is made.
 
         Who breaks a rule is told. Where the table is merely full the newcomer is dropped without a word: an honest
         balancer may have a request on its way, which a close in order would lose."""
         now = self.clock.now()
-        self.table.limit = max(1, min(self.max_connections, self.ledger.parts[PART].held + self.ledger.free(PART)))
+        self.table.limit = max(
+            1, min(self.max_connections, self.descriptors.parts[PART].in_use + self.descriptors.available(PART))
+        )
         verdict = self.table.admit(now, address)
         evict = verdict.evict
         if verdict.refused is None and short and evict is None:
@@ -507,7 +509,7 @@
             proxy=ProxyHead() if relay else None,
         )
         self.table.opened(key, now, address)
-        self.ledger.parts[PART].held += 1
+        self.descriptors.parts[PART].in_use += 1
         self.connections[key] = connection
         self.arm(connection)
         loop = asyncio.get_running_loop()
@@ -538,7 +540,7 @@
             self.connections.pop(connection.key, None)
             self._deadlines.cancel(connection.key)
             self._making_room.discard(connection.key)
-            self.ledger.give(PART)
+            self.descriptors.release(PART)
             if self._acceptor is not None:
                 self._acceptor.room()
 
--- a/chutepin/node.py
+++ b/chutepin/node.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from . import decision, signals
-from .admission import Ledger, Rules, Share
+from .admission import DescriptorBudget, Rules, Share
 from .admission.addresses import Networks
 from .broker import Broker
 from .clock import Clock
@@ -80,10 +80,10 @@
 
 def shares(
     limit: int, amqp: bool, store: bool, ops: bool = False, cluster: bool = False, consensus: bool = False
-) -> Ledger:
-    """Build the ledger of descriptors: half for the front at most, two fifths for records, as after a
+) -> DescriptorBudget:
+    """Build the descriptors of descriptors: half for the front at most, two fifths for records, as after a
     reload old and new connections stand side by side; what must reconnect has its own."""
-    return Ledger(
+    return DescriptorBudget(
         limit,
         {
             "front": (0, max(8, limit // 2)),
@@ -149,7 +149,7 @@
         )
         # Descriptors that the process may really have, whatever the configuration allows.
         self.sockets = sockets = min(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-        self.ledger = shares(
+        self.descriptors = shares(
             sockets,
             amqp is not None,
             self.setup.store is not None,
@@ -159,7 +159,7 @@
         )
         self.executor = ExecutorLink(config.executor, session, self.counters, self.log)
         self.records = RecordsService(
-            config.records, self.clock, self.counters, self.log, max(4, sockets // 5), self.ledger
+            config.records, self.clock, self.counters, self.log, max(4, sockets // 5), self.descriptors
         )
         self.broker = Broker(
             config.settings,
@@ -181,13 +181,13 @@
             self.log,
             sockets,
             rules_of(self.setup.admission),
-            self.ledger,
+            self.descriptors,
             self.lifecycle,
         )
         self.store: Store | None = None
         if self.setup.store is not None:  # loaded only where an operator switches it on
             self.store = _open_store(self.setup.store, self.clock, self.log)
-        self.subsystems = build_subsystems(config, self.setup, self.ledger, self.counters, self.log, self.store)
+        self.subsystems = build_subsystems(config, self.setup, self.descriptors, self.counters, self.log, self.store)
         self.listener = self._build_listener() if config.ops is not None else None
         self.consumer = self._build_consumer(amqp) if amqp is not None else None
         self.recorder = self._build_recorder(record) if record is not None else None
@@ -207,8 +207,8 @@
 
         more = {name: call for part in self.subsystems for name, call in part.calls().items()}
         orders = {name: order for part in self.subsystems for name, order in part.orders().items()}
-        calls = Calls(self.lifecycle, self.broker.figures, more, orders)
-        return Listener(calls, self.ledger, self.counters, self.log)
+        calls = Calls(self.lifecycle, self.broker.metrics, more, orders)
+        return Listener(calls, self.descriptors, self.counters, self.log)
 
     def _build_consumer(self, amqp: AmqpConfig) -> Consumer:
         """Build the AMQP front."""
@@ -264,7 +264,7 @@
             addresses=" ".join(f"{name}={count}" for name, count in addresses),
             blocks=" ".join(f"{name}={count}" for name, count in blocks),
         )
-        self.log.always("descriptors", **self.ledger.figures())
+        self.log.always("descriptors", **self.descriptors.metrics())
 
     def reload(self) -> None:
         """Read the configuration again and meet executor, records and control plane where it says now.
@@ -465,7 +465,7 @@
         for turn in itertools.count():
             if turn % RECONCILE == 0 and (held := descriptors()) is not None:
                 # One look may fall between the claim of a descriptor and its opening.
-                over = over + 1 if self.ledger.reconcile(held) else 0
+                over = over + 1 if self.descriptors.reconcile(held) else 0
                 self.counters.check_invariant(over < 3, "ledger")
             await asyncio.sleep(SWEEP)
             self.front.close_idle()
@@ -527,11 +527,11 @@
 
     def use(self) -> tuple[int, float, int]:
         """What this process takes of what both share."""
-        return *self._node.broker.use, self._node.ledger.held + self._node.ledger.other
+        return *self._node.broker.use, self._node.descriptors.in_use + self._node.descriptors.unattributed
 
     def elsewhere(self, running: int, memory: float, descriptors: int) -> None:
         """What the other process takes."""
-        self._node.ledger.limit = self._node.sockets - descriptors
+        self._node.descriptors.limit = self._node.sockets - descriptors
         self._node.broker.elsewhere(running, memory)
 
     def yields(self) -> None:
--- a/chutepin/registry.py
+++ b/chutepin/registry.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from .admission import Ledger
+    from .admission import DescriptorBudget
     from .config import Config, Setup
     from .counters import Counters
     from .logs import Log
@@ -16,7 +16,7 @@
 
 
 def build_subsystems(
-    config: Config, setup: Setup, ledger: Ledger, counters: Counters, log: Log, store: Store | None
+    config: Config, setup: Setup, descriptors: DescriptorBudget, counters: Counters, log: Log, store: Store | None
 ) -> list[Subsystem]:
     """Build each subsystem that has a block in `setup`, in the order in which they start.
 
@@ -25,9 +25,9 @@
         return []
     from .cluster.subsystem import Cluster
 
-    cluster = Cluster(setup.cluster, config.name, config.seed, ledger, counters, log, store)
+    cluster = Cluster(setup.cluster, config.name, config.seed, descriptors, counters, log, store)
     if setup.consensus is None or store is None:
         return [cluster]
     from .consensus.subsystem import Agreement
 
-    return [cluster, Agreement(setup.consensus, config.name, cluster, store, ledger, counters, log)]
+    return [cluster, Agreement(setup.consensus, config.name, cluster, store, descriptors, counters, log)]
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: the rules as a model, rates, standing, the ledger, deadlines, the PROXY head, and accepting without
+"""Admission: the rules as a model, rates, standing, the descriptors, deadlines, the PROXY head, and accepting without
 descriptors."""
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
     CLOSING_AT_ONCE,
     Acceptor,
     Deadlines,
-    Ledger,
+    DescriptorBudget,
     ProxyError,
     ProxyHead,
     Rank,
@@ -41,11 +41,11 @@
 from chutepin.clock import Clock
 from chutepin.config import ConfigError, parse_setup
 from chutepin.counters import Counters
-from chutepin.figures import Figures
 from chutepin.lab.standins import eventually, free_port
 from chutepin.lifecycle import Lifecycle
 from chutepin.logs import Log
 from chutepin.node import rules_of
+from chutepin.request_metrics import RequestMetrics
 
 from .helper import ROOT, STEPS
 from .test_setup import chutepin
@@ -319,7 +319,7 @@
 TestAdmission = Admission.TestCase
 
 
-# --- the ledger and deadlines ---
+# --- the descriptors and deadlines ---
 
 
 @given(
@@ -327,20 +327,22 @@
     st.integers(0, 30),
 )
 def test_no_part_takes_what_another_has_reserved(steps: list[tuple[str, bool]], other: int) -> None:
-    ledger = Ledger(64, {"front": (0, 32), "records": (6, 20), "executor": (2, 2)}, other)
+    descriptors = DescriptorBudget(64, {"front": (0, 32), "records": (6, 20), "executor": (2, 2)}, other)
     for name, take in steps:
-        part = ledger.parts[name]
+        part = descriptors.parts[name]
         if not take:
-            if part.held:
-                ledger.give(name)
+            if part.in_use:
+                descriptors.release(name)
             continue
-        wanted = part.held < part.reserved and other + ledger.held < 64 - 4 - 8
-        assert ledger.take(name) or not wanted
-        assert ledger.held + other <= 60 and part.held <= part.most
+        wanted = part.in_use < part.reserved and other + descriptors.in_use < 64 - 4 - 8
+        assert descriptors.acquire(name) or not wanted
+        assert descriptors.in_use + other <= 60 and part.in_use <= part.maximum
         for key, least in (("records", 6), ("executor", 2)):
-            assert ledger.free(key) >= min(least - ledger.parts[key].held, 60 - other - ledger.held)
-    assert ledger.reconcile(other + ledger.held + 5) == 0 and ledger.other == other + 5
-    assert ledger.reconcile(0) == ledger.held
+            assert descriptors.available(key) >= min(
+                least - descriptors.parts[key].in_use, 60 - other - descriptors.in_use
+            )
+    assert descriptors.reconcile(other + descriptors.in_use + 5) == 0 and descriptors.unattributed == other + 5
+    assert descriptors.reconcile(0) == descriptors.in_use
 
 
 @given(st.lists(st.tuples(st.integers(0, 5), st.floats(0, 30) | st.just(math.inf)), max_size=60))
@@ -489,15 +491,15 @@
 
 def test_silent_operators_callers_hold_few_descriptors_beyond_their_share() -> None:
     most, held = 4, list[int]()
-    ledger = Ledger(64, {"ops": (most, most)})
+    descriptors = DescriptorBudget(64, {"ops": (most, most)})
 
     class Watched(Listener):
         def serve(self, sock: socket.socket, address: bytes) -> None:
             super().serve(sock, address)
-            held.append(ledger.parts["ops"].held)
+            held.append(descriptors.parts["ops"].in_use)
 
     async def run() -> None:
-        listener = Watched(Calls(Lifecycle(), Figures(())), ledger, Counters(), Log(Clock()))
+        listener = Watched(Calls(Lifecycle(), RequestMetrics(())), descriptors, Counters(), Log(Clock()))
         port = await free_port()
         await listener.listen("127.0.0.1", port)
         peers = crowd(port)
@@ -505,7 +507,7 @@
         listener.close()
         for peer in peers:
             peer.close()
-        await eventually(lambda: not ledger.parts["ops"].held)
+        await eventually(lambda: not descriptors.parts["ops"].in_use)
 
     asyncio.run(run())
     assert max(held) <= most + CLOSING_AT_ONCE
--- a/tests/test_assembly.py
+++ b/tests/test_assembly.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from chutepin.admission import Ledger
+from chutepin.admission import DescriptorBudget
 from chutepin.clock import Clock
 from chutepin.config import ConfigError
 from chutepin.config.consensus import ConsensusSetup
@@ -239,7 +239,9 @@
 
 def agreement(store: Store, name: str = "n1") -> Agreement:
     log = Log(Clock())
-    return Agreement(ConsensusSetup(("n1",)), name, Alone(), store, Ledger(64, {"cluster": (0, 8)}), Counters(), log)
+    return Agreement(
+        ConsensusSetup(("n1",)), name, Alone(), store, DescriptorBudget(64, {"cluster": (0, 8)}), Counters(), log
+    )
 
 
 def test_a_failed_sync_ends_its_part_and_says_so_and_a_restart_has_what_was_agreed() -> None:
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -299,7 +299,7 @@
         ports, now = self.core.ports, self.core.hand.time
         executed = ports.ids("exec")
         owed = sum(not self.core.words(id) and id not in self.gone for id in self.live)
-        assert self.core.broker.figures.balanced(owed), "taken is not what has ended and what is open"
+        assert self.core.broker.metrics.is_consistent(owed), "taken is not what has ended and what is open"
         assert not self.core.counters.counts["answers.overdue"], "the module left an answer to the core"
         assert len(executed) == len(set(executed))
         for id, (_, due) in self.live.items():
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -20,7 +20,7 @@
 import pytest
 
 from chutepin import signals
-from chutepin.admission import Ledger, Welcome
+from chutepin.admission import DescriptorBudget, Welcome
 from chutepin.clock import Clock
 from chutepin.config import Address
 from chutepin.counters import Counters
@@ -165,7 +165,7 @@
                 assert front.admits(b"\x7f\0\0\1", short=False) is Welcome.SERVE
             else:
                 client.shutdown(socket.SHUT_WR)
-            await eventually(lambda: not front.ledger.held)
+            await eventually(lambda: not front.descriptors.in_use)
             with socket.create_connection(("127.0.0.1", port)) as other:
                 other.sendall(call(core, 40, cls="status-read"))
                 await eventually(lambda: core.counters.counts["requests"] == 31)
@@ -464,7 +464,7 @@
             Counters(),
             Log(hand.clock),
             8,
-            Ledger(64, {"records": (0, 8)}),
+            DescriptorBudget(64, {"records": (0, 8)}),
         )
         service.listener = Listener()
         service.call("a", hand.time + 60, b"x", repeatable=False)
@@ -484,7 +484,12 @@
     """The call whose bytes lie unsent is over, and the connection idle: closed, it was waited for without end."""
 
     async def test(stack: AsyncExitStack) -> None:
-        hand, ledger, ends, links = Hand(), Ledger(64, {"records": (0, 8)}), list[End](), list[asyncio.StreamWriter]()
+        hand, descriptors, ends, links = (
+            Hand(),
+            DescriptorBudget(64, {"records": (0, 8)}),
+            list[End](),
+            list[asyncio.StreamWriter](),
+        )
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             links.append(writer)
@@ -499,7 +504,7 @@
         server = await asyncio.start_server(serve, sock=listener, limit=1024)
         stack.callback(server.close)
         service = RecordsService(
-            Address("127.0.0.1", listener.getsockname()[1]), hand.clock, Counters(), Log(hand.clock), 1, ledger
+            Address("127.0.0.1", listener.getsockname()[1]), hand.clock, Counters(), Log(hand.clock), 1, descriptors
         )
         service.listener = Listener()
         service.call("a", hand.time + 60, b"x", repeatable=True)
@@ -510,9 +515,9 @@
         service.call("b", hand.time + 60, b"x" * 2**20, repeatable=True)
         links[0].write(b"a WAIT\r\nb WAIT\r\n")  # answered without being read
         await eventually(lambda: len(ends) == 2)
-        assert writer.transport.get_write_buffer_size() and ledger.held == 1
+        assert writer.transport.get_write_buffer_size() and descriptors.in_use == 1
         hand.time += 9
         service.close_idle()
-        await eventually(lambda: not ledger.held)
+        await eventually(lambda: not descriptors.in_use)
 
     on_links(test)
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -115,7 +115,7 @@
             service.call(f"{number}", hand.time + 5, b"", False)
         await eventually(lambda: len(listener.ends) == 5)
         assert listener.ends == [End.UNREACHABLE] * 5
-        assert service._ledger.parts["records"].held == 0
+        assert service._descriptors.parts["records"].in_use == 0
 
     asyncio.run(run())
 
@@ -180,7 +180,7 @@
     on_sockets(test)
 
 
-def test_the_ledger_agrees_with_what_the_process_holds(tmp_path: Path) -> None:
+def test_descriptor_budget_agrees_with_what_the_process_holds(tmp_path: Path) -> None:
     async def test(world: Standins, stack: AsyncExitStack) -> None:
         await world.start(stack, *setup(tmp_path))
         balancers = [await world.connect() for _ in range(7)]
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -278,7 +278,7 @@
             ran = set(process.core.ports.ids("exec"))
             assert not any(words and words[0].verdict.value == "refused" and id in ran for id, words in answers.items())
             if process.alive:
-                assert process.core.broker.figures.balanced(sum(not words for words in answers.values()))
+                assert process.core.broker.metrics.is_consistent(sum(not words for words in answers.values()))
 
 
 def test_a_key_does_not_run_at_both_once_its_former_window_is_over() -> None:
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -13,11 +13,11 @@
 from chutepin.admin.calls import Calls
 from chutepin.admin.exposition import exposition
 from chutepin.admin.lines import MAX_LINE, LineError, LineReader
-from chutepin.figures import Figures
 from chutepin.lab.standins import eventually
 from chutepin.lifecycle import TABLE, Lifecycle, Move, State
 from chutepin.net.control import EVERY, SPREAD
 from chutepin.net.resp import array
+from chutepin.request_metrics import RequestMetrics
 
 from .helper import STEPS, Core, Standins
 from .test_node import on_sockets
@@ -62,10 +62,10 @@
         for name, mark in zip(("ready", "drain", "resume"), answers, strict=True):
             lifecycle = Lifecycle()
             lifecycle.state = state
-            answer = Calls(lifecycle, Figures(())).answer(name)
+            answer = Calls(lifecycle, RequestMetrics(())).answer(name)
             assert isinstance(answer, str)
             assert answer[0] == mark and answer.endswith("\n") and answer.count("\n") == 1, (state, name)
-    calls = Calls(Lifecycle(), Figures(()))
+    calls = Calls(Lifecycle(), RequestMetrics(()))
     for line, why in (
         ("reboot", "no such call"),
         ("drain now", "drain takes no"),
@@ -88,11 +88,11 @@
 
 
 def test_the_figures_name_every_class_from_the_start_and_escape_it() -> None:
-    figures = Figures(["a", 'b"\\\n'])
-    figures.taken("a")
-    figures.taken("a")
-    figures.taken("no such class")
-    figures.ended("a", "answered")
+    figures = RequestMetrics(["a", 'b"\\\n'])
+    figures.request_received("a")
+    figures.request_received("a")
+    figures.request_received("no such class")
+    figures.request_ended("a", "answered")
     lines = exposition(figures).splitlines()
     assert 'node_transactions_total{group="a",state="answered"} 1' in lines
     assert 'node_transactions_total{group="b\\"\\\\\\n",state="errored"} 0' in lines
@@ -107,12 +107,12 @@
     core.pick("c", "position-push")
     core.broker.gone("c")
     core.broker.gone("c")
-    row = core.broker.figures.rows["position-push"]
-    assert (row.taken, row.errored, row.withdrawn, core.broker.figures.current) == (4, 2, 1, 1)
+    row = core.broker.metrics.rows["position-push"]
+    assert (row.received, row.errored, row.withdrawn, core.broker.metrics.current) == (4, 2, 1, 1)
     core.end("a")
     core.end("c")
-    assert (row.answered, core.broker.figures.current, core.broker.figures.sends) == (1, 0, 2)
-    assert core.broker.figures.balanced(0)
+    assert (row.answered, core.broker.metrics.current, core.broker.metrics.runs_sent) == (1, 0, 2)
+    assert core.broker.metrics.is_consistent(0)
 
 
 # --- the real program ---
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from chutepin.admission import Ledger
+from chutepin.admission import DescriptorBudget
 from chutepin.clock import Clock
 from chutepin.config import Address
 from chutepin.config.platform import parse
@@ -338,14 +338,14 @@
     monkeypatch.setattr(records, "CONNECT_BY", 0.2)
 
     async def test(stack: AsyncExitStack) -> None:
-        listening, clock, ledger = Listening(), Clock(), Ledger(64, {"records": (0, 8)})
-        service = RecordsService(silent(stack), clock, Counters(), Log(clock), 8, ledger)
+        listening, clock, descriptors = Listening(), Clock(), DescriptorBudget(64, {"records": (0, 8)})
+        service = RecordsService(silent(stack), clock, Counters(), Log(clock), 8, descriptors)
         service.listener = listening
         for id in "abc":
             service.call(id, clock.now() + 60, b"x", repeatable=False)
-        assert ledger.held == 3
+        assert descriptors.in_use == 3
         await eventually(lambda: len(listening.ends) == 3)
-        assert listening.ends == [End.UNREACHABLE] * 3 and not ledger.held  # never written: none has run
+        assert listening.ends == [End.UNREACHABLE] * 3 and not descriptors.in_use  # never written: none has run
 
     on_links(test)
 
