--- a/benchmarks/capacity/measure/operators.py
+++ b/benchmarks/capacity/measure/operators.py
@@ -48,7 +48,7 @@
     cluster = Cluster(setup, "node-me", 1, DescriptorBudget(64, {}), Counters(), Log(Clock()), None)
     for number in range(members):
         cluster._detector.view.table.put(0.0, record(number))
-    spent, size = _answer(cluster.calls()["members"])
+    spent, size = _answer(cluster.commands()["members"])
     table.add(members, members_cpu_ms=spent, members_bytes=size)
 
 
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -243,7 +243,7 @@
                     begun = time.perf_counter()
                     store.commit()
                     waits.append(time.perf_counter() - begun)
-            figures = store.figures()
+            figures = store.metrics()
             rows.append(
                 [
                     name,
@@ -289,7 +289,7 @@
             before = resident()
             with Store.open(path, max_bytes=8 * GIB, max_memory=GIB) as store:
                 grown = resident() - before
-                estimate = store.figures()["memory_bytes"]
+                estimate = store.metrics()["memory_bytes"]
             rows.append([f"{count:,}", name, grown / count, estimate / count])
     table(["keys of 32 bytes", "expire", "measured, bytes a key", "the store's estimate"], rows)
 
@@ -324,11 +324,11 @@
                 now[0] += 0.005
                 if number % 64 == 63:
                     engine.settle()
-                    figures = engine.figures()
+                    figures = engine.metrics()
                     if number > 20_000:
                         most = max(most, figures["disk_bytes"] / 2**20)
                         worst = max(worst, figures["disk_bytes"] / max(figures["live_bytes"], 4 * 2**20))
-            figures = engine.figures()
+            figures = engine.metrics()
             engine.close()
         rows.append(
             [
--- a/chutepin/cli/store.py
+++ b/chutepin/cli/store.py
@@ -139,9 +139,9 @@
     with looking.directory(directory):
         pass  # a directory without a store is refused, not made into one
     with Store.open(directory, max_bytes=max_mib << 20) as store:
-        before = store.figures()["disk_bytes"]
+        before = store.metrics()["disk_bytes"]
         store.compact()
-        after = store.figures()
+        after = store.metrics()
     result = {
         "disk_bytes_before": before,
         "disk_bytes": after["disk_bytes"],
--- a/chutepin/cluster/subsystem.py
+++ b/chutepin/cluster/subsystem.py
@@ -15,7 +15,7 @@
 from ..config.cluster import ClusterSetup
 from ..counters import Counters
 from ..logs import Log
-from ..subsystem import Order
+from ..subsystem import CommandHandler
 from .detector import Answer, Detector, Effect, Send
 from .incarnation import Incarnations
 from .messages import Packet
@@ -125,14 +125,14 @@
             self._timer.cancel()
             self._timer = None
 
-    def yields(self) -> None:
+    def yield_ownership(self) -> None:
         """The successor speaks for this member from now on."""
         self._rest()
         self._transport.pause()
         self._wanted.clear()
         self._yielded.set()
 
-    def takes_back(self) -> None:
+    def resume_ownership(self) -> None:
         """Speak again, in a life after the successor's."""
         if not self._left:
             self._detector.begin_anew(time.monotonic(), time.time_ns() // 1_000_000)
@@ -146,11 +146,11 @@
             self._detector.leave(time.monotonic())
             self._carry_out(self._detector.drain_effects())
 
-    def orders(self) -> dict[str, Order]:
+    def commands_with_arguments(self) -> dict[str, CommandHandler]:
         """None."""
         return {}
 
-    def figures(self) -> dict[str, int]:
+    def metrics(self) -> dict[str, int]:
         """Counts of the detector."""
         view, health = self._detector.view, self._detector.health
         counts = {f"cluster.{name}": count for name, count in sorted(view.counts.items())}
@@ -231,7 +231,7 @@
 
     # --- operators ---
 
-    def calls(self) -> dict[str, Callable[[], str]]:
+    def commands(self) -> dict[str, Callable[[], str]]:
         """What operators may call."""
         return {"members": self._members, "links": self._links, "changes": self._told, "view": self._view}
 
--- a/chutepin/consensus/operators.py
+++ b/chutepin/consensus/operators.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from ..subsystem import Order
+from ..subsystem import CommandHandler
 from .core import RefusedError, Role
 from .facts import Facts, set_fact
 from .identity import Standing, plain
@@ -51,11 +51,11 @@
     def __init__(self, participant: Participant) -> None:
         self._participant = participant
 
-    def calls(self) -> dict[str, Callable[[], str]]:
+    def commands(self) -> dict[str, Callable[[], str]]:
         """Return the calls without arguments, by name."""
         return {"agree": self._status}
 
-    def orders(self) -> dict[str, Order]:
+    def commands_with_arguments(self) -> dict[str, CommandHandler]:
         """Return the calls with arguments, by name."""
         return {
             "agree-set": _checked(2, 3, self._set),
@@ -158,7 +158,7 @@
         return f"SUCCESS upto {_snapshot_index(member)}\n"
 
 
-def _checked(least: int, most: int, order: Order) -> Order:
+def _checked(least: int, most: int, order: CommandHandler) -> CommandHandler:
     """Wrap a call: check the number of its arguments, and answer a ValueError as a failure."""
 
     async def checked(arguments: list[str]) -> str:
--- a/chutepin/consensus/subsystem.py
+++ b/chutepin/consensus/subsystem.py
@@ -15,7 +15,7 @@
 from ..counters import Counters
 from ..logs import Log
 from ..store import Store, StoreBusyError, StoreError
-from ..subsystem import Order
+from ..subsystem import CommandHandler
 from .codec import Hello, Said
 from .core import RefusedError, Role, Times
 from .facts import Facts
@@ -121,10 +121,10 @@
             self._halt("ended")
             self._wire.close()
 
-    def yields(self) -> None:
+    def yield_ownership(self) -> None:
         """A successor serves; it can't have the store before this process has ended, so the log is left here."""
 
-    def takes_back(self) -> None:
+    def resume_ownership(self) -> None:
         """Nothing was given."""
 
     def leave(self) -> None:
@@ -140,7 +140,7 @@
             return
         self.pump()
 
-    def figures(self) -> dict[str, int]:
+    def metrics(self) -> dict[str, int]:
         """Counts of the member."""
         member = self.member
         if member is None:
@@ -336,10 +336,10 @@
         self.pump()
         return await future
 
-    def calls(self) -> dict[str, Callable[[], str]]:
+    def commands(self) -> dict[str, Callable[[], str]]:
         """Return the operators' calls without arguments, by name."""
-        return OperatorCalls(self).calls()
+        return OperatorCalls(self).commands()
 
-    def orders(self) -> dict[str, Order]:
+    def commands_with_arguments(self) -> dict[str, CommandHandler]:
         """Return the operators' calls with arguments, by name."""
-        return OperatorCalls(self).orders()
+        return OperatorCalls(self).commands_with_arguments()
--- a/chutepin/handover/dialogue.py
+++ b/chutepin/handover/dialogue.py
@@ -35,10 +35,10 @@
     def elsewhere(self, running: int, memory: float, descriptors: int) -> None:
         """What the other process uses."""
 
-    def yields(self) -> None:
+    def yield_ownership(self) -> None:
         """A successor serves: accept no more, have what is open here finished."""
 
-    def takes_back(self) -> None:
+    def resume_ownership(self) -> None:
         """The successor has gone: accept again."""
 
 
@@ -110,7 +110,7 @@
                 self._host.adopt(fields)
             case "TAKES" if self.succession.taken():
                 self._counters.add("handover.yielded")
-                self._host.yields()
+                self._host.yield_ownership()
                 self._say(frame("LEARNED", **self._host.learned()))
                 self._say(frame("YOURS"))
             case "ASK":
@@ -162,14 +162,14 @@
         if yielded:
             self._host.orphaned()
         if yielded and self.succession.stage is Stage.ALONE:
-            self._host.takes_back()
+            self._host.resume_ownership()
 
     def gone(self) -> None:
         """The other process, which lived without a link to this one, has gone."""
         cut_off = self.succession.stage is Stage.CUT_OFF
         self.succession.gone(self._clock.now())
         if cut_off:
-            self._host.takes_back()
+            self._host.resume_ownership()
 
     def _over(self) -> None:
         self.send = None
--- a/chutepin/lab/scale/hollow.py
+++ b/chutepin/lab/scale/hollow.py
@@ -143,4 +143,4 @@
     def view(self) -> ViewSummary:
         """What operators see of its view."""
         cluster = self._parts[0]
-        return ViewSummary(digest_shown(cluster.calls()["view"]()), cluster.figures()["cluster.members"])
+        return ViewSummary(digest_shown(cluster.commands()["view"]()), cluster.metrics()["cluster.members"])
--- a/chutepin/net/resp.py
+++ b/chutepin/net/resp.py
@@ -431,14 +431,14 @@
         """The sockets that are listened on."""
         return self._acceptor.sockets if self._acceptor is not None else []
 
-    def yields(self) -> None:
+    def yield_ownership(self) -> None:
         """Another process accepts from now on: ask that nothing more be sent on the open connections."""
         if self._acceptor is not None:
             self._acceptor.halt()
         for connection in self.connections.values():
             connection.bye(self.clock.now())
 
-    def takes_back(self) -> None:
+    def resume_ownership(self) -> None:
         """Accept again."""
         if self._acceptor is not None:
             self._acceptor.go_on()
@@ -598,7 +598,7 @@
         self.table.opened(key, now, address)
         return True
 
-    def figures(self) -> dict[str, int]:
+    def metrics(self) -> dict[str, int]:
         """What was refused and why, for an operator."""
         return {f"admission.refused.{reason.value}": count for reason, count in self.table.refused.items()}
 
--- a/chutepin/node.py
+++ b/chutepin/node.py
@@ -205,8 +205,8 @@
         """Build the socket of the operators' calls."""
         from .admin import Calls, Listener
 
-        more = {name: call for part in self.subsystems for name, call in part.calls().items()}
-        orders = {name: order for part in self.subsystems for name, order in part.orders().items()}
+        more = {name: call for part in self.subsystems for name, call in part.commands().items()}
+        orders = {name: order for part in self.subsystems for name, order in part.commands_with_arguments().items()}
         calls = Calls(self.lifecycle, self.broker.metrics, more, orders)
         return Listener(calls, self.descriptors, self.counters, self.log)
 
@@ -244,12 +244,12 @@
     def print_counters(self) -> None:
         """On request and at exit; never dropped by the rate limit."""
         dropped = {"log.dropped": self.log.dropped} if self.log.dropped else {}
-        store = {} if self.store is None else {f"store.{name}": count for name, count in self.store.figures().items()}
-        parts = {name: count for part in self.subsystems for name, count in part.figures().items()}
+        store = {} if self.store is None else {f"store.{name}": count for name, count in self.store.metrics().items()}
+        parts = {name: count for part in self.subsystems for name, count in part.metrics().items()}
         self.log.always(
             "counters",
             **dict(sorted(self.counters.counts.items())),
-            **self.front.figures(),
+            **self.front.metrics(),
             **store,
             **parts,
             **dropped,
@@ -501,7 +501,7 @@
         self.broker.finish(stop)
         if self.consumer is not None:
             self.consumer.leave()
-        self.front.yields()
+        self.front.yield_ownership()
         while self.clock.now() < stop + STOP_MARGIN / 3 and (
             self.broker.unsettled or self.front.connections or (self.consumer is not None and not self.consumer.settled)
         ):
@@ -534,16 +534,16 @@
         self._node.descriptors.limit = self._node.sockets - descriptors
         self._node.broker.elsewhere(running, memory)
 
-    def yields(self) -> None:
+    def yield_ownership(self) -> None:
         """A successor serves."""
         self._node.lifecycle.move(Move.SUCCEEDED)
-        self._node.front.yields()
+        self._node.front.yield_ownership()
         for part in self._node.subsystems:
-            part.yields()
+            part.yield_ownership()
 
-    def takes_back(self) -> None:
+    def resume_ownership(self) -> None:
         """It has gone."""
         self._node.lifecycle.move(Move.ALONE)
-        self._node.front.takes_back()
+        self._node.front.resume_ownership()
         for part in self._node.subsystems:
-            part.takes_back()
+            part.resume_ownership()
--- a/chutepin/store/engine.py
+++ b/chutepin/store/engine.py
@@ -771,7 +771,7 @@
         while self.flush() or self.step():
             pass
 
-    def figures(self) -> dict[str, int]:
+    def metrics(self) -> dict[str, int]:
         """Sizes in bytes and counts, for an operator."""
         with self.lock:
             book = self.book
--- a/chutepin/store/store.py
+++ b/chutepin/store/store.py
@@ -148,9 +148,9 @@
     def __contains__(self, key: bytes) -> bool:
         return self._engine.holds(key)
 
-    def figures(self) -> dict[str, int]:
+    def metrics(self) -> dict[str, int]:
         """Sizes in bytes and counts, for an operator."""
-        return self._engine.figures()
+        return self._engine.metrics()
 
     # --- durability ---
 
--- a/chutepin/subsystem.py
+++ b/chutepin/subsystem.py
@@ -8,8 +8,8 @@
 from collections.abc import Awaitable, Callable
 from typing import Protocol
 
-# An operators' call with arguments: the words behind its name, to its whole answer.
-Order = Callable[[list[str]], Awaitable[str]]
+# A command of the operators' socket with arguments: the words behind its name, to its whole answer.
+CommandHandler = Callable[[list[str]], Awaitable[str]]
 
 
 class Subsystem(Protocol):
@@ -27,20 +27,20 @@
     async def run(self) -> None:
         """Work until cancelled."""
 
-    def calls(self) -> dict[str, Callable[[], str]]:
-        """Return the operators' calls without arguments, by name; each returns its whole answer."""
+    def commands(self) -> dict[str, Callable[[], str]]:
+        """Return the commands without arguments, by name; each returns its whole answer."""
 
-    def orders(self) -> dict[str, Order]:
-        """Return the operators' calls with arguments, by name; each may take a moment."""
+    def commands_with_arguments(self) -> dict[str, CommandHandler]:
+        """Return the commands with arguments, by name; each may take a moment."""
 
-    def figures(self) -> dict[str, int]:
+    def metrics(self) -> dict[str, int]:
         """Return counters for operators, their names prefixed with the subsystem's."""
 
-    def yields(self) -> None:
-        """Stop speaking for the node: a successor process serves."""
+    def yield_ownership(self) -> None:
+        """Stop acting for the node: a successor process serves."""
 
-    def takes_back(self) -> None:
-        """Speak for the node again: the successor process has ended."""
+    def resume_ownership(self) -> None:
+        """Act for the node again: the successor process has ended."""
 
     def leave(self) -> None:
-        """Say goodbye to other nodes: the process was told to end."""
+        """Announce to other nodes that this one leaves: the process was told to end."""
--- a/tests/data/make_stored_bytes.py
+++ b/tests/data/make_stored_bytes.py
@@ -78,8 +78,8 @@
         self._engine.compact()
         self._engine.settle()
 
-    def figures(self) -> dict[str, int]:
-        return self._engine.figures()
+    def metrics(self) -> dict[str, int]:
+        return self._engine.metrics()
 
     def close(self) -> None:
         self._engine.close()
@@ -119,7 +119,7 @@
     store.now = ENDS
     store.delete(b"late/9")
     store.put(b"last", b"in the segment that is written to", math.inf)
-    assert store.figures()["segments.compacted"] > 0 and store.figures()["copied_bytes"] > 0
+    assert store.metrics()["segments.compacted"] > 0 and store.metrics()["copied_bytes"] > 0
     store.close()
     return store.model
 
--- a/tests/test_assembly.py
+++ b/tests/test_assembly.py
@@ -251,12 +251,14 @@
         part = agreement(store)
         part.start()
         task = asyncio.create_task(part.run())
-        order = part.orders()["agree-set"]
+        order = part.commands_with_arguments()["agree-set"]
         await until(lambda: agreed(order, ["k", "v1"]))
         files.fail = lambda operation, name: OSError(5, "I/O error") if operation == "sync" else None
         told = await order(["k", "v2"])
         assert told.startswith("FAILURE unknown")
-        assert "I/O error" in part.calls()["agree"]() and part.calls()["agree"]().startswith("FAILURE takes no part")
+        assert "I/O error" in part.commands()["agree"]() and part.commands()["agree"]().startswith(
+            "FAILURE takes no part"
+        )
         assert (await order(["k", "v3"])).startswith("FAILURE refused")
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
@@ -264,8 +266,8 @@
         part = agreement(again)
         part.start()
         task = asyncio.create_task(part.run())
-        await until(lambda: agreed(part.orders()["agree-set"], ["other", "x"]))
-        assert (await part.orders()["agree-get"](["k"])).endswith(" v1\n")
+        await until(lambda: agreed(part.commands_with_arguments()["agree-set"], ["other", "x"]))
+        assert (await part.commands_with_arguments()["agree-get"](["k"])).endswith(" v1\n")
         with pytest.raises(ConfigError, match="the log in it is that of n1"):
             agreement(again, "n2")
         task.cancel()
@@ -282,7 +284,7 @@
         part = agreement(store)
         part.start()
         task = asyncio.create_task(part.run())
-        order = part.orders()["agree-set"]
+        order = part.commands_with_arguments()["agree-set"]
         await until(lambda: agreed(order, ["k", "v1"]))
         filled: list[bytes] = []
         with contextlib.suppress(StoreFullError):
@@ -292,7 +294,7 @@
                     store.put(filled[-1], bytes(size), float("inf"))
         value = "x" * 1000
         await until(lambda: refused(order, ["k", value]))
-        assert part.calls()["agree"]().startswith("FAILURE takes no part")
+        assert part.commands()["agree"]().startswith("FAILURE takes no part")
         for key in filled:
             store.delete(key)
         await until(lambda: agreed(order, ["k", "v2"]))  # by itself
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -128,10 +128,10 @@
     def elsewhere(self, running: int, memory: float, descriptors: int) -> None:
         self.core.broker.elsewhere(running, memory)
 
-    def yields(self) -> None:
+    def yield_ownership(self) -> None:
         self.accepts = False
 
-    def takes_back(self) -> None:
+    def resume_ownership(self) -> None:
         self.accepts = True
 
     def send(self, data: bytes) -> bool:
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -179,7 +179,7 @@
     return messages
 
 
-@pytest.mark.parametrize("how", ["leave", "yields"])
+@pytest.mark.parametrize("how", ["leave", "yield_ownership"])
 def test_the_farewell_reaches_a_connection_that_has_not_begun(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test(core: Core, front: Front, port: int) -> None:
         serve = front.serve
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -620,7 +620,7 @@
             book = engine.book
             most_live = max(most_live, book.live)
             assert book.disk <= 2 * book.live + 5 * SEGMENT
-    figures = engine.figures()
+    figures = engine.metrics()
     assert figures["segments.dropped"] > 50
     assert figures.get("copied_bytes", 0) <= figures["put_bytes"] + most_live
 
--- a/tests/test_store_threads.py
+++ b/tests/test_store_threads.py
@@ -158,7 +158,7 @@
     store = Store.open(tmp_path, max_bytes=2**22, sync_every=0.01)
     store.put(b"a", b"1", math.inf)
     until = time.monotonic() + 30
-    while store.figures()["queued_bytes"]:
+    while store.metrics()["queued_bytes"]:
         assert time.monotonic() < until
         time.sleep(0.005)
     store.close()
