--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,7 +9,7 @@
 
 from chutepin.lab import standins
 
-from .known_red import listed
+from .known_red import known_failures
 
 WORKER = int(os.environ.get("PYTEST_XDIST_WORKER", "gw0")[2:])
 WORKERS = int(os.environ.get("PYTEST_XDIST_WORKER_COUNT", "1"))
@@ -21,12 +21,12 @@
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
     """A listed test may fail, and must: one that passes is to be taken off the list."""
     for item in items:
-        for known in listed():
-            if known.names(item.nodeid):
-                item.add_marker(pytest.mark.xfail(strict=True, reason=f"{known.cause} ({known.issue})"))
+        for failure in known_failures():
+            if failure.matches(item.nodeid):
+                item.add_marker(pytest.mark.xfail(strict=True, reason=str(failure)))
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """What the suite passed over."""
-    for known in listed():
-        terminalreporter.write_line(f"KNOWN RED {known.test}: {known.cause} ({known.issue})")
+    """Print what the suite passed over."""
+    for failure in known_failures():
+        terminalreporter.write_line(f"KNOWN RED {failure}")
--- a/tests/test_repo.py
+++ b/tests/test_repo.py
@@ -12,7 +12,7 @@
 import pytest
 
 from .imports import Import, Kind, cycles, import_graph
-from .known_red import FILE, Known, listed, problems
+from .known_red import FILE, KnownFailure, KnownRedError, known_failures, problems
 
 ROOT = Path(__file__).parent.parent
 
@@ -108,23 +108,39 @@
 
 
 def test_the_list_of_known_red_tests_is_sound() -> None:
-    assert problems(listed()) == []
+    assert problems(known_failures()) == []
+
+
+HERE = "tests/test_repo.py"
+README_TEST = f"{HERE}::test_readme_example_runs"
+COMMAND = f"pytest {HERE}, no seed"
 
 
 def test_a_fourth_known_red_test_and_a_name_without_a_test_are_found() -> None:
-    here = "tests/test_repo.py::test_readme_example_runs"
-    assert problems([Known(here, "a", "1")] * 3) == []
-    assert problems([Known(here, "a", "1")] * 4) == ["4 tests are listed, 3 at most"]
-    assert problems([Known(here + "_not", "a", "1"), Known("tests/none.py::test", "a", "1")]) == [
-        f"no such test: {here}_not",
-        "no such test: tests/none.py::test",
+    failure = KnownFailure(README_TEST, COMMAND, "seen", "issue 1")
+    assert problems([failure] * 3) == []
+    assert problems([failure] * 4) == ["4 tests are listed, 3 at most"]
+    unknown = KnownFailure(f"{README_TEST}_not", COMMAND, "seen", "issue 1")
+    no_file = KnownFailure("tests/none.py::test", "pytest tests/none.py, seed 3", "seen", "issue 1")
+    assert problems([unknown, no_file]) == [f"no such test: {README_TEST}_not", "no such test: tests/none.py::test"]
+
+
+def test_a_known_red_entry_needs_a_command_with_its_seed_and_an_issue() -> None:
+    other_command = KnownFailure(README_TEST, "pytest tests/test_node.py, seed 3", "seen", "issue 1")
+    no_seed = KnownFailure(README_TEST, f"pytest {HERE}", "seen", "issue 1")
+    no_issue = KnownFailure(README_TEST, COMMAND, "seen", "some day")
+    assert problems([other_command, no_seed, no_issue]) == [
+        f"no command with its seed that runs {HERE}: pytest tests/test_node.py, seed 3",
+        f"no command with its seed that runs {HERE}: pytest {HERE}",
+        "no number of an issue: some day",
     ]
 
 
-def test_a_known_red_line_of_another_shape_is_an_error(tmp_path: Path) -> None:
-    (tmp_path / FILE).write_text("tests/test_repo.py::test_readme_example_runs | a cause\n")
-    with pytest.raises(ValueError, match="not test"):
-        listed(tmp_path)
+@pytest.mark.parametrize("line", ["a test | a cause | issue 1", f"{README_TEST} | {COMMAND} | | issue 1"])
+def test_a_known_red_entry_of_another_shape_is_an_error(line: str, tmp_path: Path) -> None:
+    (tmp_path / FILE).write_text(f"{line}\n")
+    with pytest.raises(KnownRedError, match="not `test"):
+        known_failures(tmp_path)
 
 
 @pytest.mark.parametrize(("passes", "on_list", "code"), [(False, True, 0), (True, True, 1), (False, False, 1)])
@@ -136,7 +152,9 @@
     for name in ("conftest.py", "known_red.py"):
         (tests / name).write_text((ROOT / "tests" / name).read_text())
     (tests / "test_one.py").write_text(f"def test_one() -> None:\n    assert {passes}\n")
-    (tmp_path / FILE).write_text("tests/test_one.py::test_one | a cause | issue 1\n" if on_list else "")
+    (tmp_path / FILE).write_text(
+        "tests/test_one.py::test_one | pytest tests/test_one.py, no seed | a cause | issue 1\n" if on_list else ""
+    )
     ran = subprocess.run(
         [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"],
         cwd=tmp_path,
@@ -146,4 +164,5 @@
         check=False,
     )
     assert ran.returncode == code, ran.stdout
-    assert ("KNOWN RED tests/test_one.py::test_one: a cause (issue 1)" in ran.stdout) == on_list
+    printed = "KNOWN RED tests/test_one.py::test_one: a cause (pytest tests/test_one.py, no seed; issue 1)"
+    assert (printed in ran.stdout) == on_list
