--- a/chutepin/node.py
+++ b/chutepin/node.py
@@ -26,7 +26,8 @@
 from .net.control import Reporter
 from .net.executor import ExecutorLink, Session
 from .net.records import RecordsService
-from .net.resp import SWEEP, Front
+from .net.resp import RespListener
+from .net.resp.listener import SWEEP_INTERVAL_S
 from .registry import build_subsystems
 
 if TYPE_CHECKING:
@@ -174,7 +175,7 @@
         )
         self.broker.began = self._began
         alarm.broker = session.notices = self.records.listener = self.broker
-        self.front = Front(
+        self.front = RespListener(
             self.broker,
             self.clock,
             self.counters,
@@ -221,7 +222,7 @@
         from .pcap import Recorder
 
         recorder = Recorder(path, self.clock, self.counters, self.config.listen.port)
-        self.front.tap = recorder
+        self.front.recorder = recorder
         return recorder
 
     def _build_source(self, path: str) -> Source:
@@ -439,7 +440,7 @@
     async def _report(self) -> None:
         """The list follows what all processes of the node report: one that does not serve yet has nothing to say."""
         while not self._serving:
-            await asyncio.sleep(SWEEP / 5)
+            await asyncio.sleep(SWEEP_INTERVAL_S / 5)
         await self.reporter.run()
 
     def _ready(self) -> bool:
@@ -458,7 +459,7 @@
             except Exception as error:
                 self.counters.add("errors")
                 self.log.event("error", message="a part of the node is begun again", error=repr(error))
-            await asyncio.sleep(SWEEP)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
 
     async def _sweep(self) -> None:
         over = 0
@@ -467,7 +468,7 @@
                 # One look may fall between the claim of a descriptor and its opening.
                 over = over + 1 if self.descriptors.reconcile(held) else 0
                 self.counters.check_invariant(over < 3, "ledger")
-            await asyncio.sleep(SWEEP)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             self.front.close_idle()
             self.front.close_replayed()
             self.records.close_idle()
--- a/chutepin/pcap.py
+++ b/chutepin/pcap.py
@@ -19,7 +19,7 @@
 from .clock import Clock
 from .config import ConfigError
 from .counters import Counters
-from .net.resp import Connection, Front
+from .net.resp import Connection, RespListener
 
 MAX_PACKET = 256 * 1024  # bytes of a packet, as other tools bound it
 MAX_STREAMS = 512  # streams in one direction that are put together at once
@@ -266,7 +266,7 @@
 class Source:
     """Feeds a file's requests to the front as if its balancers were connected now, at the recorded pace."""
 
-    def __init__(self, path: str, port: int, front: Front, clock: Clock) -> None:
+    def __init__(self, path: str, port: int, front: RespListener, clock: Clock) -> None:
         self._port, self._front, self._clock = port, front, clock
         self.report = Report()
         try:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -27,10 +27,11 @@
 from chutepin.facade import End
 from chutepin.lab.standins import eventually
 from chutepin.logs import Log
-from chutepin.net import resp
 from chutepin.net.executor import ExecutorLink, Session
 from chutepin.net.records import RecordsService
-from chutepin.net.resp import BYE_GRACE, FIRST_BY, LINGER, WHOLE_BY, Connection, Front
+from chutepin.net.resp import Connection, RespListener, sockets
+from chutepin.net.resp.connection import MESSAGE_TIMEOUT_S
+from chutepin.net.resp.listener import BYE_GRACE_S, DRAIN_READ_S, FIRST_MESSAGE_TIMEOUT_S
 
 from .helper import ENV, Core, Hand
 from .test_standing import answer_all, asks, call, heard, on_front, on_links
@@ -44,19 +45,19 @@
         core.end(id)
 
 
-async def at_rest(core: Core, front: Front, port: int, how: str) -> tuple[socket.socket, Callable[[], object]]:
+async def at_rest(core: Core, front: RespListener, port: int, how: str) -> tuple[socket.socket, Callable[[], object]]:
     """A balancer's connection that is about to be closed, and what closes it once its time has come."""
     client = socket.create_connection(("127.0.0.1", port))
     if how == "first":  # it owes its first message
         await eventually(lambda: front._links)
-        core.hand.time += FIRST_BY + 0.1
+        core.hand.time += FIRST_MESSAGE_TIMEOUT_S + 0.1
         return client, front.close_idle
     client.sendall(call(core, 6))
     await eventually(lambda: core.ports.ids("exec"))
     ended(core, 1)
     if how == "idle":
-        next(iter(front.connections.values())).bye(core.hand.time)
-        core.hand.time += BYE_GRACE + 0.5
+        next(iter(front.connections.values())).send_bye(core.hand.time)
+        core.hand.time += BYE_GRACE_S + 0.5
         return client, front.close_idle
     core.hand.time += 1.9
     front.max_connections = 1
@@ -70,7 +71,7 @@
 ) -> None:
     """It lay there while the loop was at work elsewhere, and its balancer would not send it again after that long."""
 
-    async def test(core: Core, front: Front, port: int) -> None:
+    async def test(core: Core, front: RespListener, port: int) -> None:
         client, closes = await at_rest(core, front, port, how)
         before, feed, closed = len(core.ports.ids("exec")), asyncio.StreamReader.feed_data, list[object]()
 
@@ -99,7 +100,7 @@
 def test_a_request_that_comes_after_its_connection_was_closed_does_not_run(how: str) -> None:
     """The other order. No answer could be written, and its balancer, which sees the close, sends it again."""
 
-    async def test(core: Core, front: Front, port: int) -> None:
+    async def test(core: Core, front: RespListener, port: int) -> None:
         client, closes = await at_rest(core, front, port, how)
         before = len(core.ports.ids("exec"))
         assert closes() is (Welcome.SERVE if how == "evicted" else None)
@@ -115,12 +116,12 @@
     """Answers that a balancer has yet to read, and a message of its own that never ends: closed over what still comes,
     the connection was reset and the answers with it."""
 
-    async def test(core: Core, front: Front, port: int) -> None:
+    async def test(core: Core, front: RespListener, port: int) -> None:
         front.listeners[0].setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         with socket.socket() as client:
             await asks(core, client, port, call(core, 31)[:40])
             answer_all(core)
-            core.hand.time += WHOLE_BY + LINGER + 0.1
+            core.hand.time += MESSAGE_TIMEOUT_S + DRAIN_READ_S + 0.1
             client.sendall(b"x")
             front.close_idle()
             answers = await heard(client)
@@ -136,9 +137,9 @@
 ) -> None:
     """Answers lie unsent as its connection is closed: it was waited for without end, or its descriptor was closed while
     the loop still waited to write there, and the next connection got that number."""
-    monkeypatch.setattr(resp, "FLUSH_BY", 0.05)
+    monkeypatch.setattr(sockets, "FLUSH_TIMEOUT_S", 0.05)
 
-    async def test(core: Core, front: Front, port: int) -> None:
+    async def test(core: Core, front: RespListener, port: int) -> None:
         front.listeners[0].setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         with socket.socket() as client:
             await asks(core, client, port, call(core, 31)[:40] if how == "slow" else b"")
@@ -148,16 +149,16 @@
             if how == "malformed":
                 client.sendall(b"what")
                 await eventually(lambda: core.counters.counts["balancers.malformed"])
-                core.hand.time += LINGER + 0.3
+                core.hand.time += DRAIN_READ_S + 0.3
                 front.close_idle()
             elif how == "slow":
-                core.hand.time += WHOLE_BY + LINGER + 0.1
+                core.hand.time += MESSAGE_TIMEOUT_S + DRAIN_READ_S + 0.1
                 front.close_idle()
-                core.hand.time += LINGER + 0.3
+                core.hand.time += DRAIN_READ_S + 0.3
                 front.close_idle()
             elif how == "goodbye":
-                only(front).bye(core.hand.time)
-                core.hand.time += BYE_GRACE + 0.3
+                only(front).send_bye(core.hand.time)
+                core.hand.time += BYE_GRACE_S + 0.3
                 front.close_idle()
             elif how == "evicted":
                 core.hand.time += 1.9
@@ -178,7 +179,7 @@
 
 
 def test_a_stranger_keeps_no_place_by_trickling() -> None:
-    async def test(core: Core, front: Front, port: int) -> None:
+    async def test(core: Core, front: RespListener, port: int) -> None:
         with socket.create_connection(("127.0.0.1", port)) as client:
             client.sendall(call(core, 7)[:20])
             await eventually(lambda: front._links and only(front).parser.partial)
@@ -190,7 +191,7 @@
     on_front(test)
 
 
-def only(front: Front) -> Connection:
+def only(front: RespListener) -> Connection:
     (connection,) = front.connections.values()
     return connection
 
@@ -198,17 +199,17 @@
 def test_a_connection_is_not_closed_right_after_its_last_answer() -> None:
     """Told goodbye long ago, it was closed as its answer was written: whatever came then reset the answer away."""
 
-    async def test(core: Core, front: Front, port: int) -> None:
+    async def test(core: Core, front: RespListener, port: int) -> None:
         with socket.create_connection(("127.0.0.1", port)) as client:
             client.sendall(call(core, 7))
             await eventually(lambda: core.ports.ids("exec"))
-            only(front).bye(core.hand.time)
-            core.pass_time(BYE_GRACE + 0.3)
+            only(front).send_bye(core.hand.time)
+            core.pass_time(BYE_GRACE_S + 0.3)
             ended(core, 1)
             core.hand.time += 0.3
             front.close_idle()
             assert not only(front).closing
-            core.hand.time += BYE_GRACE
+            core.hand.time += BYE_GRACE_S
             front.close_idle()
             assert [items[:2] for items in await heard(client)] == [[b"0", b"BYE"], [b"7", b"OK"]]
 
@@ -217,22 +218,22 @@
 
 @pytest.mark.parametrize("ends", [True, False])
 def test_a_message_that_has_begun_may_end_though_goodbye_was_said(ends: bool) -> None:
-    async def test(core: Core, front: Front, port: int) -> None:
+    async def test(core: Core, front: RespListener, port: int) -> None:
         with socket.create_connection(("127.0.0.1", port)) as client:
             whole = call(core, 7)
             client.sendall(call(core, 6) + whole[:50])  # one that owes no first message any more
             await eventually(lambda: core.ports.ids("exec"))
             ended(core, 1)
             assert only(front).parser.partial
-            only(front).bye(core.hand.time)
-            core.hand.time += BYE_GRACE + 0.3
+            only(front).send_bye(core.hand.time)
+            core.hand.time += BYE_GRACE_S + 0.3
             front.close_idle()
             assert not only(front).closing
             if ends:
                 client.sendall(whole[50:])
                 await eventually(lambda: len(core.ports.ids("exec")) == 2)
                 ended(core, 1)
-            core.hand.time += WHOLE_BY + LINGER
+            core.hand.time += MESSAGE_TIMEOUT_S + DRAIN_READ_S
             front.close_idle()
             client.shutdown(socket.SHUT_WR)
             told = [items[:2] for items in await heard(client)]
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -22,7 +22,7 @@
 from chutepin.net.executor import ExecutorLink, Session
 from chutepin.net.lines import LineParser, ProtocolError, line
 from chutepin.net.records import RecordsService
-from chutepin.net.resp import Connection, Front, RespParser, array, format_answer, parse_call
+from chutepin.net.resp import Connection, RespListener, RespParser, array, format_answer, parse_call
 
 from .helper import STEPS, Core, Hand
 
@@ -34,7 +34,7 @@
     def begin(self) -> None:
         self.core, self.written = Core(), bytearray()
         clock = self.core.hand.clock
-        self.front = Front(self.core.broker, clock, self.core.counters, Log(clock), 1024)
+        self.front = RespListener(self.core.broker, clock, self.core.counters, Log(clock), 1024)
         self.connection = Connection(self.front, self.written.extend)
         self.parser, self.tag = RespParser(), 0
         self.open, self.given_up = set[int](), set[int]()
@@ -462,7 +462,7 @@
 def test_room_is_made_by_what_is_of_least_use_and_never_by_what_came_just_now() -> None:
     core = Core()
     clock = core.hand.clock
-    front = Front(core.broker, clock, core.counters, Log(clock), 16)
+    front = RespListener(core.broker, clock, core.counters, Log(clock), 16)
     front.table.limit = front.max_connections = 7
     ages = {"new": 0.1, "last": 1.0, "first": 1.0, "checked": 3.0, "checked later": 2.0, "idle": 2.0, "busy": 9.0}
     uses = {
@@ -489,11 +489,11 @@
 def test_a_connection_that_made_room_leaves_no_deadline_behind() -> None:
     core = Core()
     now = core.hand.time
-    front = Front(core.broker, core.hand.clock, core.counters, Log(core.hand.clock), 16)
+    front = RespListener(core.broker, core.hand.clock, core.counters, Log(core.hand.clock), 16)
     front.max_connections = 1
     front.table.opened(1, now - 1, b"\x7f\0\0\1")
-    front.connections[1] = Connection(front, lambda _: None, key=1, last_used=now - 1, whole_by=now + 1)
-    front.arm(front.connections[1])
+    front.connections[1] = Connection(front, lambda _: None, key=1, last_used_at=now - 1, message_deadline=now + 1)
+    front.update_deadline(front.connections[1])
     assert front.admits(b"\x7f\0\0\1", short=False) is Welcome.SERVE and not front.connections
     core.hand.time += 5
     front.close_idle()  # it would look for a connection that is gone, and end the sweep of all others
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -29,7 +29,7 @@
 from chutepin.net import executor, records
 from chutepin.net.executor import ExecutorLink, Session
 from chutepin.net.records import RecordsService
-from chutepin.net.resp import BYE, Front, RespParser, array
+from chutepin.net.resp import BYE, RespListener, RespParser, array
 from chutepin.node import Node
 
 from .helper import Core, Standins
@@ -139,12 +139,12 @@
 # --- the front, in this process: what crosses is put between two steps of the loop ---
 
 
-def on_front(test: Callable[[Core, Front, int], Awaitable[None]]) -> None:
+def on_front(test: Callable[[Core, RespListener, int], Awaitable[None]]) -> None:
     """Run a test with a front that listens on a real socket, over a core with recording ports."""
 
     async def run() -> None:
         core = Core()
-        front = Front(core.broker, core.hand.clock, core.counters, Log(core.hand.clock), 64)
+        front = RespListener(core.broker, core.hand.clock, core.counters, Log(core.hand.clock), 64)
         await front.listen(Address("127.0.0.1", 0))
         async with asyncio.timeout_at(asyncio.get_running_loop().time() + 20):
             await test(core, front, front.listeners[0].getsockname()[1])
@@ -181,7 +181,7 @@
 
 @pytest.mark.parametrize("how", ["leave", "yield_ownership"])
 def test_the_farewell_reaches_a_connection_that_has_not_begun(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    async def test(core: Core, front: Front, port: int) -> None:
+    async def test(core: Core, front: RespListener, port: int) -> None:
         serve = front.serve
 
         def crossing(sock: socket.socket, address: bytes) -> None:
@@ -197,7 +197,7 @@
 
 
 def test_what_the_system_has_accepted_is_answered_though_the_node_leaves() -> None:
-    async def test(core: Core, front: Front, port: int) -> None:
+    async def test(core: Core, front: RespListener, port: int) -> None:
         with socket.create_connection(("127.0.0.1", port)) as client:  # the loop has no turn from here on
             client.sendall(call(core, 7))
             front.leave()
@@ -228,7 +228,7 @@
 
 
 def test_a_half_closed_balancer_that_reads_slowly_gets_all_its_answers(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def test(core: Core, front: Front, port: int) -> None:
+    async def test(core: Core, front: RespListener, port: int) -> None:
         front.listeners[0].setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         closed, close = asyncio.Event(), asyncio.StreamWriter.close
 
