--- a/chutepin/net/resp/listener.py
+++ b/chutepin/net/resp/listener.py
@@ -32,17 +32,13 @@
 from .connection import Connection, Reply
 from .messages import BYE, CALL, CANCEL, HEALTH, format_health, parse_call
 from .sockets import FLUSH_TIMEOUT_S, READ_BYTES, CountingReader, SocketLink
+from .timeouts import DRAIN_READ_S, Expired, expired, next_deadline
+from .unsent import UnsentLimit
 
 MAX_OPEN_REQUESTS = 64  # on one connection; balancers keep to 32
-MAX_UNSENT_BYTES = 192 * 1024  # that one balancer may leave unread: 32 answers of the greatest size fit
-MAX_UNSENT_TOTAL_BYTES = 24 * 2**20  # the same for all connections together
-MIN_COUNTED_UNSENT_BYTES = 16384  # connections that leave less unread are not counted
 READER_LIMIT_BYTES = 65536
 SWEEP_INTERVAL_S = 0.25  # between looks at idle connections
 FIRST_MESSAGE_TIMEOUT_S = 2.0  # in which a new connection must have sent a complete message
-DRAIN_READ_S = 1.0  # for which input is read and discarded after the last answer
-HEALTH_CHECK_IDLE_S = 60.0  # that a connection for health checks may be silent
-BYE_GRACE_S = 2.0  # that a balancer has to close an idle connection once asked to
 DESCRIPTOR_PART = "front"  # the listener's name in the descriptor budget
 
 
@@ -81,7 +77,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._deadlines = Deadlines()
         self._idle_after = math.inf  # the module's, when it was last looked at
-        self._unsent: dict[int, int] = {}  # of connections that leave much unread, by key; as it was last seen
+        self._unsent = UnsentLimit(self._unsent_bytes)
         self.recorder: Recorder | None = None
         self._replays_ending: list[Connection] = []  # from a file that has no more for them
 
@@ -306,7 +302,7 @@
             await self._flush(writer)
         finally:
             self._links.pop(key, None)
-            self._unsent.pop(key, None)
+            self._unsent.forget(key)
             for request in connection.open.values():
                 self.broker.gone(request)
             connection.open.clear()
@@ -363,95 +359,62 @@
                 await writer.wait_closed()
 
     def _write(self, connection: Connection, transport: asyncio.WriteTransport, data: bytes) -> None:
-        """Guards memory against balancers that do not read: past the bounds their connection is dropped."""
+        """Write, and drop a connection whose balancer leaves too much unread."""
         if transport.is_closing():
             return
         transport.write(data)
         self.record(connection, True, data)
-        unsent = transport.get_write_buffer_size()
-        if unsent <= MIN_COUNTED_UNSENT_BYTES:
-            self._unsent.pop(connection.key, None)
-            return
-        self._unsent[connection.key] = unsent
-        if unsent > MAX_UNSENT_BYTES or self._total_unsent_bytes() > MAX_UNSENT_TOTAL_BYTES:
+        if self._unsent.is_exceeded(connection.key, transport.get_write_buffer_size()):
             self.counters.add("balancers.stuck")
             transport.abort()
 
-    def _total_unsent_bytes(self) -> int:
-        """What all leave unread. Only those that were seen to leave much are looked at; who has read since goes."""
-        if len(self._unsent) * MAX_UNSENT_BYTES <= MAX_UNSENT_TOTAL_BYTES:
-            return 0
-        for key in list(self._unsent):
-            link = self._links.get(key)
-            unsent = link.transport.get_write_buffer_size() if link is not None else 0
-            if unsent > MIN_COUNTED_UNSENT_BYTES:
-                self._unsent[key] = unsent
-            else:
-                del self._unsent[key]
-        return sum(self._unsent.values())
+    def _unsent_bytes(self, key: int) -> int:
+        link = self._links.get(key)
+        return link.transport.get_write_buffer_size() if link is not None else 0
 
     def update_deadline(self, connection: Connection) -> None:
         """Look at a connection again when it may have become slow or idle."""
-        if not connection.key or connection.key not in self.connections:
-            return
-        at = connection.close_at if connection.closing else connection.message_deadline
-        if not connection.open and not connection.closing:
-            at = min(
-                at,
-                self._bye_deadline(connection)
-                if connection.bye_sent_at is not None
-                else connection.last_used_at + self._idle_limit_s(connection),
-            )
-        self._deadlines.set(connection.key, at)
-
-    @staticmethod
-    def _bye_deadline(connection: Connection) -> float:
-        """When one is closed that stays though it was told goodbye: not in the middle of a message, nor while its last
-        answer may be on its way, which a reset would take back."""
-        if connection.parser.partial:
-            return connection.message_deadline
-        return max(connection.bye_sent_at or 0.0, connection.last_answer_at) + BYE_GRACE_S
-
-    def _idle_limit_s(self, connection: Connection) -> float:
-        return (
-            HEALTH_CHECK_IDLE_S if connection.carries_health_checks else max(self.broker.idle_after, SWEEP_INTERVAL_S)
-        )
+        if connection.key and connection.key in self.connections:
+            self._deadlines.set(connection.key, next_deadline(connection, self.broker.idle_after))
 
     def close_idle(self) -> None:
-        """Say goodbye on connections that were idle as long as the module allows; close those that stay, and those
-        whose message takes too long. What has no deadline now costs nothing."""
+        """Ask balancers to close connections that are idle, and close those that stay or whose message takes too long.
+
+        A connection without a deadline costs nothing here."""
         now = self.clock.now()
         if self.broker.idle_after < self._idle_after:  # deadlines may have been set by a longer time
             for connection in self.connections.values():
                 self.update_deadline(connection)
         self._idle_after = self.broker.idle_after
         for key in self._deadlines.due(now):
-            self._enforce_deadline(self.connections[key], now)
+            connection = self.connections[key]
+            if not self._enforce_deadline(connection, self._links.get(key), now):
+                self.update_deadline(connection)
         self.table.forget(now)
 
-    def _enforce_deadline(self, connection: Connection, now: float) -> None:
-        link = self._links.get(connection.key)
-        if connection.closing:
-            if link is not None and now > connection.close_at:
+    def _enforce_deadline(self, connection: Connection, link: SocketLink | None, now: float) -> bool:
+        """Act on a deadline that is over; false where the connection is to be looked at again."""
+        match expired(connection, now, self.broker.idle_after):
+            case Expired.CLOSE if link is not None:
                 link.close()
-                return
-        elif now > connection.message_deadline:
-            # The rest may lie there unread; one that trickles gains no more than this.
-            if link is not None and (now > connection.message_deadline + DRAIN_READ_S or not link.has_unread_input()):
+            case Expired.MESSAGE if link is not None and self._has_sent_too_little(connection, link, now):
                 self.counters.add("balancers.slow")
                 connection.abort()
                 self._finish_writing(connection, link)
-                return
-        elif not connection.open and connection.bye_sent_at is not None:
-            if link is not None and now > self._bye_deadline(connection) and not link.has_unread_input():
+            case Expired.BYE if link is not None and not link.has_unread_input():
                 connection.closing = True
                 link.close()
-                return
-        elif not connection.open and now - connection.last_used_at > self._idle_limit_s(connection):
-            self.counters.add("balancers.idle")
-            connection.send_bye(now)
-            return
-        self.update_deadline(connection)
+            case Expired.IDLE:
+                self.counters.add("balancers.idle")
+                connection.send_bye(now)
+            case _:
+                return False
+        return True
+
+    @staticmethod
+    def _has_sent_too_little(connection: Connection, link: SocketLink, now: float) -> bool:
+        """The rest of the message may lie unread; a peer that trickles gains no more than that time."""
+        return now > connection.message_deadline + DRAIN_READ_S or not link.has_unread_input()
 
     def leave(self) -> None:
         """Take no new connections and ask that nothing more be sent on the open ones."""
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -31,7 +31,8 @@
 from chutepin.net.records import RecordsService
 from chutepin.net.resp import Connection, RespListener, sockets
 from chutepin.net.resp.connection import MESSAGE_TIMEOUT_S
-from chutepin.net.resp.listener import BYE_GRACE_S, DRAIN_READ_S, FIRST_MESSAGE_TIMEOUT_S
+from chutepin.net.resp.listener import FIRST_MESSAGE_TIMEOUT_S
+from chutepin.net.resp.timeouts import BYE_GRACE_S, DRAIN_READ_S
 
 from .helper import ENV, Core, Hand
 from .test_standing import answer_all, asks, call, heard, on_front, on_links
