--- /dev/null
+++ b/chutepin/net/amqp/requests.py
@@ -0,0 +1,67 @@
+"""From a delivery to a request: its class, key and deadline. Pure."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Callable
+from datetime import datetime
+
+from pamqp import commands
+
+from ...broker import Request
+from ...config import QueueConfig
+from ...decision import Idempotency, RequestClass
+from ..lines import ProtocolError
+from .session import Content
+
+MAX_EXPIRATION_DIGITS = 15
+DEADLINE_HEADER = "x-due-ms"  # Unix milliseconds
+
+
+def request_from(
+    content: Content,
+    properties: commands.Basic.Properties,
+    queue: QueueConfig,
+    contract: RequestClass,
+    *,
+    new_id: Callable[[], str],
+    rank: float,
+    now: float,
+    redelivery_window_s: float,
+) -> Request:
+    """Build the request of a complete delivery. Raises ProtocolError for what can never be served."""
+    keyed = contract.idempotency is Idempotency.KEYED
+    key = properties.message_id
+    if keyed and not key:
+        raise ProtocolError("a work order without message-id")
+    return Request(
+        id=new_id(),
+        cls=queue.cls,
+        body=b"".join(content.parts),
+        arrived=now,
+        due=min(now + contract.deadline, deadline_of(properties, now)),
+        size=queue.held_kb,
+        tenant=queue.team,
+        key=f"amqp {queue.name} {key}" if keyed else None,
+        rank=rank,
+        is_retry=bool(content.deliver.redelivered),
+        watched=False,
+        remembered=redelivery_window_s,
+    )
+
+
+def deadline_of(properties: commands.Basic.Properties, now: float) -> float:
+    """Return the absolute deadline that the publisher set; infinite if none. Raises ProtocolError."""
+    deadline_ms = (properties.headers or {}).get(DEADLINE_HEADER)
+    if deadline_ms is not None:
+        if isinstance(deadline_ms, bool) or not isinstance(deadline_ms, int):
+            raise ProtocolError(f"{DEADLINE_HEADER} is no whole number")
+        return deadline_ms / 1000
+    expiration = properties.expiration
+    if not expiration:
+        return math.inf
+    if not expiration.isascii() or not expiration.isdigit() or len(expiration) > MAX_EXPIRATION_DIGITS:
+        raise ProtocolError("expiration is no whole number")
+    sent = properties.timestamp
+    start = sent.timestamp() if isinstance(sent, datetime) else now
+    return start + int(expiration) / 1000
--- /dev/null
+++ b/chutepin/net/amqp/session.py
@@ -0,0 +1,221 @@
+"""One AMQP connection with one channel, as a state machine without a socket."""
+
+from __future__ import annotations
+
+import struct
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from enum import Enum
+
+from pamqp import base, body, commands, frame, header
+
+from ...config import AmqpConfig
+from ...counters import Counters
+from ..lines import ProtocolError
+from .frames import HEAD_BYTES, HEADER, HEARTBEAT, MAX_FRAME_BYTES, METHOD, FrameParser, decode
+
+CHANNEL = 1
+MIN_FRAME_BYTES = 4096  # that every peer must accept
+MIN_HEADER_BYTES = HEAD_BYTES + 12 + 1  # class, weight, body size; the frame's end
+BODY_SIZE = slice(HEAD_BYTES + 4, HEAD_BYTES + 12)  # where a content header has the size of the body
+PROTOCOL_HEADER = b"AMQP\x00\x00\x09\x01"
+
+
+class State(Enum):
+    """How far a session is open."""
+
+    START = 0
+    TUNE = 1
+    OPEN = 2
+    CHANNEL = 3
+    WINDOW = 4
+    READY = 5
+    CLOSED = 6
+
+
+@dataclass(slots=True)
+class Content:
+    """A delivery that is being received."""
+
+    deliver: commands.Basic.Deliver
+    properties: commands.Basic.Properties | None = None  # None: they could not be decoded
+    body_bytes: int = -1  # until the header was received
+    received_bytes: int = 0
+    parts: list[bytes] = field(default_factory=list)
+
+
+class Session:
+    """The protocol of one link, without a socket: what to write, and the complete deliveries."""
+
+    def __init__(
+        self,
+        config: AmqpConfig,
+        write: Callable[[bytes], None],
+        deliver: Callable[[Session, Content], None],
+        counters: Counters,
+    ) -> None:
+        self._config, self._write, self._deliver, self._counters = config, write, deliver, counters
+        self._parser = FrameParser()
+        self._content: Content | None = None
+        self.state = State.START
+        self.frame_max = MIN_FRAME_BYTES
+        self.heartbeat = 0
+        self.unsettled: set[int] = set()
+        self._window = 0
+        self.consuming: set[int] = set()  # queues by their place in the configuration
+
+    def start(self) -> None:
+        """Send the protocol header."""
+        self._write(PROTOCOL_HEADER)
+
+    def send(self, value: frame.FrameTypes, channel: int = CHANNEL) -> None:
+        """Write one frame."""
+        self._write(frame.marshal(value, channel))
+
+    def received(self, data: bytes) -> None:
+        """Take in what the broker wrote."""
+        self._parser.feed(data)
+        while self.state is not State.CLOSED and (got := self._parser.next()) is not None:
+            self._handle_frame(*got)
+
+    def lost(self) -> None:
+        """The link is gone, and its delivery tags with it."""
+        self.state = State.CLOSED
+        self.unsettled.clear()
+
+    def set_window(self, count: int) -> None:
+        """Allow this many unsettled deliveries. 0 would mean no limit to the broker and is never sent."""
+        if self.state is State.READY and count != self._window and count > 0:
+            self._window = count
+            self.send(commands.Basic.Qos(prefetch_count=count, global_=True))
+
+    def consume(self, index: int) -> None:
+        """Ask for deliveries of a queue."""
+        if self.state is State.READY and index not in self.consuming:
+            self.consuming.add(index)
+            name = self._config.queues[index].name
+            self.send(commands.Basic.Consume(queue=name, consumer_tag=f"q{index}", nowait=True))
+
+    def pause(self, index: int) -> None:
+        """Ask for no more deliveries of a queue; those on their way still come."""
+        if self.state is State.READY and index in self.consuming:
+            self.consuming.discard(index)
+            self.send(commands.Basic.Cancel(consumer_tag=f"q{index}", nowait=True))
+
+    def publish(self, queue: str, properties: commands.Basic.Properties, data: bytes) -> None:
+        """Publish a message to a queue, by the default exchange."""
+        self.send(commands.Basic.Publish(routing_key=queue))
+        self.send(header.ContentHeader(body_size=len(data), properties=properties))
+        step = self.frame_max - HEAD_BYTES - 1
+        for at in range(0, len(data), step):
+            self.send(body.ContentBody(data[at : at + step]))
+
+    def settle(self, tag: int, method: base.Frame) -> bool:
+        """Settle a delivery, once; false where the link that it came on is gone."""
+        if tag not in self.unsettled:
+            return False
+        self.unsettled.discard(tag)
+        self.send(method)
+        return True
+
+    def close(self) -> None:
+        """Close the connection in order; only once every delivery is settled."""
+        if self.state is not State.CLOSED:
+            self.send(commands.Connection.Close(200, "leaving", 0, 0), 0)
+            self.state = State.CLOSED
+
+    def _handle_frame(self, kind: int, channel: int, raw: bytes) -> None:
+        if kind == HEARTBEAT:
+            return
+        if channel not in (0, CHANNEL):
+            raise ProtocolError("a frame on a channel that was never opened")
+        if kind == METHOD:
+            if self._content is not None:
+                raise ProtocolError("a method inside a content")
+            self._handle_method(decode(raw))
+        elif self._content is None:
+            raise ProtocolError("content without a delivery")
+        elif kind == HEADER:
+            self._handle_header(self._content, raw)
+        else:
+            self._handle_body(self._content, raw[HEAD_BYTES:-1])
+
+    def _handle_method(self, method: object) -> None:
+        match method:
+            case commands.Connection.Start() if self.state is State.START:
+                self._authenticate(method)
+            case commands.Connection.Tune() if self.state is State.TUNE:
+                self._tune(method)
+            case commands.Connection.OpenOk() if self.state is State.OPEN:
+                self.send(commands.Channel.Open())
+                self.state = State.CHANNEL
+            case commands.Channel.OpenOk() if self.state is State.CHANNEL:
+                self._window = self._config.prefetch
+                self.send(commands.Basic.Qos(prefetch_count=self._window, global_=True))
+                self.state = State.WINDOW
+            case commands.Basic.QosOk() if self.state in (State.WINDOW, State.READY):
+                self.state = State.READY
+            case commands.Basic.Deliver() if self.state is State.READY:
+                self._content = Content(method)
+            case commands.Channel.Flow():
+                self.send(commands.Channel.FlowOk(method.active))
+            case commands.Channel.Close() | commands.Connection.Close():
+                self._confirm_close(method)
+            case _:
+                raise ProtocolError(f"unexpected {getattr(method, 'name', 'frame')}")
+
+    def _authenticate(self, start: commands.Connection.Start) -> None:
+        if "PLAIN" not in str(start.mechanisms).split():
+            raise ProtocolError("the broker does not offer PLAIN")
+        secret = f"\0{self._config.user}\0{self._config.password}"
+        self.send(commands.Connection.StartOk({"product": "chutepin"}, "PLAIN", secret), 0)
+        self.state = State.TUNE
+
+    def _tune(self, tune: commands.Connection.Tune) -> None:
+        self.frame_max = max(MIN_FRAME_BYTES, min(tune.frame_max or MAX_FRAME_BYTES, MAX_FRAME_BYTES))
+        heartbeats = [seconds for seconds in (tune.heartbeat, self._config.heartbeat) if seconds]
+        self.heartbeat = min(heartbeats, default=0)
+        self.send(commands.Connection.TuneOk(CHANNEL, self.frame_max, self.heartbeat), 0)
+        self.send(commands.Connection.Open(self._config.virtual_host), 0)
+        self.state = State.OPEN
+
+    def _confirm_close(self, close: commands.Channel.Close | commands.Connection.Close) -> None:
+        if isinstance(close, commands.Connection.Close):
+            self.send(commands.Connection.CloseOk(), 0)
+        else:
+            self.send(commands.Channel.CloseOk())
+        raise ProtocolError(f"closed by the broker: {close.reply_code} {close.reply_text}")
+
+    def _handle_header(self, content: Content, raw: bytes) -> None:
+        """Take in a content header.
+
+        Properties that cannot be decoded end that delivery, not the link: the size of the body is a fixed part of
+        the frame."""
+        if content.body_bytes >= 0 or len(raw) < MIN_HEADER_BYTES:
+            raise ProtocolError("a second content header, or one cut short")
+        content.body_bytes = int(struct.unpack(">Q", raw[BODY_SIZE])[0])
+        try:
+            decoded = decode(raw)
+            content.properties = decoded.properties if isinstance(decoded, header.ContentHeader) else None
+        except ProtocolError:
+            self._counters.add("amqp.undecodable")
+        self._deliver_if_complete(content)
+
+    def _handle_body(self, content: Content, data: bytes) -> None:
+        if content.body_bytes < 0 or content.received_bytes + len(data) > content.body_bytes:
+            raise ProtocolError("more body than the header says")
+        content.received_bytes += len(data)
+        if content.body_bytes <= self._config.max_body:  # what is too large is skipped, not kept
+            content.parts.append(data)
+        self._deliver_if_complete(content)
+
+    def _deliver_if_complete(self, content: Content) -> None:
+        if content.received_bytes < content.body_bytes:
+            return
+        self._content = None
+        tag = content.deliver.delivery_tag
+        if not isinstance(tag, int) or tag in self.unsettled or len(self.unsettled) >= self._config.prefetch:
+            raise ProtocolError("a delivery outside the window, or a tag that is open")
+        self.unsettled.add(tag)
+        self._counters.add("amqp.deliveries")
+        self._deliver(self, content)
--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -22,7 +22,7 @@
 from chutepin.facade import End
 from chutepin.lab.standins import eventually
 from chutepin.logs import Log
-from chutepin.net.amqp import GREETING, Consumer, Content, FrameParser, Session, State, decode
+from chutepin.net.amqp import PROTOCOL_HEADER, Consumer, Content, FrameParser, Session, State, decode
 from chutepin.net.lines import ProtocolError
 
 from .helper import ENV, ROOT, STEPS, Core, Standins
@@ -116,7 +116,7 @@
         return self._writer is None or self._writer.transport.is_closing()
 
     async def _link(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        assert await reader.readexactly(8) == GREETING
+        assert await reader.readexactly(8) == PROTOCOL_HEADER
         self.cut()
         self._writer, self._tag = writer, 0
         self.links += 1
@@ -362,7 +362,7 @@
     """The stand-in shares the codec with the client; these bytes were written by hand from the grammar."""
     sent: list[bytes] = []
     consumer, session = quiet_session(sent, core := Core())
-    session.begin()
+    session.start()
     start = b"\0\x0a\0\x0a" + b"\0\x09" + b"\0\0\0\0" + b"\0\0\0\x05PLAIN" + b"\0\0\0\x05en_US"
     session.received(b"\x01\0\0" + struct.pack(">I", len(start)) + start + b"\xce")
     assert sent[0] == b"AMQP\0\0\x09\x01" and b"\x05PLAIN\0\0\0\x0e\0chutepin\0cane\x05en_US\xce" in sent[1]
@@ -375,7 +375,7 @@
     session.received(b"\x01\0\x01\0\0\0\x08\0\x14\0\x0b\0\0\0\0\xce")  # channel open-ok
     assert sent[5] == b"\x01\0\x01\0\0\0\x0b\0\x3c\0\x0a\0\0\0\0\0\x20\x01\xce"  # qos 32, global
     session.received(b"\x01\0\x01\0\0\0\x04\0\x3c\0\x0b\xce")
-    consumer.look(session)
+    consumer.update_consumption(session)
     assert b"\x01\0\x01" + b"\0\0\0\x20\0\x3c\0\x14\0\0\x11depot.work-orders\x02q0\x08\0\0\0\0\xce" in sent
     deliver = b"\0\x3c\0\x3c\x02q0" + b"\0\0\0\0\0\0\0\x07" + b"\0" + b"\0" + b"\x11depot.work-orders"
     session.received(
@@ -473,7 +473,7 @@
     @rule(seconds=st.floats(0.01, 3.0))
     def time_passes(self, seconds: float) -> None:
         self.core.pass_time(seconds)
-        self.consumer.look(self.session)
+        self.consumer.update_consumption(self.session)
 
     @rule()
     def link_lost(self) -> None:
