--- a/benchmarks/capacity/measure/changes.py
+++ b/benchmarks/capacity/measure/changes.py
@@ -5,7 +5,7 @@
 import itertools
 from dataclasses import replace
 
-from chutepin.lab.quorum import TIMES
+from chutepin.lab.quorum import SETTINGS
 
 from .log import Played, played
 from .tools import Measured, Table
@@ -14,7 +14,7 @@
 OBSERVERS = 100
 SEEDS = (1, 2)
 KIB = 1024
-NODE_TIMES = replace(TIMES, piece=64 * KIB, in_flight=256 * KIB, log=4 * KIB * KIB, kept=512 * KIB)
+NODE_TIMES = replace(SETTINGS, piece=64 * KIB, in_flight=256 * KIB, log=4 * KIB * KIB, kept=512 * KIB)
 UNITS = {
     "leader_bytes_per_s": "bytes a second",
     "observer_bytes_per_s": "bytes a second",
--- a/benchmarks/capacity/measure/log.py
+++ b/benchmarks/capacity/measure/log.py
@@ -12,10 +12,10 @@
 
 from benchmarks.fleet_size import ASSUMPTIONS, TARGET
 from chutepin.consensus.codec import encode
-from chutepin.consensus.core import Times
+from chutepin.consensus.raft import RaftSettings
 from chutepin.lab.claims import Record, broken
 from chutepin.lab.faults import Schedule
-from chutepin.lab.quorum import TIMES, WAY, WRITE, Simulator
+from chutepin.lab.quorum import SETTINGS, WAY, WRITE, Simulator
 
 from .request import quantile
 from .tools import Measured, Table
@@ -96,7 +96,9 @@
     spread_s: list[float]  # of each entry: from the first member that shows it to the last
 
 
-def played(observers: int, seed: int, *, times: Times = TIMES, values: itertools.count[int] | None = None) -> Played:
+def played(
+    observers: int, seed: int, *, times: RaftSettings = SETTINGS, values: itertools.count[int] | None = None
+) -> Played:
     """One run. `values`: numbers that are set. Raises RuntimeError if a claim of the log was broken."""
     rate = ASSUMPTIONS.peak_change_factor * TARGET.config_changes_per_s
     schedule = Schedule(observers + VOTERS, SECONDS)
@@ -120,7 +122,7 @@
     first: dict[int, dict[str, float]] = {}
     for showed in record.showed:
         if showed.at > FROM:
-            first.setdefault(showed.applied, {}).setdefault(showed.member, showed.at)
+            first.setdefault(showed.applied_index, {}).setdefault(showed.member, showed.at)
     return [max(at.values()) - min(at.values()) for at in first.values() if len(at) > MOST_HEARD * members]
 
 
--- a/benchmarks/capacity/measure/start.py
+++ b/benchmarks/capacity/measure/start.py
@@ -14,9 +14,9 @@
 from chutepin.cluster.messages import Packet, Sync
 from chutepin.cluster.records import Record, Status
 from chutepin.cluster.table import Table as Members
-from chutepin.consensus.facts import Facts, set_fact
-from chutepin.consensus.messages import Entry, Kind, Snapshot, Voters
-from chutepin.consensus.replica import REMEMBERED, Proposal, Replica, new_id, pack
+from chutepin.consensus.key_value import KeyValueMachine, pack_assignment
+from chutepin.consensus.messages import Entry, EntryKind, Membership, Snapshot
+from chutepin.consensus.replica import DEDUPLICATION_WINDOW, Proposal, Replica, new_proposal_id, pack_proposal
 
 from .tools import Measured, Table
 
@@ -63,15 +63,15 @@
 
 
 def _log(table: Table, facts: int, rng: random.Random) -> None:
-    replica = Replica(Facts())
+    replica = Replica(KeyValueMachine())
     for number in range(facts):
-        data = set_fact(f"tenant-{number:06d}", VALUE)
-        proposal = Proposal(new_id(number, rng.getrandbits(64)), 1, data)
-        replica.apply([Entry(number + 1, 1, Kind.PROPOSAL, pack(proposal))])
+        data = pack_assignment(f"tenant-{number:06d}", VALUE)
+        proposal = Proposal(new_proposal_id(number, rng.getrandbits(64)), 1, data)
+        replica.apply([Entry(number + 1, 1, EntryKind.PROPOSAL, pack_proposal(proposal))])
     state = replica.snapshot()
 
     def take_in() -> None:
-        Replica(Facts()).restore(Snapshot(facts, 1, Voters(("a",)), state))
+        Replica(KeyValueMachine()).restore(Snapshot(facts, 1, Membership(("a",)), state))
 
     table.add(facts, log_state_bytes=len(replica.machine.snapshot()), log_take_in_cpu_ms=_timed(take_in))
 
@@ -90,6 +90,7 @@
         (SEED,),
         (
             "in one process, without sockets; taking in is decoding and filling the tables",
-            f"bytes of the log's state are those of its machine, without the ids of the last {REMEMBERED} proposals",
+            "bytes of the log's state are those of its machine, "
+            f"without the ids of the last {DEDUPLICATION_WINDOW} proposals",
         ),
     )
--- a/benchmarks/consensus.py
+++ b/benchmarks/consensus.py
@@ -25,7 +25,7 @@
 from chutepin.lab.assembly import Assembly, play
 from chutepin.lab.claims import broken
 from chutepin.lab.faults import Fault, Schedule, draw
-from chutepin.lab.quorum import TIMES, Simulator
+from chutepin.lab.quorum import SETTINGS, Simulator
 
 from .parts import Part, Row, quantile, run_parts
 
@@ -136,7 +136,7 @@
     first: dict[int, dict[str, float]] = {}
     for showed in record.showed:
         if showed.at > 10.0:
-            first.setdefault(showed.applied, {}).setdefault(showed.member, showed.at)
+            first.setdefault(showed.applied_index, {}).setdefault(showed.member, showed.at)
     # Who takes in several entries at once shows the last of them only.
     spread = [max(times.values()) - min(times.values()) for times in first.values() if len(times) > 0.9 * (count + 3)]
     return {
@@ -156,7 +156,7 @@
 
 def behind(entries: int = 100_000) -> list[Row]:
     """An observer that starts after so many entries, while five a second go on."""
-    times = replace(TIMES, piece=64 * 1024, in_flight=256 * 1024, log=4 * 2**20, kept=512 * 1024)
+    times = replace(SETTINGS, piece=64 * 1024, in_flight=256 * 1024, log=4 * 2**20, kept=512 * 1024)
     late = Schedule(4, 60.0, (Fault(0.01, "crash", ("n4",)), Fault(45.0, "restart", ("n4",))))
     simulator = Simulator(late, 1, every=1e9, times=times)
     sent = Counter[str]()
@@ -172,27 +172,39 @@
 
     def propose() -> None:
         host = next(
-            (host for host in simulator.hosts.values() if host.member is not None and host.member.core.role == 3), None
+            (
+                host
+                for host in simulator.hosts.values()
+                if host.participant is not None and host.participant.raft.role == 3
+            ),
+            None,
         )
-        if host is not None and host.member is not None and state["made"] < entries:
-            from chutepin.consensus.facts import set_fact
+        if host is not None and host.participant is not None and state["made"] < entries:
+            from chutepin.consensus.key_value import pack_assignment
 
-            for _ in range(min(250, 250 - host.member.waiting)):
+            for _ in range(min(250, 250 - host.participant.waiting)):
                 state["made"] += 1
-                host.member.propose(
-                    simulator.now, host.member.new_id(), set_fact("k", b"%d" % state["made"]), simulator.now + 3.0
+                host.participant.propose(
+                    simulator.now,
+                    host.participant.new_proposal_id(),
+                    pack_assignment("k", b"%d" % state["made"]),
+                    simulator.now + 3.0,
                 )
             simulator._pump(host)
         simulator._at(simulator.now + 0.02, propose)
 
     def look() -> None:
         host = simulator.hosts["n4"]
-        others = [other.member.replica.applied for other in simulator.hosts.values() if other.member is not None]
+        others = [
+            other.participant.replica.applied_index
+            for other in simulator.hosts.values()
+            if other.participant is not None
+        ]
         if (
-            host.member is not None
+            host.participant is not None
             and simulator.now > 45.0
             and not state["done"]
-            and host.member.replica.applied >= max(others) - 5
+            and host.participant.replica.applied_index >= max(others) - 5
         ):
             state["done"] = simulator.now
         simulator._at(simulator.now + 0.005, look)
--- a/benchmarks/equality.py
+++ b/benchmarks/equality.py
@@ -75,13 +75,13 @@
 def consensus_figures(seed: int) -> dict[str, Any]:
     """One drawn schedule of faults among five members with changes of voters, every message through its bytes."""
     schedule = replace(draw(seed, 5, 60.0), seconds=90.0)
-    simulator = ConsensusSimulator(schedule, seed, voters=3, changes=4.0, wire=True, times=quorum.TIMES)
+    simulator = ConsensusSimulator(schedule, seed, voters=3, changes=4.0, wire=True, times=quorum.SETTINGS)
     record = simulator.run()
     asked = [
-        f"{one.member} {one.name} {one.value} {one.began!r} {one.ended!r} {one.at} {one.upto} {one.times}"
+        f"{one.member} {one.name} {one.value} {one.began!r} {one.ended!r} {one.at} {one.up_to_index} {one.times}"
         for one in record.asked
     ]
-    showed = [f"{one.at!r} {one.member} {one.life} {one.term} {one.applied} {one.chain}" for one in record.showed]
+    showed = [f"{one.at!r} {one.member} {one.life} {one.term} {one.applied_index} {one.chain}" for one in record.showed]
     return {
         "messages": simulator.words,
         "writes": simulator.writes,
--- a/chutepin/cli/consensus.py
+++ b/chutepin/cli/consensus.py
@@ -12,9 +12,9 @@
 from .output import as_json, show_fields, show_json, show_table
 
 if TYPE_CHECKING:
-    from ..consensus.core import Durable
     from ..consensus.identity import StoredIdentity
     from ..consensus.messages import Persist
+    from ..consensus.raft import PersistentState
 
 NUMBERS = frozenset({"term", "commit", "applied", "log-bytes", "snapshot"})
 JSON = click.option("--json", "json_asked", is_flag=True, help="Print JSON also on a terminal.")
@@ -149,11 +149,11 @@
     """What a store holds of the replicated log."""
 
     owner: StoredIdentity
-    durable: Durable
+    durable: PersistentState
     written: Persist | None  # by the work that was asked for
 
 
-def open_log(directory: Path, work: Callable[[str, Durable], Persist] | None = None) -> StoredLog:
+def open_log(directory: Path, work: Callable[[str, PersistentState], Persist] | None = None) -> StoredLog:
     """Read a store that no node has open; where there is `work` to do by the node's identity, write what it returns.
     Raises ClickException for damage, AskError where there is nothing."""
     from ..consensus.identity import IDENTITY_KEY, Identity, StoredIdentity
@@ -192,9 +192,10 @@
 
     owner, durable, _ = open_log(directory)
     click.echo(
-        f"{owner.node} holds the log up to {durable.base + len(durable.entries)}, term {durable.term}. What only the "
-        f"others had is lost, also where it was agreed; what stands here counts as agreed, also where it never "
-        f"was. None of the other voters may ever start with its old store again: empty those first.",
+        f"{owner.node} holds the log up to {durable.base_index + len(durable.entries)}, term {durable.term}. "
+        f"What only the others had is lost, also where it was agreed; what stands here counts as agreed, "
+        f"also where it never was. None of the other voters may ever start with its old store again: "
+        f"empty those first.",
         err=True,
     )
     if (cluster or click.prompt("The cluster's name, to go on", err=True)) != owner.cluster:
@@ -218,10 +219,10 @@
         "store": owner.born,
         "standing": owner.standing.value,
         "term": durable.term,
-        "vote": durable.vote,
-        "snapshot": durable.snapshot.upto if durable.snapshot is not None else 0,
-        "first": durable.base + 1,
-        "last": durable.base + len(durable.entries),
+        "vote": durable.voted_for,
+        "snapshot": durable.snapshot.up_to_index if durable.snapshot is not None else 0,
+        "first": durable.base_index + 1,
+        "last": durable.base_index + len(durable.entries),
     }
     if as_json(json_asked):
         show_json(found)
--- a/chutepin/consensus/__init__.py
+++ b/chutepin/consensus/__init__.py
@@ -3,25 +3,37 @@
 `core.Core` is the consensus, free of clock, file and socket; `messages` is what it says and wants done.
 `docs/consensus.md` has the design and what is still open: no node uses it yet."""
 
-from .core import Core, Durable, Progress, RefusedError, Role, Times
-from .messages import Apply, Effect, Entry, Kind, Message, Persist, Readable, Restore, Send, Snapshot, Voters
+from .messages import (
+    Apply,
+    Effect,
+    Entry,
+    EntryKind,
+    Membership,
+    Persist,
+    RaftMessage,
+    ReadReady,
+    Restore,
+    Send,
+    Snapshot,
+)
+from .raft import PersistentState, Progress, RaftNode, RaftSettings, RejectedError, Role
 
 __all__ = [
     "Apply",
-    "Core",
-    "Durable",
     "Effect",
     "Entry",
-    "Kind",
-    "Message",
+    "EntryKind",
+    "Membership",
     "Persist",
+    "PersistentState",
     "Progress",
-    "Readable",
-    "RefusedError",
+    "RaftMessage",
+    "RaftNode",
+    "RaftSettings",
+    "ReadReady",
+    "RejectedError",
     "Restore",
     "Role",
     "Send",
     "Snapshot",
-    "Times",
-    "Voters",
 ]
--- a/chutepin/consensus/codec.py
+++ b/chutepin/consensus/codec.py
@@ -11,11 +11,28 @@
 
 import msgpack
 
-from .identity import Meet, Met
+from .identity import StoreAcknowledgement, StoreAnnouncement
 from .journal import pack_entry, unpack_entry
-from .member import Forward, Greet, ReadAsk, ReadAt, Rejected, Word
-from .messages import Append, Appended, Ask, Begin, Entry, Piece, Taken, Vote, Voters
-from .observer import Feed, Pull
+from .messages import (
+    AppendEntries,
+    AppendEntriesReply,
+    Entry,
+    InstallSnapshotChunk,
+    InstallSnapshotReply,
+    Membership,
+    RequestVote,
+    RequestVoteReply,
+    TimeoutNow,
+)
+from .observer import FetchReply, FetchRequest
+from .participant import (
+    ForwardProposal,
+    Greeting,
+    ParticipantMessage,
+    ProposalRejected,
+    ReadIndexReply,
+    ReadIndexRequest,
+)
 
 PREFACE = b"cpA\x01"  # what a connection of this kind begins with; its last byte is the format's version
 MAX_FRAME = 256 * 1024  # bytes: two pieces and a head
@@ -35,26 +52,26 @@
     version: int
 
 
-Said = Word | Hello | Meet | Met
+WireMessage = ParticipantMessage | Hello | StoreAnnouncement | StoreAcknowledgement
 
-WORDS: tuple[type[Any], ...] = (
+MESSAGE_TYPES: tuple[type[Any], ...] = (
     Hello,
-    Ask,
-    Vote,
-    Append,
-    Appended,
-    Piece,
-    Taken,
-    Begin,
-    Forward,
-    Rejected,
-    ReadAsk,
-    ReadAt,
-    Pull,
-    Feed,
-    Meet,
-    Met,
-    Greet,
+    RequestVote,
+    RequestVoteReply,
+    AppendEntries,
+    AppendEntriesReply,
+    InstallSnapshotChunk,
+    InstallSnapshotReply,
+    TimeoutNow,
+    ForwardProposal,
+    ProposalRejected,
+    ReadIndexRequest,
+    ReadIndexReply,
+    FetchRequest,
+    FetchReply,
+    StoreAnnouncement,
+    StoreAcknowledgement,
+    Greeting,
 )
 
 
@@ -89,9 +106,9 @@
     return tuple(unpack_entry(part) for part in raw)
 
 
-def _members(raw: Any) -> Voters:
+def _members(raw: Any) -> Membership:
     voters, learners = raw
-    return Voters(tuple(map(_text, voters)), tuple(map(_text, learners)))
+    return Membership(tuple(map(_text, voters)), tuple(map(_text, learners)))
 
 
 _READERS: dict[Any, Callable[[Any], Any]] = {
@@ -100,34 +117,34 @@
     bytes: _exactly(bytes),
     bool: _exactly(bool),
     tuple[Entry, ...]: _entries,
-    Voters: _members,
+    Membership: _members,
 }
-_FIELDS = {word: tuple(_READERS[kind] for kind in get_type_hints(word).values()) for word in WORDS}
+_FIELDS = {word: tuple(_READERS[kind] for kind in get_type_hints(word).values()) for word in MESSAGE_TYPES}
 
 
 def _plain(value: Any) -> Any:
-    if isinstance(value, Voters):
+    if isinstance(value, Membership):
         return [list(names) for names in value]
     if isinstance(value, tuple):
         return [pack_entry(entry) for entry in value]
     return value
 
 
-def encode(word: Said) -> bytes:
+def encode(word: WireMessage) -> bytes:
     """A word's frame."""
-    content = msgpack.packb([WORDS.index(type(word)), *map(_plain, word)])
+    content = msgpack.packb([MESSAGE_TYPES.index(type(word)), *map(_plain, word)])
     return _HEAD.pack(len(content), zlib.crc32(content)) + bytes(content)
 
 
-def decode(content: bytes) -> Said:
+def decode(content: bytes) -> WireMessage:
     """The word of a frame's content. Raises CodecError."""
     try:
         kind, *fields = msgpack.unpackb(content, strict_map_key=True, max_map_len=0, max_ext_len=0)
-        word = WORDS[_whole(kind)]
+        word = MESSAGE_TYPES[_whole(kind)]
         readers = _FIELDS[word]
         if kind < 0 or len(fields) != len(readers):
             raise CodecError("malformed")
-        made: Said = word(*(read(raw) for read, raw in zip(readers, fields, strict=True)))
+        made: WireMessage = word(*(read(raw) for read, raw in zip(readers, fields, strict=True)))
         return made
     except CodecError:
         raise
@@ -135,16 +152,16 @@
         raise CodecError("malformed") from None
 
 
-class Reader:
+class FrameReader:
     """Feed it bytes of a connection; it gives the words that are whole."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
-    def feed(self, data: bytes) -> list[Said]:
+    def feed(self, data: bytes) -> list[WireMessage]:
         """Add what was read. Raises CodecError; nothing after that can be read."""
         self._buffer += data
-        words, at = list[Said](), 0
+        words, at = list[WireMessage](), 0
         while len(self._buffer) - at >= _HEAD.size:
             length, check = _HEAD.unpack_from(self._buffer, at)
             if length > MAX_FRAME:
--- a/chutepin/consensus/journal.py
+++ b/chutepin/consensus/journal.py
@@ -13,8 +13,8 @@
 
 import msgpack
 
-from .core import Durable
-from .messages import Entry, Kind, Persist, Snapshot, Voters
+from .messages import Entry, EntryKind, Membership, Persist, Snapshot
+from .raft import PersistentState
 
 Operation = tuple[bytes, bytes | None]  # a key and its value; None deletes it
 
@@ -31,9 +31,9 @@
     return b"agree/entry/%d" % index
 
 
-def piece_key(upto: int, number: int) -> bytes:
+def piece_key(up_to_index: int, number: int) -> bytes:
     """Where a part of a snapshot stands."""
-    return b"agree/snapshot/%d/%d" % (upto, number)
+    return b"agree/snapshot/%d/%d" % (up_to_index, number)
 
 
 def pack_entry(entry: Entry) -> list[Any]:
@@ -43,20 +43,20 @@
         entry.term,
         int(entry.kind),
         entry.data,
-        None if entry.members is None else [list(names) for names in entry.members],
+        None if entry.membership is None else [list(names) for names in entry.membership],
     ]
 
 
-def unpack_members(raw: list[list[str]]) -> Voters:
+def unpack_members(raw: list[list[str]]) -> Membership:
     """Voters of plain values."""
     voters, learners = raw
-    return Voters(tuple(voters), tuple(learners))
+    return Membership(tuple(voters), tuple(learners))
 
 
 def unpack_entry(raw: list[Any]) -> Entry:
     """The entry of plain values. Raises ValueError, TypeError."""
-    index, term, kind, data, members = raw
-    return Entry(index, term, Kind(kind), data, None if members is None else unpack_members(members))
+    index, term, kind, data, membership = raw
+    return Entry(index, term, EntryKind(kind), data, None if membership is None else unpack_members(membership))
 
 
 class Journal:
@@ -72,75 +72,75 @@
         """What makes a change durable, in order."""
         done: list[Operation] = []
         if change.snapshot is not None:
-            done += self._keep(change.snapshot, change.base, change.anew)
+            done += self._keep(change.snapshot, change.base_index, change.discard_log)
         if change.entries:
             done += [(entry_key(index), None) for index in range(self._last, change.first - 1, -1)]
             done += [(entry_key(entry.index), bytes(msgpack.packb(pack_entry(entry)))) for entry in change.entries]
             self._last = change.entries[-1].index
-        if (change.term, change.vote) != self._hard:
-            self._hard = change.term, change.vote
+        if (change.term, change.voted_for) != self._hard:
+            self._hard = change.term, change.voted_for
             # Before the entries: one of a later term than this member is in was never its own.
-            done.insert(0, (HARD, bytes(msgpack.packb([change.term, change.vote]))))
+            done.insert(0, (HARD, bytes(msgpack.packb([change.term, change.voted_for]))))
         return done
 
-    def _keep(self, snapshot: Snapshot, base: int, anew: bool) -> list[Operation]:
+    def _keep(self, snapshot: Snapshot, base_index: int, discard_log: bool) -> list[Operation]:
         """A snapshot, and what it makes worthless. Entries that it stands for go only when it is there."""
         done: list[Operation] = []
-        first, last = max(self._first, base), self._last  # the entry at the base stays: its term is asked for
-        if anew:
-            done += [(entry_key(index), None) for index in range(last, snapshot.upto, -1)]
-            first = last = snapshot.upto + 1
-            self._last = snapshot.upto
+        first, last = max(self._first, base_index), self._last  # the entry at the base stays: its term is asked for
+        if discard_log:
+            done += [(entry_key(index), None) for index in range(last, snapshot.up_to_index, -1)]
+            first = last = snapshot.up_to_index + 1
+            self._last = snapshot.up_to_index
         old, pieces = self._snapshot, self._pieces
         parts = [snapshot.data[at : at + PIECE] for at in range(0, len(snapshot.data), PIECE)]
-        done += [(piece_key(snapshot.upto, number), part) for number, part in enumerate(parts)]
+        done += [(piece_key(snapshot.up_to_index, number), part) for number, part in enumerate(parts)]
         head = [
-            snapshot.upto,
+            snapshot.up_to_index,
             snapshot.term,
-            [list(names) for names in snapshot.members],
+            [list(names) for names in snapshot.membership],
             len(parts),
             zlib.crc32(snapshot.data),
             first,
-            [self._first, old.upto if old is not None else 0, pieces],
+            [self._first, old.up_to_index if old is not None else 0, pieces],
         ]
         done.append((HEAD, bytes(msgpack.packb(head))))
-        done += self._leftover(self._first, first, old.upto if old is not None else 0, pieces)
+        done += self._leftover(self._first, first, old.up_to_index if old is not None else 0, pieces)
         self._first, self._snapshot, self._pieces = first, snapshot, len(parts)
         return done
 
     @staticmethod
-    def _leftover(was: int, first: int, upto: int, pieces: int) -> list[Operation]:
+    def _leftover(was: int, first: int, up_to_index: int, pieces: int) -> list[Operation]:
         """What stands for nothing any more; to be deleted again after a crash in between."""
         keys = [entry_key(index) for index in range(was, first)]
-        return [(key, None) for key in keys + [piece_key(upto, number) for number in range(pieces)]]
+        return [(key, None) for key in keys + [piece_key(up_to_index, number) for number in range(pieces)]]
 
-    def load(self, get: Callable[[bytes], bytes | None]) -> tuple[Durable, list[Operation]]:
+    def load(self, get: Callable[[bytes], bytes | None]) -> tuple[PersistentState, list[Operation]]:
         """What is there, and what is to be deleted of an earlier crash. Raises JournalError."""
         try:
             return self._load(get)
         except (ValueError, TypeError, IndexError, msgpack.exceptions.UnpackException) as error:
             raise JournalError(f"not readable: {error}") from None
 
-    def _load(self, get: Callable[[bytes], bytes | None]) -> tuple[Durable, list[Operation]]:
-        durable, rest = Durable(), list[Operation]()
+    def _load(self, get: Callable[[bytes], bytes | None]) -> tuple[PersistentState, list[Operation]]:
+        durable, rest = PersistentState(), list[Operation]()
         if (raw := get(HARD)) is not None:
-            durable.term, durable.vote = msgpack.unpackb(raw)
-            self._hard = durable.term, durable.vote
+            durable.term, durable.voted_for = msgpack.unpackb(raw)
+            self._hard = durable.term, durable.voted_for
         if (raw := get(HEAD)) is not None:
-            upto, term, members, pieces, check, first, (was, old, old_pieces) = msgpack.unpackb(raw)
-            parts = [get(piece_key(upto, number)) for number in range(pieces)]
+            up_to_index, term, membership, pieces, check, first, (was, old, old_pieces) = msgpack.unpackb(raw)
+            parts = [get(piece_key(up_to_index, number)) for number in range(pieces)]
             data = b"".join(part for part in parts if part is not None)
             if zlib.crc32(data) != check:
-                raise JournalError(f"the snapshot at {upto} is damaged")
-            durable.snapshot = self._snapshot = Snapshot(upto, term, unpack_members(members), data)
+                raise JournalError(f"the snapshot at {up_to_index} is damaged")
+            durable.snapshot = self._snapshot = Snapshot(up_to_index, term, unpack_members(membership), data)
             self._pieces, self._first, self._last = pieces, first, first - 1
-            durable.base, durable.base_term = upto, term
-            if old != upto:
+            durable.base_index, durable.base_term = up_to_index, term
+            if old != up_to_index:
                 rest = self._leftover(was, first, old, old_pieces)
         self._entries(get, durable)
         return durable, rest
 
-    def _entries(self, get: Callable[[bytes], bytes | None], durable: Durable) -> None:
+    def _entries(self, get: Callable[[bytes], bytes | None], durable: PersistentState) -> None:
         while (raw := get(entry_key(self._last + 1))) is not None:
             entry = unpack_entry(msgpack.unpackb(raw))
             if entry.index != self._last + 1 or entry.term > durable.term:
@@ -148,8 +148,10 @@
             durable.entries.append(entry)
             self._last = entry.index
         if durable.snapshot is not None:
-            if self._last < durable.snapshot.upto and self._first <= durable.snapshot.upto:
-                raise JournalError(f"entries up to {durable.snapshot.upto} should be there, {self._last} is the last")
-            if self._first <= durable.snapshot.upto:
-                base = durable.entries.pop(0)
-                durable.base, durable.base_term = base.index, base.term
+            if self._last < durable.snapshot.up_to_index and self._first <= durable.snapshot.up_to_index:
+                raise JournalError(
+                    f"entries up to {durable.snapshot.up_to_index} should be there, {self._last} is the last"
+                )
+            if self._first <= durable.snapshot.up_to_index:
+                base_index = durable.entries.pop(0)
+                durable.base_index, durable.base_term = base_index.index, base_index.term
--- a/chutepin/consensus/messages.py
+++ b/chutepin/consensus/messages.py
@@ -7,15 +7,15 @@
 from typing import NamedTuple
 
 
-class Kind(IntEnum):
+class EntryKind(IntEnum):
     """What an entry is."""
 
-    EMPTY = 0  # of a new leader: commits what came before it
+    NO_OP = 0  # of a new leader: commits what came before it
     PROPOSAL = 1
     VOTERS = 2  # a change of who votes and who learns
 
 
-class Voters(NamedTuple):
+class Membership(NamedTuple):
     """Who takes part. Learners are sent everything and do not vote."""
 
     voters: tuple[str, ...]
@@ -30,9 +30,9 @@
 class Snapshot(NamedTuple):
     """The state after the entry at `upto`, as bytes, and who took part then."""
 
-    upto: int
+    up_to_index: int
     term: int
-    members: Voters
+    membership: Membership
     data: bytes
 
 
@@ -42,12 +42,12 @@
 
     index: int
     term: int
-    kind: Kind
+    kind: EntryKind
     data: bytes = b""
-    members: Voters | None = None
+    membership: Membership | None = None
 
 
-class Ask(NamedTuple):
+class RequestVote(NamedTuple):
     """Vote for me. `pre`: would you? `handed`: the leader told me to begin."""
 
     term: int
@@ -57,7 +57,7 @@
     handed: bool
 
 
-class Vote(NamedTuple):
+class RequestVoteReply(NamedTuple):
     """The answer to an Ask."""
 
     term: int
@@ -65,7 +65,7 @@
     granted: bool
 
 
-class Append(NamedTuple):
+class AppendEntries(NamedTuple):
     """A leader's entries after (`prev_index`, `prev_term`), and how far all is committed; also its heartbeat. `round`
     numbers its rounds of heartbeats."""
 
@@ -73,27 +73,27 @@
     prev_index: int
     prev_term: int
     entries: tuple[Entry, ...]
-    commit: int
+    commit_index: int
     round: int
 
 
-class Appended(NamedTuple):
+class AppendEntriesReply(NamedTuple):
     """The answer: all up to `match` is there and durable; or, where `ok` is false, look at `match` next."""
 
     term: int
     ok: bool
-    match: int
+    match_index: int
     round: int
 
 
-class Piece(NamedTuple):
+class InstallSnapshotChunk(NamedTuple):
     """A part of the leader's snapshot, for a follower whose next entry the leader has no more. `check` is the sum of
     the whole: what a follower has of an earlier leader's counts only if it is part of the same bytes."""
 
     term: int
-    upto: int
+    up_to_index: int
     last_term: int
-    members: Voters
+    membership: Membership
     total: int
     check: int
     offset: int
@@ -101,29 +101,37 @@
     round: int
 
 
-class Taken(NamedTuple):
+class InstallSnapshotReply(NamedTuple):
     """So many bytes of the snapshot at `upto` are here."""
 
     term: int
-    upto: int
+    up_to_index: int
     offset: int
     round: int
 
 
-class Begin(NamedTuple):
+class TimeoutNow(NamedTuple):
     """The leader hands over: begin an election at once."""
 
     term: int
 
 
-Message = Ask | Vote | Append | Appended | Piece | Taken | Begin
+RaftMessage = (
+    RequestVote
+    | RequestVoteReply
+    | AppendEntries
+    | AppendEntriesReply
+    | InstallSnapshotChunk
+    | InstallSnapshotReply
+    | TimeoutNow
+)
 
 
 class Send(NamedTuple):
     """A message for another member."""
 
     to: str
-    message: Message
+    message: RaftMessage
 
 
 class Persist(NamedTuple):
@@ -132,12 +140,12 @@
     former log holds."""
 
     term: int
-    vote: str
+    voted_for: str
     first: int
     entries: tuple[Entry, ...]
     snapshot: Snapshot | None = None
-    base: int = 0
-    anew: bool = False
+    base_index: int = 0
+    discard_log: bool = False
 
 
 class Restore(NamedTuple):
@@ -153,11 +161,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Readable:
+class ReadReady:
     """A read may be answered once all up to `index` is applied; or (`index` -1) ask elsewhere."""
 
     id: int
     index: int
 
 
-Effect = Send | Persist | Apply | Restore | Readable
+Effect = Send | Persist | Apply | Restore | ReadReady
--- a/chutepin/consensus/observer.py
+++ b/chutepin/consensus/observer.py
@@ -12,9 +12,9 @@
 from collections.abc import Callable, Iterator
 from typing import NamedTuple
 
-from .core import Core
-from .identity import plain
-from .messages import Entry, Snapshot, Voters
+from .identity import node_name
+from .messages import Entry, Membership, Snapshot
+from .raft import RaftNode
 
 FAN = 8  # observers that one member serves directly, about
 MOST = 64  # that may ask at once
@@ -24,17 +24,17 @@
 MAX_DEPTH = 16
 
 
-class Pull(NamedTuple):
+class FetchRequest(NamedTuple):
     """Tell me what is agreed behind `applied`; of the snapshot at `upto` I have `offset` bytes. `depth` is the asker's
     distance from a voter: who is as far away itself has nothing to give."""
 
-    applied: int
-    upto: int
+    applied_index: int
+    up_to_index: int
     offset: int
     depth: int
 
 
-class Feed(NamedTuple):
+class FetchReply(NamedTuple):
     """Entries behind what was asked for, or a piece of the snapshot at `upto`; who takes part, who leads, how
     many milliseconds ago that was heard (-1: not lately), and how far from a voter the sender is."""
 
@@ -42,8 +42,8 @@
     leader: str
     age: int
     depth: int
-    members: Voters
-    upto: int
+    membership: Membership
+    up_to_index: int
     last_term: int
     total: int
     check: int
@@ -65,11 +65,11 @@
         self._at = now  # when to ask
         self._since = now  # when this upstream was chosen, or last had news
 
-    def wake_at(self) -> float:
+    def next_deadline(self) -> float:
         """When `pull` is due."""
         return self._at
 
-    def pull(self, now: float, applied: int, voters: tuple[str, ...]) -> tuple[str, Pull] | None:
+    def pull(self, now: float, applied: int, voters: tuple[str, ...]) -> tuple[str, FetchRequest] | None:
         """Whom to ask what."""
         self._at = now + AGAIN * self._every
         if now - self.fresh > 2 * SILENT * self._every:
@@ -79,23 +79,23 @@
         if not self.upstream:
             return None
         at, offset = (self._incoming[0][0], len(self._incoming[1])) if self._incoming is not None else (0, 0)
-        return self.upstream, Pull(applied, at, offset, self.depth)
+        return self.upstream, FetchRequest(applied, at, offset, self.depth)
 
     def _choose(self, now: float, voters: tuple[str, ...]) -> None:
         """By its place among the observers, so that each serves a few; where that one is silent any voter will do."""
         self._since = now
         others = self.others or (self.name,)
-        me = plain(self.name)
+        me = node_name(self.name)
         place = others.index(me) if me in others else 0
         at = place - FAN * len(voters)
         wanted = voters[place % len(voters)] if voters and at < 0 else others[at // FAN] if others and at >= 0 else ""
-        if plain(wanted) in (plain(self.upstream), me):
+        if node_name(wanted) in (node_name(self.upstream), me):
             wanted = self._rng.choice(voters) if voters else ""
         self.upstream = wanted
 
-    def fed(self, now: float, sender: str, feed: Feed, applied: int) -> Snapshot | None:
+    def fed(self, now: float, sender: str, feed: FetchReply, applied: int) -> Snapshot | None:
         """Take in news; a snapshot that is whole now. The next question is due at once where there is more."""
-        if plain(sender) != plain(self.upstream) or feed.depth >= MAX_DEPTH:
+        if node_name(sender) != node_name(self.upstream) or feed.depth >= MAX_DEPTH:
             return None
         if 0 <= feed.age < 1000 * SILENT * self._every:
             self._since, self.depth = now, feed.depth + 1
@@ -110,12 +110,12 @@
                 self._kept += len(entry.data) + 32
         while self._kept > KEPT:
             self._kept -= len(self.kept.popleft().data) + 32
-        if not feed.total or feed.upto <= applied:
+        if not feed.total or feed.up_to_index <= applied:
             return None
         return self._piece(feed)
 
-    def _piece(self, feed: Feed) -> Snapshot | None:
-        which = (feed.upto, feed.total, feed.check)
+    def _piece(self, feed: FetchReply) -> Snapshot | None:
+        which = (feed.up_to_index, feed.total, feed.check)
         if self._incoming is None or self._incoming[0] != which:
             self._incoming = (which, bytearray())
         data = self._incoming[1]
@@ -128,24 +128,24 @@
             return None
         self.kept.clear()
         self._kept = 0
-        return Snapshot(feed.upto, feed.last_term, feed.members, bytes(data))
+        return Snapshot(feed.up_to_index, feed.last_term, feed.membership, bytes(data))
 
 
-class Subscribers:
+class PendingFetches:
     """Those that have asked this member and wait for news."""
 
     def __init__(self, piece: int, every: float) -> None:
         """`piece`: bytes in one answer. `every`: seconds of a heartbeat."""
         self._piece, self._hold = piece, HOLD * every
-        self._waiting: dict[str, tuple[float, Pull]] = {}  # until when, what
+        self._waiting: dict[str, tuple[float, FetchRequest]] = {}  # until when, what
         self._offered: Snapshot | None = None  # that some are being sent
         self.refused = 0
 
-    def wake_at(self) -> float:
+    def next_deadline(self) -> float:
         """When an answer without news is due."""
         return min((until for until, _ in self._waiting.values()), default=math.inf)
 
-    def ask(self, now: float, sender: str, pull: Pull) -> None:
+    def ask(self, now: float, sender: str, pull: FetchRequest) -> None:
         """Somebody asks."""
         if sender not in self._waiting and len(self._waiting) >= MOST:
             self.refused += 1
@@ -155,65 +155,69 @@
     def feeds(
         self,
         now: float,
-        core: Core,
+        core: RaftNode,
         observer: Observer,
         applied: int,
         leader: str,
         fresh: float,
         depth: int,
         make: Callable[[], Snapshot],
-        members: Voters,
-    ) -> Iterator[tuple[str, Feed]]:
+        membership: Membership,
+    ) -> Iterator[tuple[str, FetchReply]]:
         """Answers that are due. `make`: the state of now, for one that lacks more than is kept here."""
         if not self._waiting:
             return
         age = int(1000 * (now - fresh)) if leader and now - fresh < 60 else -1
         for name, (until, pull) in list(self._waiting.items()):
-            if applied <= pull.applied and now < until:
+            if applied <= pull.applied_index and now < until:
                 continue
             del self._waiting[name]
             if pull.depth < depth < MAX_DEPTH:  # who is nearer to a voter itself: nothing may go round in a circle
-                yield name, Feed((), "", -1, MAX_DEPTH, Voters(()), 0, 0, 0, 0, 0, b"")
+                yield name, FetchReply((), "", -1, MAX_DEPTH, Membership(()), 0, 0, 0, 0, 0, b"")
                 continue
-            yield name, self._answer(core, observer, pull, applied, leader, age, depth, make, members)
+            yield name, self._answer(core, observer, pull, applied, leader, age, depth, make, membership)
 
     def _answer(
         self,
-        core: Core,
+        core: RaftNode,
         observer: Observer,
-        pull: Pull,
+        pull: FetchRequest,
         applied: int,
         leader: str,
         age: int,
         depth: int,
         make: Callable[[], Snapshot],
-        members: Voters,
-    ) -> Feed:
+        membership: Membership,
+    ) -> FetchReply:
         entries, size = list[Entry](), 0
         # What others have told beyond what this member's log knows to be agreed: its own entries there may be others.
-        follows = core.commit < applied
-        mine: Iterator[Entry] = iter(core.log) if not follows and core.base <= pull.applied else iter(observer.kept)
+        follows = core.commit_index < applied
+        mine: Iterator[Entry] = (
+            iter(core.log) if not follows and core.base_index <= pull.applied_index else iter(observer.kept)
+        )
         for entry in mine:
-            if pull.applied < entry.index <= applied:
-                if entry.index != pull.applied + len(entries) + 1 or size > self._piece:
+            if pull.applied_index < entry.index <= applied:
+                if entry.index != pull.applied_index + len(entries) + 1 or size > self._piece:
                     break
                 entries.append(entry)
                 size += len(entry.data) + 32
-        head = (tuple(entries), leader, age, depth, members)
-        if entries or applied <= pull.applied:
-            return Feed(*head, 0, 0, 0, 0, 0, b"")
+        head = (tuple(entries), leader, age, depth, membership)
+        if entries or applied <= pull.applied_index:
+            return FetchReply(*head, 0, 0, 0, 0, 0, b"")
         snapshot = self._offered
         if (
             snapshot is None
-            or snapshot.upto <= pull.applied
-            or (snapshot.upto < core.base if not follows else pull.upto != snapshot.upto)
+            or snapshot.up_to_index <= pull.applied_index
+            or (snapshot.up_to_index < core.base_index if not follows else pull.up_to_index != snapshot.up_to_index)
         ):
             newest = core.snapshot if not follows else None
-            snapshot = self._offered = newest if newest is not None and newest.upto > pull.applied else make()
-        offset = pull.offset if pull.upto == snapshot.upto else 0
-        return Feed(
+            snapshot = self._offered = (
+                newest if newest is not None and newest.up_to_index > pull.applied_index else make()
+            )
+        offset = pull.offset if pull.up_to_index == snapshot.up_to_index else 0
+        return FetchReply(
             *head,
-            snapshot.upto,
+            snapshot.up_to_index,
             snapshot.term,
             len(snapshot.data),
             zlib.crc32(snapshot.data),
--- a/chutepin/consensus/member.py
+++ b/chutepin/consensus/participant.py
@@ -12,19 +12,28 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from .core import Core, Durable, RefusedError, Role, Times
-from .identity import plain
-from .messages import Apply, Entry, Message, Persist, Readable, Restore, Snapshot, Voters
+from .identity import node_name
+from .messages import Apply, Entry, Membership, Persist, RaftMessage, ReadReady, Restore, Snapshot
 from .messages import Send as CoreSend
-from .observer import Feed, Observer, Pull, Subscribers
-from .replica import MAX_PROPOSAL, Machine, Outcome, Proposal, Replica, State, new_id, pack
+from .observer import FetchReply, FetchRequest, Observer, PendingFetches
+from .raft import PersistentState, RaftNode, RaftSettings, RejectedError, Role
+from .replica import (
+    MAX_PROPOSAL_BYTES,
+    Outcome,
+    OutcomeState,
+    Proposal,
+    Replica,
+    StateMachine,
+    new_proposal_id,
+    pack_proposal,
+)
 
 MAX_WAITING = 256  # proposals and reads of this node that are not decided yet
 GREETED, GREET_EVERY = 4, 1.0  # nodes that a leader greets at once, seconds between
 MAX_FORWARDED = 1024  # reads of others that wait for their round
 
 
-class Forward(NamedTuple):
+class ForwardProposal(NamedTuple):
     """Propose this for me; it is `replica.pack`ed."""
 
     id: bytes
@@ -32,7 +41,7 @@
     data: bytes
 
 
-class Rejected(NamedTuple):
+class ProposalRejected(NamedTuple):
     """Nothing was done about the proposal with that id. `final`: nor will be, whoever is asked."""
 
     id: bytes
@@ -40,44 +49,53 @@
     final: bool
 
 
-class ReadAsk(NamedTuple):
+class ReadIndexRequest(NamedTuple):
     """From which index on does a read see all that is agreed now?"""
 
     number: int
 
 
-class ReadAt(NamedTuple):
+class ReadIndexReply(NamedTuple):
     """From this one on; -1: ask elsewhere."""
 
     number: int
-    upto: int
+    up_to_index: int
 
 
-class Greet(NamedTuple):
+class Greeting(NamedTuple):
     """A leader wants to know as whom a node takes part, and which entries it knows; `asked` is false in the answer.
     Who speaks has said both when its connection began."""
 
     asked: bool
 
 
-Word = Message | Greet | Forward | Rejected | ReadAsk | ReadAt | Pull | Feed
+ParticipantMessage = (
+    RaftMessage
+    | Greeting
+    | ForwardProposal
+    | ProposalRejected
+    | ReadIndexRequest
+    | ReadIndexReply
+    | FetchRequest
+    | FetchReply
+)
 
 
 class Send(NamedTuple):
     """A word for another member."""
 
     to: str
-    word: Word
+    message: ParticipantMessage
 
 
-class Answer(NamedTuple):
+class RequestCompleted(NamedTuple):
     """To whoever holds this ticket."""
 
     ticket: int
     outcome: Outcome
 
 
-class Tell(NamedTuple):
+class LogEvent(NamedTuple):
     """For the log and operators."""
 
     what: str
@@ -91,13 +109,13 @@
     votes: bool
 
 
-class HandsOver(NamedTuple):
+class TransferStarted(NamedTuple):
     """The leader hands over to the voter `to`."""
 
     to: str
 
 
-Effect = Persist | Apply | Restore | Readable | Send | Answer | Tell
+Effect = Persist | Apply | Restore | ReadReady | Send | RequestCompleted | LogEvent
 
 
 @dataclass(slots=True)
@@ -115,21 +133,28 @@
     ticket: int
     by: float
     next: float
-    upto: int = -1  # once it is known
+    up_to_index: int = -1  # once it is known
 
 
-class Member:
+class Participant:
     """One node."""
 
     def __init__(
-        self, name: str, first: Voters, durable: Durable, machine: Machine, now: float, rng: random.Random, times: Times
+        self,
+        name: str,
+        first: Membership,
+        durable: PersistentState,
+        machine: StateMachine,
+        now: float,
+        rng: random.Random,
+        times: RaftSettings,
     ) -> None:
         """`durable` is what the journal holds; `first` who votes before the log says otherwise."""
         self.name, self._times, self._rng = name, times, rng
-        self.core = Core(name, first, durable, now, rng, times)
+        self.raft = RaftNode(name, first, durable, now, rng, times)
         self.replica = Replica(machine)
         self.observer = Observer(name, now, rng, times.heartbeat)
-        self.subscribers = Subscribers(times.piece, times.heartbeat)
+        self.subscribers = PendingFetches(times.piece, times.heartbeat)
         self.alive: tuple[str, ...] = ()  # nodes that live; the edge keeps it
         self.known: dict[str, tuple[str, int]] = {}  # a node to its identity and the version of entries that it knows
         self.counts: Counter[str] = Counter()
@@ -139,7 +164,7 @@
         self._number = self._ticket = 0
         self._greet_at = now
         self._was: tuple[Role, int, str] = (Role.FOLLOWER, 0, "")
-        self._members = self.core.members
+        self._members = self.raft.membership
         self._effects: list[Effect] = []
         self._from_core()
 
@@ -150,11 +175,11 @@
         effects, self._effects = self._effects, []
         return effects
 
-    def wake_at(self) -> float:
+    def next_deadline(self) -> float:
         """When `tick` is due."""
-        at = min(self.core.wake_at() if self._active else math.inf, self.subscribers.wake_at())
+        at = min(self.raft.next_deadline() if self._active else math.inf, self.subscribers.next_deadline())
         if not self.votes or self._orphaned:
-            at = min(at, self.observer.wake_at())
+            at = min(at, self.observer.next_deadline())
         return min(
             (
                 at,
@@ -166,31 +191,31 @@
     @property
     def votes(self) -> bool:
         """It is told everything by the leader itself, as a voter or to become one."""
-        return self.name in self.members.everybody
+        return self.name in self.membership.everybody
 
     @property
     def _active(self) -> bool:
         """Its core has times to keep; also a leader's that goes, until that is agreed."""
-        return self.votes or self.core.role is Role.LEADER
+        return self.votes or self.raft.role is Role.LEADER
 
     @property
     def _orphaned(self) -> bool:
         """It should hear a leader and does not: it was cut off, or removed without having been told."""
-        return self.core.leader == ""
+        return self.raft.leader == ""
 
     @property
     def leader(self) -> str:
         """Who leads, as far as is known here; empty for nobody."""
-        if self.core.role is Role.LEADER:  # also one that goes, until that is agreed
+        if self.raft.role is Role.LEADER:  # also one that goes, until that is agreed
             return self.name
-        return (self.core.leader if self.votes else "") or self.observer.leader
+        return (self.raft.leader if self.votes else "") or self.observer.leader
 
     @property
-    def members(self) -> Voters:
+    def membership(self) -> Membership:
         """Who takes part, as far as is known here. The log's own word is older than that of others where they have
         told more than it holds."""
-        ahead = self.replica.applied > self.core.last and self.replica.members.voters
-        return self.replica.members if ahead else self.core.members
+        ahead = self.replica.applied_index > self.raft.last_index and self.replica.membership.voters
+        return self.replica.membership if ahead else self.raft.membership
 
     @property
     def waiting(self) -> int:
@@ -199,12 +224,12 @@
 
     def tick(self, now: float) -> None:
         """Do what is due."""
-        if self._active and now >= self.core.wake_at():
-            self.core.tick(now)
+        if self._active and now >= self.raft.next_deadline():
+            self.raft.tick(now)
             self._from_core()
-        if (not self.votes or self._orphaned) and now >= self.observer.wake_at():
-            voters = tuple(name for name in self.members.voters if name != self.name)
-            if (pull := self.observer.pull(now, self.replica.applied, voters)) is not None:
+        if (not self.votes or self._orphaned) and now >= self.observer.next_deadline():
+            voters = tuple(name for name in self.membership.voters if name != self.name)
+            if (pull := self.observer.pull(now, self.replica.applied_index, voters)) is not None:
                 self._effects.append(Send(*pull))
         self._greet(now)
         self._feed(now)
@@ -213,64 +238,64 @@
 
     def _greet(self, now: float) -> None:
         """A leader must know all: whom an operator lets vote, and what it may agree on."""
-        if self.core.role is not Role.LEADER or now < self._greet_at:
+        if self.raft.role is not Role.LEADER or now < self._greet_at:
             return
         self._greet_at = now + GREET_EVERY
-        strangers = [name for name in self.alive if name not in self.known and name != plain(self.name)]
+        strangers = [name for name in self.alive if name not in self.known and name != node_name(self.name)]
         for name in self._rng.sample(strangers, min(GREETED, len(strangers))):
-            self._effects.append(Send(name, Greet(True)))
+            self._effects.append(Send(name, Greeting(True)))
 
     def met(self, identity: str, version: int) -> None:
         """A node that speaks, as whom, and what it knows."""
-        if plain(identity) in self.alive or plain(identity) in self.known:
-            self.known[plain(identity)] = identity, version
+        if node_name(identity) in self.alive or node_name(identity) in self.known:
+            self.known[node_name(identity)] = identity, version
 
-    def receive(self, now: float, sender: str, word: Word) -> None:
+    def receive(self, now: float, sender: str, word: ParticipantMessage) -> None:
         """Take in what another member says."""
         match word:
-            case Forward():
+            case ForwardProposal():
                 self._forward(now, sender, word)
-            case Rejected():
+            case ProposalRejected():
                 self._rejected(now, word)
-            case ReadAsk():
+            case ReadIndexRequest():
                 self._asked(now, sender, word.number)
-            case ReadAt():
-                self._readable(now, word.number, word.upto)
-            case Greet():
+            case ReadIndexReply():
+                self._readable(now, word.number, word.up_to_index)
+            case Greeting():
                 if word.asked:
-                    self._effects.append(Send(sender, Greet(False)))
-            case Pull():
+                    self._effects.append(Send(sender, Greeting(False)))
+            case FetchRequest():
                 self.subscribers.ask(now, sender, word)
                 self._feed(now)
-            case Feed():
+            case FetchReply():
                 self._fed(now, sender, word)
             case _:
-                self.core.receive(now, sender, word)
-                self.core.spread()
+                self.raft.receive(now, sender, word)
+                self.raft.announce_commit()
                 self._from_core()
         self._changed(now)
 
-    def done(self, now: float, effect: Apply | Restore | Readable) -> None:
+    def done(self, now: float, effect: Apply | Restore | ReadReady) -> None:
         """The turn of one of these effects has come: all before it is durable."""
         match effect:
             case Apply():
                 self._apply(now, effect.entries)
             case Restore():
                 self._restore(now, effect.snapshot)
-            case Readable():
+            case ReadReady():
                 sender, number = self._forwarded.pop(effect.id, ("", -1))
                 if sender == self.name:
                     self._readable(now, number, effect.index)
                 elif sender:
-                    self._effects.append(Send(sender, ReadAt(number, effect.index)))
+                    self._effects.append(Send(sender, ReadIndexReply(number, effect.index)))
 
     def _from_core(self) -> None:
-        for effect in self.core.take():
+        for effect in self.raft.take():
             self._effects.append(Send(*effect) if isinstance(effect, CoreSend) else effect)
 
     def _changed(self, now: float) -> None:
         """Say what an operator may want to know."""
-        core = self.core
+        core = self.raft
         leader = self.leader
         if leader and leader != self._was[2]:  # what was said to the former one may never be answered
             for proposed in self._proposed.values():
@@ -280,12 +305,12 @@
         if (core.role is Role.LEADER) != (self._was[0] is Role.LEADER) or leader != self._was[2]:
             what = "leads" if core.role is Role.LEADER else "follows" if self.leader else "no_leader"
             self.counts[what] += 1
-            self._effects.append(Tell(what, {"leader": leader, "term": core.term}))
+            self._effects.append(LogEvent(what, {"leader": leader, "term": core.term}))
         self._was = core.role, core.term, leader
-        if self.members != self._members:
-            self._members = self.members
+        if self.membership != self._members:
+            self._members = self.membership
             self._effects.append(
-                Tell(
+                LogEvent(
                     "members", {"voters": ",".join(self._members.voters), "learners": ",".join(self._members.learners)}
                 )
             )
@@ -297,7 +322,7 @@
             if (proposed := self._proposed.pop(id, None)) is not None:
                 self._answer(proposed.ticket, outcome)
         self._reads_done()
-        self.core.spread()
+        self.raft.announce_commit()
         self._from_core()
         self._feed(now)
 
@@ -306,7 +331,7 @@
             if not self.replica.restore(snapshot):
                 return
         except ValueError as error:
-            self._effects.append(Tell("unknown_format", {"why": str(error)}))
+            self._effects.append(LogEvent("unknown_format", {"why": str(error)}))
             return
         for id in list(self._proposed):  # what was decided by an entry that was never seen here
             if (outcome := self.replica.outcome(id)) is not None:
@@ -316,15 +341,15 @@
 
     def compact(self, now: float) -> None:
         """Keep the state, and let go of the log that led to it."""
-        if self.replica.applied == self.core.applied:  # else effects of the core are on their way here
-            self.core.compact(now, self.replica.snapshot())
+        if self.replica.applied_index == self.raft.applied_index:  # else effects of the core are on their way here
+            self.raft.compact(now, self.replica.snapshot())
             self._from_core()
 
     # --- proposals ---
 
-    def new_id(self) -> bytes:
+    def new_proposal_id(self) -> bytes:
         """For a proposal that is made now."""
-        return new_id(self.replica.applied, self._rng.getrandbits(64))
+        return new_proposal_id(self.replica.applied_index, self._rng.getrandbits(64))
 
     def propose(
         self,
@@ -346,17 +371,17 @@
             self._answer(self._ticket, outcome)
         elif (why := self._why_not(id, data)) is not None:
             self.counts["refused"] += 1
-            state = State.UNKNOWN if repeated or id in self._proposed else State.REFUSED
+            state = OutcomeState.UNKNOWN if repeated or id in self._proposed else OutcomeState.REJECTED
             self._answer(self._ticket, Outcome(state, why=why, again=self._times.election))
         else:
-            packed = pack(Proposal(id, version, data, void))
+            packed = pack_proposal(Proposal(id, version, data, void))
             self._proposed[id] = _Proposed(self._ticket, version, packed, by, now + self._later(), repeated)
             self._say(now, id)
         return self._ticket
 
     def _why_not(self, id: bytes, data: bytes) -> str | None:
-        if len(id) != 16 or len(data) > MAX_PROPOSAL:
-            return f"an id has 16 bytes, a proposal up to {MAX_PROPOSAL}"
+        if len(id) != 16 or len(data) > MAX_PROPOSAL_BYTES:
+            return f"an id has 16 bytes, a proposal up to {MAX_PROPOSAL_BYTES}"
         if id in self._proposed:
             return "under way"
         if self.waiting >= MAX_WAITING:
@@ -369,41 +394,44 @@
     def _say(self, now: float, id: bytes) -> None:
         """Bring a proposal to the leader."""
         proposed = self._proposed[id]
-        word = Forward(id, proposed.version, proposed.data)
-        if self.core.role is Role.LEADER:
+        word = ForwardProposal(id, proposed.version, proposed.data)
+        if self.raft.role is Role.LEADER:
             self._forward(now, self.name, word)
         elif self.leader:
             self._effects.append(Send(self.leader, word))
 
-    def _forward(self, now: float, sender: str, word: Forward) -> None:
+    def _forward(self, now: float, sender: str, word: ForwardProposal) -> None:
         """The leader's part."""
-        there = {*self.alive, *map(plain, self.core.members.everybody)}
+        there = {*self.alive, *map(node_name, self.raft.membership.everybody)}
         for name in self.known.keys() - there:
             del self.known[name]
         old = sorted(name for name, (_, version) in self.known.items() if version < word.version)
         try:
             if old:
-                raise RefusedError(f"{old[0]} does not know version {word.version}")
-            if self.core.size > 2 * self._times.log:
-                raise RefusedError("full")
+                raise RejectedError(f"{old[0]} does not know version {word.version}")
+            if self.raft.size > 2 * self._times.log:
+                raise RejectedError("full")
             if self.replica.outcome(word.id) is None:
-                self.core.propose(now, word.data)
+                self.raft.propose(now, word.data)
                 self._from_core()
-        except RefusedError as error:
-            rejected = Rejected(word.id, str(error), bool(old))
+        except RejectedError as error:
+            rejected = ProposalRejected(word.id, str(error), bool(old))
             if sender == self.name:
                 self._rejected(now, rejected)
             else:
                 self._effects.append(Send(sender, rejected))
 
-    def _rejected(self, now: float, word: Rejected) -> None:
+    def _rejected(self, now: float, word: ProposalRejected) -> None:
         """Ask again soon, or not at all. Where an earlier try may be on its way it stays unknown."""
         proposed = self._proposed.get(word.id)
         if proposed is None:
             return
         if word.final:
             del self._proposed[word.id]
-            self._answer(proposed.ticket, Outcome(State.UNKNOWN if proposed.repeated else State.REFUSED, why=word.why))
+            self._answer(
+                proposed.ticket,
+                Outcome(OutcomeState.UNKNOWN if proposed.repeated else OutcomeState.REJECTED, why=word.why),
+            )
         else:
             proposed.next = min(proposed.next, now + self._times.heartbeat)
 
@@ -412,7 +440,7 @@
         for id, proposed in list(self._proposed.items()):
             if now >= proposed.by:
                 del self._proposed[id]
-                self._answer(proposed.ticket, Outcome(State.UNKNOWN, why="not decided in time"))
+                self._answer(proposed.ticket, Outcome(OutcomeState.UNKNOWN, why="not decided in time"))
             elif now >= proposed.next:
                 proposed.next, proposed.repeated = now + self._later(), True
                 self._say(now, id)
@@ -420,15 +448,16 @@
             if now >= read.by:
                 del self._reads[number]
                 self._answer(
-                    read.ticket, Outcome(State.REFUSED, why="no leader answered in time", again=self._times.election)
+                    read.ticket,
+                    Outcome(OutcomeState.REJECTED, why="no leader answered in time", again=self._times.election),
                 )
             elif now >= read.next:
                 read.next = now + self._later()
-                if read.upto < 0:
+                if read.up_to_index < 0:
                     self._ask(now, number)
 
     def _answer(self, ticket: int, outcome: Outcome) -> None:
-        self._effects.append(Answer(ticket, outcome))
+        self._effects.append(RequestCompleted(ticket, outcome))
 
     # --- reads ---
 
@@ -439,17 +468,17 @@
         self._number += 1
         if self.waiting >= MAX_WAITING or not self.leader:
             why = "no leader" if not self.leader else "full"
-            self._answer(self._ticket, Outcome(State.REFUSED, why=why, again=self._times.election))
+            self._answer(self._ticket, Outcome(OutcomeState.REJECTED, why=why, again=self._times.election))
         else:
             self._reads[self._number] = _Read(self._ticket, by, now + self._later())
             self._ask(now, self._number)
         return self._ticket
 
     def _ask(self, now: float, number: int) -> None:
-        if self.core.role is Role.LEADER:
+        if self.raft.role is Role.LEADER:
             self._asked(now, self.name, number)
         elif self.leader:
-            self._effects.append(Send(self.leader, ReadAsk(number)))
+            self._effects.append(Send(self.leader, ReadIndexRequest(number)))
 
     def _asked(self, now: float, sender: str, number: int) -> None:
         if len(self._forwarded) >= MAX_FORWARDED:
@@ -457,53 +486,53 @@
         self._number += 1
         try:
             self._forwarded[self._number] = sender, number
-            self.core.read(now, self._number)
+            self.raft.read(now, self._number)
             self._from_core()
-        except RefusedError:
+        except RejectedError:
             del self._forwarded[self._number]
             if sender != self.name:
-                self._effects.append(Send(sender, ReadAt(number, -1)))
+                self._effects.append(Send(sender, ReadIndexReply(number, -1)))
 
-    def _readable(self, now: float, number: int, upto: int) -> None:
+    def _readable(self, now: float, number: int, up_to_index: int) -> None:
         read = self._reads.get(number)
         if read is None:
             return
-        if upto < 0:
+        if up_to_index < 0:
             read.next = min(read.next, now + self._times.heartbeat)
-        elif read.upto < 0:
-            read.upto = upto
+        elif read.up_to_index < 0:
+            read.up_to_index = up_to_index
             self._reads_done()
 
     def _reads_done(self) -> None:
         for number, read in list(self._reads.items()):
-            if 0 <= read.upto <= self.replica.applied:
+            if 0 <= read.up_to_index <= self.replica.applied_index:
                 del self._reads[number]
-                self._answer(read.ticket, Outcome(State.AGREED, self.replica.applied))
+                self._answer(read.ticket, Outcome(OutcomeState.COMMITTED, self.replica.applied_index))
 
     # --- those that follow ---
 
     def _feed(self, now: float) -> None:
         """Tell those that asked what is new."""
-        fresh = now if self.core.role is Role.LEADER else self.core.heard_leader if self.votes else self.observer.fresh
+        fresh = now if self.raft.role is Role.LEADER else self.raft.heard_leader if self.votes else self.observer.fresh
         for to, feed in self.subscribers.feeds(
             now,
-            self.core,
+            self.raft,
             self.observer,
-            self.replica.applied,
+            self.replica.applied_index,
             self.leader,
             fresh,
             0 if self.votes else self.observer.depth,
             self._state,
-            self.members,
+            self.membership,
         ):
             self._effects.append(Send(to, feed))
 
     def _state(self) -> Snapshot:
-        return Snapshot(self.replica.applied, 0, self.members, self.replica.snapshot())
+        return Snapshot(self.replica.applied_index, 0, self.membership, self.replica.snapshot())
 
-    def _fed(self, now: float, sender: str, feed: Feed) -> None:
+    def _fed(self, now: float, sender: str, feed: FetchReply) -> None:
         """News from whom this member follows."""
-        snapshot = self.observer.fed(now, sender, feed, self.replica.applied)
+        snapshot = self.observer.fed(now, sender, feed, self.replica.applied_index)
         if snapshot is not None:
             self._effects.append(Restore(snapshot))
         if feed.entries:
@@ -511,55 +540,55 @@
 
     # --- operators ---
 
-    def hand_over(self, now: float, to: str) -> None:
+    def transfer_leadership(self, now: float, to: str) -> None:
         """Have another voter lead. Raises RefusedError."""
-        self.core.hand_over(now, to)
+        self.raft.transfer_leadership(now, to)
         self._from_core()
 
     def transfer(self, now: float, name: str) -> str:
         """Have the voter of this node name or identity lead; its identity. Raises RefusedError."""
-        voters = self.core.members.voters
-        identity = next((voter for voter in voters if name in (voter, plain(voter))), name)
-        self.hand_over(now, identity)
+        voters = self.raft.membership.voters
+        identity = next((voter for voter in voters if name in (voter, node_name(voter))), name)
+        self.transfer_leadership(now, identity)
         return identity
 
     def add_node(self, now: float, name: str) -> AddedNode:
         """Make a node a learner, or a voter where it is a learner already. Raises RefusedError."""
-        members = self.core.members
+        membership = self.raft.membership
         if name in self.known:
             identity, _ = self.known[name]
-        elif name == plain(self.name):
+        elif name == node_name(self.name):
             identity = self.name
         else:
-            raise RefusedError(f"{name} is not known here: only a leader has met all nodes that live")
-        votes = identity in members.everybody
+            raise RejectedError(f"{name} is not known here: only a leader has met all nodes that live")
+        votes = identity in membership.everybody
         if votes:
-            learners = tuple(other for other in members.learners if other != identity)
-            self.change(now, Voters((*members.voters, identity), learners))
+            learners = tuple(other for other in membership.learners if other != identity)
+            self.change_membership(now, Membership((*membership.voters, identity), learners))
         else:
-            self.change(now, Voters(members.voters, (*members.learners, identity)))
+            self.change_membership(now, Membership(membership.voters, (*membership.learners, identity)))
         return AddedNode(identity, votes)
 
-    def remove_node(self, now: float, name: str) -> HandsOver | None:
+    def remove_node(self, now: float, name: str) -> TransferStarted | None:
         """Let the voter or learner of this node name or identity take no part any more. Raises RefusedError.
 
         A leader does not remove itself: it hands over first, and the new leader is to be asked."""
-        if name in (self.name, plain(self.name)) and self.core.role is Role.LEADER:
-            to = next(iter(self.core.furthest()), "")
-            self.hand_over(now, to)
-            return HandsOver(to)
-        members = self.core.members
-        rest = Voters(
-            tuple(other for other in members.voters if name not in (other, plain(other))),
-            tuple(other for other in members.learners if name not in (other, plain(other))),
+        if name in (self.name, node_name(self.name)) and self.raft.role is Role.LEADER:
+            to = next(iter(self.raft.voters_by_lag()), "")
+            self.transfer_leadership(now, to)
+            return TransferStarted(to)
+        membership = self.raft.membership
+        rest = Membership(
+            tuple(other for other in membership.voters if name not in (other, node_name(other))),
+            tuple(other for other in membership.learners if name not in (other, node_name(other))),
         )
-        if rest == members:
-            raise RefusedError(f"{name} takes no part")
-        self.change(now, rest)
+        if rest == membership:
+            raise RejectedError(f"{name} takes no part")
+        self.change_membership(now, rest)
         return None
 
-    def change(self, now: float, members: Voters) -> None:
+    def change_membership(self, now: float, membership: Membership) -> None:
         """Change who takes part. Raises RefusedError."""
-        self.core.change(now, members)
+        self.raft.change_membership(now, membership)
         self._from_core()
         self._changed(now)
--- a/chutepin/consensus/recovery.py
+++ b/chutepin/consensus/recovery.py
@@ -5,12 +5,12 @@
 
 from __future__ import annotations
 
-from .core import Durable
-from .messages import Entry, Kind, Persist, Voters
+from .messages import Entry, EntryKind, Membership, Persist
+from .raft import PersistentState
 
 
-def alone(identity: str, durable: Durable) -> Persist:
+def alone(identity: str, durable: PersistentState) -> Persist:
     """What makes `identity` the only voter of the log that its store holds."""
-    last = durable.base + len(durable.entries)
-    entry = Entry(last + 1, durable.term + 1, Kind.VOTERS, members=Voters((identity,)))
+    last = durable.base_index + len(durable.entries)
+    entry = Entry(last + 1, durable.term + 1, EntryKind.VOTERS, membership=Membership((identity,)))
     return Persist(durable.term + 1, identity, last + 1, (entry,))
--- a/chutepin/consensus/replica.py
+++ b/chutepin/consensus/replica.py
@@ -12,16 +12,16 @@
 
 import msgpack
 
-from .messages import Entry, Kind, Snapshot, Voters
+from .messages import Entry, EntryKind, Membership, Snapshot
 
 FORMAT = 1  # of a snapshot
-REMEMBERED = 2048  # entries for which the id of a proposal is known
-MAX_ANSWER = 64  # bytes that a machine may say to a proposal
-MAX_PROPOSAL = 24 * 1024  # bytes: one entry fits a value of the store and a message
-MAX_STATE = 2**20  # bytes of a snapshot
+DEDUPLICATION_WINDOW = 2048  # entries for which the id of a proposal is known
+MAX_RESULT_BYTES = 64  # bytes that a machine may say to a proposal
+MAX_PROPOSAL_BYTES = 24 * 1024  # bytes: one entry fits a value of the store and a message
+MAX_SNAPSHOT_BYTES = 2**20  # bytes of a snapshot
 
 
-class Machine(Protocol):
+class StateMachine(Protocol):
     """What users of the log bring: the same on all nodes."""
 
     version: int  # of the entries that it knows, and of its snapshots
@@ -37,18 +37,18 @@
         """Take over such a state."""
 
 
-class State(IntEnum):
+class OutcomeState(IntEnum):
     """What has become of a proposal."""
 
-    AGREED = 0
-    REFUSED = 1  # it never will be
+    COMMITTED = 0
+    REJECTED = 1  # it never will be
     UNKNOWN = 2  # it may be or become either; ask by its id
 
 
 class Outcome(NamedTuple):
     """The end of a proposal, or what is known of it. `again`: seconds after which it is worth another try."""
 
-    state: State
+    state: OutcomeState
     at: int = 0  # the entry that decided it
     answer: bytes = b""
     why: str = ""
@@ -65,17 +65,17 @@
     void: bool = False
 
 
-def new_id(applied: int, chance: int) -> bytes:
+def new_proposal_id(applied: int, chance: int) -> bytes:
     """An id that no other proposal has. `applied`: what this copy shows; `chance`: 64 bits of it."""
     return applied.to_bytes(8) + chance.to_bytes(8)
 
 
-def pack(proposal: Proposal) -> bytes:
+def pack_proposal(proposal: Proposal) -> bytes:
     """As an entry's data."""
     return bytes(msgpack.packb(list(proposal)))
 
 
-def unpack(data: bytes) -> Proposal:
+def unpack_proposal(data: bytes) -> Proposal:
     """Raises ValueError, TypeError."""
     id, version, data, void = msgpack.unpackb(data)
     return Proposal(id, version, data, void)
@@ -93,9 +93,9 @@
 class Replica:
     """One member's copy."""
 
-    def __init__(self, machine: Machine) -> None:
-        self.machine, self.applied = machine, 0
-        self.members = Voters(())  # as the last change of them says that was applied; none: nothing said it yet
+    def __init__(self, machine: StateMachine) -> None:
+        self.machine, self.applied_index = machine, 0
+        self.membership = Membership(())  # as the last change of them says that was applied; none: nothing said it yet
         self.chain = bytes(8)  # a digest of all entries up to `applied`, in their order: equal where they are
         self._known: dict[bytes, _Known] = {}  # the oldest first
         self.doubles = 0  # proposals that came again, and those too old to tell
@@ -105,32 +105,32 @@
         over: it comes from another source as well."""
         decided = []
         for entry in entries:
-            if entry.index != self.applied + 1:
+            if entry.index != self.applied_index + 1:
                 continue
-            self.applied = entry.index
+            self.applied_index = entry.index
             self.chain = hashlib.blake2b(
                 self.chain + b"%d %d " % (entry.index, entry.kind) + entry.data, digest_size=8
             ).digest()
-            if entry.members is not None:
-                self.members = entry.members
-            if entry.kind is Kind.PROPOSAL:
-                proposal = unpack(entry.data)
+            if entry.membership is not None:
+                self.membership = entry.membership
+            if entry.kind is EntryKind.PROPOSAL:
+                proposal = unpack_proposal(entry.data)
                 decided.append((proposal.id, self._decide(entry.index, proposal)))
         return decided
 
     def _decide(self, index: int, proposal: Proposal) -> Outcome:
-        while self._known and next(iter(self._known.values())).at <= index - REMEMBERED:
+        while self._known and next(iter(self._known.values())).at <= index - DEDUPLICATION_WINDOW:
             del self._known[next(iter(self._known))]
         if (found := self.outcome(proposal.id)) is not None:
             self.doubles += not proposal.void
             return found
-        if int.from_bytes(proposal.id[:8]) <= index - REMEMBERED:  # its id may have been known and forgotten
+        if int.from_bytes(proposal.id[:8]) <= index - DEDUPLICATION_WINDOW:  # its id may have been known and forgotten
             self.doubles += 1
-            return Outcome(State.UNKNOWN, index, why="too long ago to tell")
+            return Outcome(OutcomeState.UNKNOWN, index, why="too long ago to tell")
         if proposal.void:
             self._known[proposal.id] = _Known(index, False, b"")
         else:
-            answer = self.machine.apply(index, proposal.version, proposal.data)[:MAX_ANSWER]
+            answer = self.machine.apply(index, proposal.version, proposal.data)[:MAX_RESULT_BYTES]
             self._known[proposal.id] = _Known(index, True, answer)
         found = self.outcome(proposal.id)
         assert found is not None
@@ -142,8 +142,8 @@
         if known is None:
             return None
         if known.agreed:
-            return Outcome(State.AGREED, known.at, known.answer)
-        return Outcome(State.REFUSED, known.at, why="withdrawn")
+            return Outcome(OutcomeState.COMMITTED, known.at, known.answer)
+        return Outcome(OutcomeState.REJECTED, known.at, why="withdrawn")
 
     def snapshot(self) -> bytes:
         """All of it."""
@@ -153,7 +153,7 @@
     def restore(self, snapshot: Snapshot) -> bool:
         """Take over a later state; whether it was one. Raises ValueError for a format that this program does not
         know."""
-        if snapshot.upto <= self.applied:
+        if snapshot.up_to_index <= self.applied_index:
             return False
         form, chain, known, version, state = msgpack.unpackb(snapshot.data)
         if form != FORMAT or version > self.machine.version:
@@ -162,5 +162,5 @@
             )
         self.machine.restore(version, state)
         self._known = {id: _Known(at, agreed, answer) for id, at, agreed, answer in known}
-        self.applied, self.chain, self.members = snapshot.upto, chain, snapshot.members
+        self.applied_index, self.chain, self.membership = snapshot.up_to_index, chain, snapshot.membership
         return True
--- a/chutepin/consensus/subsystem.py
+++ b/chutepin/consensus/subsystem.py
@@ -16,15 +16,24 @@
 from ..logs import Log
 from ..store import Store, StoreBusyError, StoreError
 from ..subsystem import CommandHandler
-from .codec import Hello, Said
-from .core import RefusedError, Role, Times
-from .facts import Facts
-from .identity import IDENTITY_KEY, MET_KEY, Identity, Meet, Met, Standing, StoredIdentity, plain
+from .codec import Hello, WireMessage
+from .identity import (
+    IDENTITY_KEY,
+    MET_KEY,
+    Identity,
+    StoreAcknowledgement,
+    StoreAnnouncement,
+    StoredIdentity,
+    StoreStatus,
+    node_name,
+)
 from .journal import Journal, JournalError, Operation
-from .member import Answer, Effect, Member, Send, Tell
-from .messages import Apply, Persist, Readable, Restore, Voters
+from .key_value import KeyValueMachine
+from .messages import Apply, Membership, Persist, ReadReady, Restore
 from .operators import OperatorCalls
-from .replica import Outcome, State
+from .participant import Effect, LogEvent, Participant, RequestCompleted, Send
+from .raft import RaftSettings, RejectedError, Role
+from .replica import Outcome, OutcomeState
 from .wire import Links, Wire, now
 
 NO_EXPIRY = float("inf")
@@ -33,7 +42,7 @@
 MEET_EVERY = 0.5  # seconds between questions whether the others have met this store
 
 
-class Agreement:
+class ConsensusSubsystem:
     """This node's part in the replicated log (`subsystem.Subsystem`, `operators.Participant`)."""
 
     def __init__(
@@ -49,10 +58,10 @@
         self._setup, self._name, self._links, self._store = setup, name, links, store
         # Not the configuration's seed: ids of proposals must not come again after a restart.
         self._counters, self._log, self._rng = counters, log, random.Random(random.SystemRandom().getrandbits(64))
-        self._times = Times(setup.election, setup.heartbeat, log=4 * setup.log, kept=setup.log // 2)
-        self.machine = Facts()
+        self._times = RaftSettings(setup.election, setup.heartbeat, log=4 * setup.log, kept=setup.log // 2)
+        self.machine = KeyValueMachine()
         self._identity = self._load_identity()
-        self.member: Member | None = None
+        self.participant: Participant | None = None
         self._journal = Journal()
         self._wire = Wire(links, self._hello, self._deliver, descriptors, counters)
         self.idle_reason = "starts"  # why it takes no part
@@ -90,7 +99,7 @@
         return [(IDENTITY_KEY, stored.pack()), (MET_KEY, bytes(msgpack.packb(identity.met)))]
 
     def _hello(self, to: str) -> Hello:
-        return Hello(self._links.cluster, self._name, self._identity.identity, plain(to), self.machine.version)
+        return Hello(self._links.cluster, self._name, self._identity.identity, node_name(to), self.machine.version)
 
     # --- subsystem.Subsystem ---
 
@@ -129,28 +138,28 @@
 
     def leave(self) -> None:
         """Have somebody else lead before this process ends."""
-        member = self.member
-        if member is None or member.core.role is not Role.LEADER:
+        participant = self.participant
+        if participant is None or participant.raft.role is not Role.LEADER:
             return
-        if not (others := member.core.furthest()):
+        if not (others := participant.raft.voters_by_lag()):
             return
         try:
-            member.hand_over(now(), others[0])
-        except RefusedError:  # it hands over already
+            participant.transfer_leadership(now(), others[0])
+        except RejectedError:  # it hands over already
             return
         self.pump()
 
     def metrics(self) -> dict[str, int]:
         """Counts of the member."""
-        member = self.member
-        if member is None:
+        participant = self.participant
+        if participant is None:
             return {"agree.member": 0}
-        return {f"agree.{name}": count for name, count in sorted(member.counts.items())} | {
+        return {f"agree.{name}": count for name, count in sorted(participant.counts.items())} | {
             "agree.member": 1,
-            "agree.term": member.core.term,
-            "agree.applied": member.replica.applied,
-            "agree.doubles": member.replica.doubles,
-            "agree.log_bytes": member.core.size,
+            "agree.term": participant.raft.term,
+            "agree.applied": participant.replica.applied_index,
+            "agree.doubles": participant.replica.doubles,
+            "agree.log_bytes": participant.raft.size,
         }
 
     # --- life ---
@@ -158,10 +167,10 @@
     async def _begin(self) -> None:
         """Come back as what the store says, once it is durable there who this is."""
         await self._durable(self._identity_operations())
-        while self._identity.standing is Standing.FORMING:
+        while self._identity.standing is StoreStatus.FORMING:
             self.idle_reason = f"forms: {' '.join(self._identity.others)} must have met this store"
             for name in self._identity.others:
-                self._wire.send(name, Meet(self._name, self._identity.born))
+                self._wire.send(name, StoreAnnouncement(self._name, self._identity.born))
             self._more.clear()
             try:
                 async with asyncio.timeout_at(asyncio.get_running_loop().time() + MEET_EVERY):
@@ -174,14 +183,16 @@
         durable, rest = self._journal.load(self._store.get)
         await self._durable(rest)
         self._queue.clear()
-        self.machine = Facts()
-        first = Voters(self._setup.voters)
-        self.member = Member(self._identity.identity, first, durable, self.machine, now(), self._rng, self._times)
+        self.machine = KeyValueMachine()
+        first = Membership(self._setup.voters)
+        self.participant = Participant(
+            self._identity.identity, first, durable, self.machine, now(), self._rng, self._times
+        )
         self._log.event(
             "agree.takes_part",
             identity=self._identity.identity,
             term=durable.term,
-            applied=self.member.replica.applied,
+            applied=self.participant.replica.applied_index,
             standing=self._identity.standing.value,
         )
         self.pump()
@@ -190,14 +201,14 @@
         """Take no part. What was not carried out never was: it is as after a crash."""
         self._log.event("agree.halted", why=why)
         self._counters.add("agree.halted")
-        self.idle_reason, self.member, self._busy = why, None, False
+        self.idle_reason, self.participant, self._busy = why, None, False
         self._queue.clear()
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         for future in self._tickets.values():
             if not future.done():
-                future.set_result(Outcome(State.UNKNOWN, why=why))
+                future.set_result(Outcome(OutcomeState.UNKNOWN, why=why))
         self._tickets.clear()
 
     async def _durable(self, operations: Iterable[Operation]) -> None:
@@ -226,8 +237,8 @@
             await self._more.wait()
             self._more.clear()
             self._busy = True
-            while (member := self.member) is not None and (self._queue or self._collect(member)):
-                self._collect(member)
+            while (participant := self.participant) is not None and (self._queue or self._collect(participant)):
+                self._collect(participant)
                 queue, self._queue = self._queue, []
                 operations = [
                     part for effect in queue if isinstance(effect, Persist) for part in self._journal.write(effect)
@@ -235,70 +246,70 @@
                 if operations:
                     await self._durable(operations)
                 for effect in queue:
-                    self._carry_out(member, effect)
+                    self._carry_out(participant, effect)
             self._busy = False
             self.pump()
 
-    def _collect(self, member: Member) -> list[Effect]:
-        if member.core.since > self._setup.log:
-            member.compact(now())
-        self._queue += member.take()
+    def _collect(self, participant: Participant) -> list[Effect]:
+        if participant.raft.since > self._setup.log:
+            participant.compact(now())
+        self._queue += participant.take()
         return self._queue
 
     def pump(self) -> None:
         """Carry out what needs no disk at once; leave the rest to the worker."""
-        member = self.member
-        if member is None or self._busy:
+        participant = self.participant
+        if participant is None or self._busy:
             return
         self._busy = True
-        while self._collect(member) and not any(isinstance(effect, Persist) for effect in self._queue):
+        while self._collect(participant) and not any(isinstance(effect, Persist) for effect in self._queue):
             queue, self._queue = self._queue, []
             for effect in queue:
-                self._carry_out(member, effect)
+                self._carry_out(participant, effect)
         self._busy = False
         if self._queue:
             self._more.set()
         if self._timer is not None:
             self._timer.cancel()
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_at(loop.time() + max(0.0, member.wake_at() - now()), self._tick)
+        self._timer = loop.call_at(loop.time() + max(0.0, participant.next_deadline() - now()), self._tick)
 
     def _tick(self) -> None:
         self._timer = None
-        if (member := self.member) is not None:
-            member.alive = tuple(self._links.alive())
-            voters = set(map(plain, member.members.voters))
-            member.observer.others = tuple(name for name in member.alive if name not in voters)
-            member.tick(now())
+        if (participant := self.participant) is not None:
+            participant.alive = tuple(self._links.alive())
+            voters = set(map(node_name, participant.membership.voters))
+            participant.observer.others = tuple(name for name in participant.alive if name not in voters)
+            participant.tick(now())
             self.pump()
             if self._timer is None:  # the worker is at the disk; time goes on
                 loop = asyncio.get_running_loop()
-                self._timer = loop.call_at(loop.time() + max(0.001, member.wake_at() - now()), self._tick)
+                self._timer = loop.call_at(loop.time() + max(0.001, participant.next_deadline() - now()), self._tick)
 
-    def _carry_out(self, member: Member, effect: Effect) -> None:
+    def _carry_out(self, participant: Participant, effect: Effect) -> None:
         match effect:
             case Send():
-                self._wire.send(effect.to, effect.word)
-            case Apply() | Restore() | Readable():
-                member.done(now(), effect)
-            case Answer():
+                self._wire.send(effect.to, effect.message)
+            case Apply() | Restore() | ReadReady():
+                participant.done(now(), effect)
+            case RequestCompleted():
                 if (future := self._tickets.pop(effect.ticket, None)) is not None and not future.done():
                     future.set_result(effect.outcome)
-            case Tell():
+            case LogEvent():
                 self._log.event(f"agree.{effect.what}", **effect.fields)
             case _:
                 pass
 
-    def _deliver(self, hello: Hello, word: Said) -> None:
-        if isinstance(word, Meet | Met):
+    def _deliver(self, hello: Hello, word: WireMessage) -> None:
+        if isinstance(word, StoreAnnouncement | StoreAcknowledgement):
             self._met(hello, word)
-        elif not isinstance(word, Hello) and (member := self.member) is not None:
-            member.met(hello.identity, hello.version)
-            member.receive(now(), hello.identity, word)
+        elif not isinstance(word, Hello) and (participant := self.participant) is not None:
+            participant.met(hello.identity, hello.version)
+            participant.receive(now(), hello.identity, word)
             self.pump()
 
-    def _met(self, hello: Hello, word: Meet | Met) -> None:
-        if isinstance(word, Met):
+    def _met(self, hello: Hello, word: StoreAnnouncement | StoreAcknowledgement) -> None:
+        if isinstance(word, StoreAcknowledgement):
             if self._identity.answered(hello.name, word):
                 self._log.event(
                     "agree.standing", standing=self._identity.standing.value, identity=self._identity.identity
@@ -309,7 +320,7 @@
         if (answer := self._identity.meet(hello.name, word)) is not None:
             asyncio.get_running_loop().create_task(self._say_met(hello.name, answer, new))
 
-    async def _say_met(self, to: str, answer: Met, new: bool) -> None:
+    async def _say_met(self, to: str, answer: StoreAcknowledgement, new: bool) -> None:
         """Say whom this node has met, after that is durable: it holds for ever."""
         try:
             if new:
@@ -323,16 +334,16 @@
     # --- operators ---
 
     @property
-    def standing(self) -> Standing:
+    def standing(self) -> StoreStatus:
         """How far the other voters know this node's store."""
         return self._identity.standing
 
-    async def outcome(self, begin: Callable[[Member], int]) -> Outcome:
+    async def outcome(self, begin: Callable[[Participant], int]) -> Outcome:
         """Begin a request at the member, which returns its ticket, and wait for the outcome."""
-        if (member := self.member) is None:
-            return Outcome(State.REFUSED, why=self.idle_reason, again=RETRY_AFTER)
+        if (participant := self.participant) is None:
+            return Outcome(OutcomeState.REJECTED, why=self.idle_reason, again=RETRY_AFTER)
         future: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
-        self._tickets[begin(member)] = future
+        self._tickets[begin(participant)] = future
         self.pump()
         return await future
 
--- a/chutepin/consensus/wire.py
+++ b/chutepin/consensus/wire.py
@@ -16,8 +16,8 @@
 from ..admission import DescriptorBudget
 from ..cluster.transport import PART, numeric
 from ..counters import Counters
-from .codec import PREFACE, CodecError, Hello, Reader, Said, encode
-from .identity import plain
+from .codec import PREFACE, CodecError, FrameReader, Hello, WireMessage, encode
+from .identity import node_name
 
 MAX_QUEUE = 2**20  # bytes for one peer
 MOST_PEERS = 80
@@ -67,7 +67,7 @@
         self,
         links: Links,
         hello: Callable[[str], Hello],
-        deliver: Callable[[Hello, Said], None],
+        deliver: Callable[[Hello, WireMessage], None],
         descriptors: DescriptorBudget,
         counters: Counters,
     ) -> None:
@@ -78,9 +78,9 @@
         self._open = True
         links.takes(PREFACE, self._serve)
 
-    def send(self, to: str, word: Said) -> None:
+    def send(self, to: str, word: WireMessage) -> None:
         """Say something, if there is room; `to` is an identity."""
-        name = plain(to)
+        name = node_name(to)
         peer = self._peers.get(name)
         if peer is None:
             if len(self._peers) >= MOST_PEERS or not self._open:
@@ -167,7 +167,7 @@
 
     async def _serve(self, sock: socket.socket, begun: bytes) -> None:
         """Take in what a member says; the cluster's transport closes the connection."""
-        loop, reader, hello, data = asyncio.get_running_loop(), Reader(), None, begun
+        loop, reader, hello, data = asyncio.get_running_loop(), FrameReader(), None, begun
         try:
             while self._open:
                 for word in reader.feed(data) if data else ():
@@ -185,13 +185,13 @@
         except (OSError, TimeoutError):
             self._counters.add("agree.broken_in")
 
-    def _welcome(self, word: Said) -> Hello:
+    def _welcome(self, word: WireMessage) -> Hello:
         if not isinstance(word, Hello):
             raise CodecError("no_hello")
         mine = self._hello("")
         if word.cluster != self._links.cluster:
             raise CodecError("cluster")
-        if word.to != mine.name or word.name == mine.name or plain(word.identity) != word.name:
+        if word.to != mine.name or word.name == mine.name or node_name(word.identity) != word.name:
             raise CodecError("misdirected")
         return word
 
--- a/chutepin/lab/assembly.py
+++ b/chutepin/lab/assembly.py
@@ -140,18 +140,18 @@
             )
             lines = await self.processes[other].ask(word) or lines
         if lines and lines[0].startswith(("SUCCESS agreed", "FAILURE refused")):
-            asked.outcome = lines[0].split()[1]
-            if asked.outcome == "agreed":
+            asked.outcome = "committed" if lines[0].startswith("SUCCESS") else "rejected"
+            if asked.outcome == "committed":
                 asked.at = int(lines[0].split()[2])
             asked.ended = self.now
 
     def _read(self, asked: Asked, lines: list[str]) -> None:
         if not lines:
             return
-        asked.ended, asked.outcome = self.now, "refused"
+        asked.ended, asked.outcome = self.now, "rejected"
         words = lines[0].split()
         if words[0] == "SUCCESS":
-            asked.outcome, asked.upto = "agreed", int(words[2])
+            asked.outcome, asked.up_to_index = "committed", int(words[2])
             if words[3] == "set-at":
                 asked.at, asked.times, asked.value = int(words[4]), int(words[6]), words[7]
 
--- a/chutepin/lab/claims.py
+++ b/chutepin/lab/claims.py
@@ -14,8 +14,9 @@
 
 @dataclass(slots=True)
 class Asked:
-    """A name was set or read at a member. `outcome`: agreed, refused, unknown (also: no answer). Of a read `at` is the
-    entry that set what it showed (0: not set), `upto` the index that it was good for, `times` how often it was set."""
+    """A name was set or read at a member. `outcome`: committed, rejected, unknown (also: no answer). Of a read, `at`
+    is the entry that set what it showed (0: not set), `up_to_index` the index that it was good for, `times` how often
+    the name was set."""
 
     what: str  # set, get
     member: str
@@ -25,7 +26,7 @@
     ended: float = float("inf")
     outcome: str = "unknown"
     at: int = 0
-    upto: int = 0
+    up_to_index: int = 0
     times: int = 0
     id: str = ""
 
@@ -39,7 +40,7 @@
     life: int
     role: str
     term: int
-    applied: int
+    applied_index: int
     chain: str
 
 
@@ -54,11 +55,11 @@
 
     def agreed(self) -> list[Asked]:
         """Sets that were agreed."""
-        return [asked for asked in self.asked if asked.what == "set" and asked.outcome == "agreed"]
+        return [asked for asked in self.asked if asked.what == "set" and asked.outcome == "committed"]
 
     def reads(self) -> list[Asked]:
         """Reads that were answered."""
-        return [asked for asked in self.asked if asked.what == "get" and asked.outcome == "agreed"]
+        return [asked for asked in self.asked if asked.what == "get" and asked.outcome == "committed"]
 
     def names(self) -> list[str]:
         """All names that were asked for."""
@@ -77,9 +78,9 @@
     """Whoever has applied all up to an index has applied the same, in the same order."""
     known: dict[int, tuple[str, str]] = {}
     for showed in record.showed:
-        chain, member = known.setdefault(showed.applied, (showed.chain, showed.member))
-        if showed.applied and chain != showed.chain:
-            yield f"{showed.at:.2f} {showed.member} differs from {member} at {showed.applied}"
+        chain, member = known.setdefault(showed.applied_index, (showed.chain, showed.member))
+        if showed.applied_index and chain != showed.chain:
+            yield f"{showed.at:.2f} {showed.member} differs from {member} at {showed.applied_index}"
 
 
 def nobody_goes_back(record: Record) -> Iterator[str]:
@@ -87,8 +88,8 @@
     last: dict[tuple[str, int], Showed] = {}
     for showed in record.showed:
         before = last.get((showed.member, showed.life))
-        if before is not None and (showed.applied < before.applied or showed.term < before.term):
-            yield f"{showed.at:.2f} {showed.member} went back from {before.applied} to {showed.applied}"
+        if before is not None and (showed.applied_index < before.applied_index or showed.term < before.term):
+            yield f"{showed.at:.2f} {showed.member} went back from {before.applied_index} to {showed.applied_index}"
         last[showed.member, showed.life] = showed
 
 
@@ -129,7 +130,7 @@
         asked = sets.get(read.value)
         if asked is None or asked.name != read.name or asked.began > read.ended:
             yield f"{read.began:.3f} {read.member} reads {read.name} as {read.value}, which nobody had set"
-        elif asked.outcome == "refused" or (asked.outcome == "agreed" and asked.at != read.at):
+        elif asked.outcome == "rejected" or (asked.outcome == "committed" and asked.at != read.at):
             yield f"{read.began:.3f} {read.member} reads {read.value} of {read.at}; it was {asked.outcome} {asked.at}"
 
 
@@ -140,7 +141,7 @@
         for read in record.reads():
             if read.name != name:
                 continue
-            sure = sum(asked.outcome == "agreed" and asked.at <= read.upto for asked in sets.values())
+            sure = sum(asked.outcome == "committed" and asked.at <= read.up_to_index for asked in sets.values())
             perhaps = sum(asked.outcome == "unknown" and asked.began < read.ended for asked in sets.values())
             if not sure <= read.times <= sure + perhaps:
                 yield (
@@ -155,7 +156,7 @@
     if record.settled < float("inf") and not late:
         yield "nothing was asked in the end"
     for asked in late:
-        if asked.outcome != "agreed":
+        if asked.outcome != "committed":
             yield f"{asked.began:.2f} {asked.member} {asked.what} {asked.name}: {asked.outcome}"
 
 
--- a/chutepin/lab/explorer.py
+++ b/chutepin/lab/explorer.py
@@ -16,12 +16,37 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
 
-from ..consensus.core import Core, Durable, RefusedError, Role, Times
-from ..consensus.messages import Apply, Effect, Entry, Message, Persist, Restore, Send, Voters
-
-Packet = tuple[str, str, Message]  # to, from, what
+from ..consensus.messages import (
+    AppendEntries,
+    AppendEntriesReply,
+    Apply,
+    Effect,
+    Entry,
+    InstallSnapshotChunk,
+    InstallSnapshotReply,
+    Membership,
+    Persist,
+    RaftMessage,
+    RequestVote,
+    RequestVoteReply,
+    Restore,
+    Send,
+    TimeoutNow,
+)
+from ..consensus.raft import PersistentState, RaftNode, RaftSettings, RejectedError, Role
+
+Packet = tuple[str, str, RaftMessage]  # to, from, what
+MESSAGE_ORDER: tuple[type, ...] = (
+    AppendEntries,
+    AppendEntriesReply,
+    RequestVote,
+    TimeoutNow,
+    InstallSnapshotChunk,
+    InstallSnapshotReply,
+    RequestVoteReply,
+)
 # Time stands still: nothing may rest on it here. One entry a message: so old entries arrive without newer ones.
-NO_LEASE = Times(election=0.0, heartbeat=0.0, piece=1)
+NO_LEASE = RaftSettings(election=0.0, heartbeat=0.0, piece=1)
 
 
 class _Zero(random.Random):
@@ -41,7 +66,7 @@
     beats: int = 0
     crashes: int = 0
     twice: int = 0  # messages that come a second time
-    changes: tuple[Voters, ...] = ()
+    changes: tuple[Membership, ...] = ()
     snapshots: int = 0
 
 
@@ -52,18 +77,18 @@
 class World:
     """All members, what is on the way, and what was ever agreed."""
 
-    def __init__(self, scope: Scope, make: type[Core] = Core) -> None:
+    def __init__(self, scope: Scope, make: type[RaftNode] = RaftNode) -> None:
         self.left, self._make = scope, make
         self.names = [f"v{number}" for number in range(1, scope.voters + 1)]
-        self.first = Voters(tuple(self.names))
+        self.first = Membership(tuple(self.names))
         extra = sorted({name for change in scope.changes for name in change.everybody} - set(self.names))
-        self.durable = {name: Durable() for name in self.names + extra}
-        self.cores: dict[str, Core | None] = {name: self._begin(name) for name in self.durable}
+        self.durable = {name: PersistentState() for name in self.names + extra}
+        self.cores: dict[str, RaftNode | None] = {name: self._begin(name) for name in self.durable}
         self.network: tuple[Packet, ...] = ()
         self.leaders: dict[int, str] = {}
         self.agreed: tuple[Entry, ...] = ()
 
-    def _begin(self, name: str) -> Core:
+    def _begin(self, name: str) -> RaftNode:
         return self._make(name, self.first, self.durable[name], 0.0, _Zero(), NO_LEASE)
 
     def copy(self) -> World:
@@ -91,12 +116,12 @@
                 continue
             yield from self._of(name, core)
 
-    def _of(self, name: str, core: Core) -> Iterator[tuple[str, ...]]:
+    def _of(self, name: str, core: RaftNode) -> Iterator[tuple[str, ...]]:
         """What a member that runs may do by itself."""
-        if self.left.snapshots and core.applied > core.base:
+        if self.left.snapshots and core.applied_index > core.base_index:
             yield ("compact", name)
         if core.role is not Role.LEADER:
-            if self.left.elections and name in core.members.voters:
+            if self.left.elections and name in core.membership.voters:
                 yield ("elect", name)
             return
         if self.left.beats:
@@ -131,7 +156,7 @@
         self._check(name)
         return len(effects)
 
-    def _core(self, name: str) -> Core:
+    def _core(self, name: str) -> RaftNode:
         core = self.cores[name]
         assert core is not None
         return core
@@ -150,13 +175,13 @@
                 core.propose(0.0, b"%d" % self.left.proposals)
             case "compact":  # the state is the log itself: so a wrong one shows
                 self.left = replace(self.left, snapshots=self.left.snapshots - 1)
-                core.compact(0.0, repr(self.agreed[: core.applied]).encode())
+                core.compact(0.0, repr(self.agreed[: core.applied_index]).encode())
             case _:
                 change, *rest = self.left.changes
                 self.left = replace(self.left, changes=tuple(rest))
                 try:
-                    core.change(0.0, change)
-                except RefusedError:
+                    core.change_membership(0.0, change)
+                except RejectedError:
                     pass
 
     def _carry_out(self, name: str, effect: Effect) -> None:
@@ -164,7 +189,7 @@
             case Persist():
                 self.durable[name].persist(effect)
             case Send():
-                self.network = tuple(sorted((*self.network, (effect.to, name, effect.message)), key=repr))
+                self.network = tuple(sorted((*self.network, (effect.to, name, effect.message)), key=_packet_order))
             case Apply():
                 self._applied(name, effect.entries)
             case Restore():
@@ -185,8 +210,8 @@
                 self.agreed = (*self.agreed, entry)
 
     def _restored(self, name: str, effect: Restore) -> None:
-        if repr(self.agreed[: effect.snapshot.upto]).encode() != effect.snapshot.data:
-            raise BrokenError(f"{name} takes over a state at {effect.snapshot.upto} that was never agreed")
+        if repr(self.agreed[: effect.snapshot.up_to_index]).encode() != effect.snapshot.data:
+            raise BrokenError(f"{name} takes over a state at {effect.snapshot.up_to_index} that was never agreed")
 
     def _check(self, name: str) -> None:
         core = self.cores[name]
@@ -196,7 +221,7 @@
             other = self.leaders.setdefault(core.term, name)
             if other != name:
                 raise BrokenError(f"{other} and {name} lead in term {core.term}")
-            behind = self.agreed[core.base :]
+            behind = self.agreed[core.base_index :]
             if tuple(core.log[: len(behind)]) != behind and core.term >= max(self.leaders):
                 raise BrokenError(f"{name} leads in term {core.term} without an agreed entry")
         for other_core in self.cores.values():
@@ -232,25 +257,37 @@
         return cores, network, left, leaders, repr(self.agreed)
 
 
-def _match(a: Core, b: Core) -> None:
+def _packet_order(packet: Packet) -> tuple[str, str, int, str]:
+    """The order of packets on the way; a walk draws by it, so it must not depend on how types are named."""
+    to, sender, message = packet
+    return to, sender, MESSAGE_ORDER.index(type(message)), repr(tuple(message))
+
+
+def _match(a: RaftNode, b: RaftNode) -> None:
     """Where two logs have an entry of one index and term they are the same up to there."""
-    for index in range(min(a.last, b.last), 0, -1):
-        if index <= max(a.base, b.base):
+    for index in range(min(a.last_index, b.last_index), 0, -1):
+        if index <= max(a.base_index, b.base_index):
             return
         if a.term_at(index) == b.term_at(index):
-            first = max(a.base, b.base)
-            if a.log[first - a.base : index - a.base] != b.log[first - b.base : index - b.base]:
+            first = max(a.base_index, b.base_index)
+            if a.log[first - a.base_index : index - a.base_index] != b.log[first - b.base_index : index - b.base_index]:
                 raise BrokenError(f"the logs of {a.name} and {b.name} differ before {index}")
             return
 
 
-def _state(core: Core | None, durable: Durable, new: dict[str, str]) -> str:
-    kept = (durable.term, new.get(durable.vote, durable.vote), durable.base, durable.snapshot, durable.entries)
+def _state(core: RaftNode | None, durable: PersistentState, new: dict[str, str]) -> str:
+    kept = (
+        durable.term,
+        new.get(durable.voted_for, durable.voted_for),
+        durable.base_index,
+        durable.snapshot,
+        durable.entries,
+    )
     if core is None:
         return repr(kept)
     progress = (
         sorted(
-            (new.get(name, name), p.next, p.match, p.probing, p.flying, p.round, p.piece, p.sent)
+            (new.get(name, name), p.next, p.match_index, p.probing, p.in_flight, p.round, p.piece, p.sent)
             for name, p in core._progress.items()
         )
         if core.role is Role.LEADER
@@ -261,11 +298,11 @@
         (
             kept,
             core.term,
-            new.get(core.vote, core.vote),
-            core.base,
+            new.get(core.voted_for, core.voted_for),
+            core.base_index,
             core.log,
             core.role,
-            core.commit,
+            core.commit_index,
             core._incoming,
             progress,
             votes,
@@ -273,12 +310,14 @@
     )
 
 
-def _cloned(core: Core) -> Core:
+def _cloned(core: RaftNode) -> RaftNode:
     other = copy.copy(core)
     other.log, other._votes, other._reads, other._effects = core.log[:], set(core._votes), core._reads[:], []
     if core._incoming is not None:
         other._incoming = (core._incoming[0], core._incoming[1][:])
-    other._progress = {name: replace(progress, flying=progress.flying[:]) for name, progress in core._progress.items()}
+    other._progress = {
+        name: replace(progress, in_flight=progress.in_flight[:]) for name, progress in core._progress.items()
+    }
     return other
 
 
@@ -304,7 +343,9 @@
     broken: str
 
 
-def explore(scope: Scope, make: type[Core] = Core, *, most: int = 100_000, until: float = float("inf")) -> Explored:
+def explore(
+    scope: Scope, make: type[RaftNode] = RaftNode, *, most: int = 100_000, until: float = float("inf")
+) -> Explored:
     """Go through all worlds of the scope, breadth first, so that what is found is found by the shortest way.
 
     `most`: states after which it ends; `until`: the monotonic time at which it does."""
@@ -343,7 +384,7 @@
     return found
 
 
-def walk(scope: Scope, seed: int, steps: int, make: type[Core] = Core) -> Walked:
+def walk(scope: Scope, seed: int, steps: int, make: type[RaftNode] = RaftNode) -> Walked:
     """One way through a scope that is too large to go through, drawn from a seed; what is broken, or how much
     was agreed."""
     rng = random.Random(seed)
--- a/chutepin/lab/quorum.py
+++ b/chutepin/lab/quorum.py
@@ -12,19 +12,19 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from ..consensus.codec import Hello, Said, decode, encode
-from ..consensus.core import Core, RefusedError, Role, Times
-from ..consensus.facts import Facts, set_fact
-from ..consensus.identity import Identity, Meet, Met, Standing, plain
+from ..consensus.codec import Hello, WireMessage, decode, encode
+from ..consensus.identity import Identity, StoreAcknowledgement, StoreAnnouncement, StoreStatus, node_name
 from ..consensus.journal import Journal, Operation
-from ..consensus.member import Answer, Effect, Member, Send
-from ..consensus.messages import Apply, Persist, Readable, Restore, Voters
-from ..consensus.replica import Outcome, State
+from ..consensus.key_value import KeyValueMachine, pack_assignment
+from ..consensus.messages import Apply, Membership, Persist, ReadReady, Restore
+from ..consensus.participant import Effect, Participant, RequestCompleted, Send
+from ..consensus.raft import RaftNode, RaftSettings, RejectedError, Role
+from ..consensus.replica import Outcome, OutcomeState
 from .claims import Asked, Record, Showed
 from .faults import Fault, Schedule
 from .history import Truth
 
-TIMES = Times(election=1.0, heartbeat=0.2, piece=4096, in_flight=8192, log=32768, kept=3000)
+SETTINGS = RaftSettings(election=1.0, heartbeat=0.2, piece=4096, in_flight=8192, log=32768, kept=3000)
 LOG = 2500  # bytes after which the state is kept
 WRITE = (0.001, 0.006)  # seconds that a write takes
 WAY = (0.0003, 0.002)  # seconds on a link
@@ -68,15 +68,15 @@
 
     def __init__(self, name: str) -> None:
         self.name, self.disk = name, Disk()
-        self.member: Member | None = None
+        self.participant: Participant | None = None
         self.identity: Identity | None = None
         self.journal = Journal()
-        self.facts = Facts()
+        self.key_value = KeyValueMachine()
         self.queue: list[Effect] = []
         self.busy = False
         self.life = 0
         self.timer = 0
-        self.waiting: list[tuple[str, Said]] = []  # words that came while it was stopped
+        self.waiting: list[tuple[str, WireMessage]] = []  # words that came while it was stopped
         self.tickets: dict[int, Callable[[Outcome], None]] = {}
 
 
@@ -84,8 +84,8 @@
 class Parts:
     """What a run is made of; a planted error takes one's place."""
 
-    core: type[Core] = Core
-    member: type[Member] = Member
+    core: type[RaftNode] = RaftNode
+    member: type[Participant] = Participant
     journal: type[Journal] = Journal
     identity: type[Identity] = Identity
     acknowledges_early: bool = False  # what stands behind a write is done before it is durable
@@ -104,7 +104,7 @@
         every: float = 0.15,
         changes: float = 0.0,
         wire: bool = False,
-        times: Times = TIMES,
+        times: RaftSettings = SETTINGS,
         write: tuple[float, float] = WRITE,
     ) -> None:
         """`every`: seconds between asks, on average; `changes`: between changes of voters (0: none). `wire`: words go
@@ -150,13 +150,13 @@
 
     def _start(self, host: _Host) -> None:
         host.life += 1
-        host.queue, host.busy, host.member, host.waiting, host.tickets = [], False, None, [], {}
+        host.queue, host.busy, host.participant, host.waiting, host.tickets = [], False, None, [], {}
         born = f"{self._rng.getrandbits(32):08x}"
         kept = host.disk.get(b"who")
         if kept is not None:
             born, standing = kept.decode().split()
         met = dict(part.split("=") for part in (host.disk.get(b"met") or b"").decode().split())
-        host.identity = self._parts.identity(host.name, self.voters, born, Standing(standing) if kept else None, met)
+        host.identity = self._parts.identity(host.name, self.voters, born, StoreStatus(standing) if kept else None, met)
         self._keep(host)
         self._form(host, host.life)
 
@@ -173,14 +173,14 @@
         host.disk.sync(len(host.disk.pending))
 
     def _form(self, host: _Host, life: int) -> None:
-        if host.life != life or host.name not in self.truth.up or host.member is not None:
+        if host.life != life or host.name not in self.truth.up or host.participant is not None:
             return
         assert host.identity is not None
-        if host.identity.standing is not Standing.FORMING:
+        if host.identity.standing is not StoreStatus.FORMING:
             self._join(host)
             return
         for name in host.identity.others:
-            self._say(host, name, Meet(host.name, host.identity.born))
+            self._say(host, name, StoreAnnouncement(host.name, host.identity.born))
         self._at(self.now + MEET, self._form, host, life)
 
     def _join(self, host: _Host) -> None:
@@ -189,28 +189,28 @@
         durable, rest = host.journal.load(host.disk.get)
         host.disk.lay(rest)
         host.disk.sync(len(rest))
-        host.facts = Facts()
-        host.member = self._parts.member(
+        host.key_value = KeyValueMachine()
+        host.participant = self._parts.member(
             host.identity.identity,
-            Voters(self.voters),
+            Membership(self.voters),
             durable,
-            host.facts,
+            host.key_value,
             self.now,
             random.Random(self._rng.random()),
             self._times,
         )
-        if self._parts.core is not Core:
+        if self._parts.core is not RaftNode:
             core = self._parts.core(
                 host.identity.identity,
-                Voters(self.voters),
+                Membership(self.voters),
                 durable,
                 self.now,
                 random.Random(self._rng.random()),
                 self._times,
             )
-            host.member.core = core
-            host.member._effects.clear()
-            host.member._from_core()
+            host.participant.raft = core
+            host.participant._effects.clear()
+            host.participant._from_core()
         self._pump(host)
 
     def _fault(self, fault: Fault) -> None:
@@ -221,10 +221,10 @@
             if fault.what in ("crash", "leave", "wipe"):
                 host.life += 1
                 host.disk.crash(self._rng)
-                host.member = None
+                host.participant = None
                 if fault.what == "wipe":
                     host.disk = Disk()
-            elif fault.what == "restart" and host.member is None:
+            elif fault.what == "restart" and host.participant is None:
                 self._start(host)
             elif fault.what == "wake":
                 words, host.waiting = host.waiting, []
@@ -240,11 +240,11 @@
         )
 
     def _pump(self, host: _Host) -> None:
-        member = host.member
+        member = host.participant
         if member is None or host.busy:
             return
         while True:
-            if member.core.since > LOG:
+            if member.raft.since > LOG:
                 member.compact(self.now)
             host.queue += member.take()
             if not host.queue:
@@ -267,9 +267,9 @@
         self._arm(host)
 
     def _arm(self, host: _Host) -> None:
-        assert host.member is not None
+        assert host.participant is not None
         host.timer += 1
-        self._at(max(self.now + 0.0005, host.member.wake_at()), self._tick, host, host.timer)
+        self._at(max(self.now + 0.0005, host.participant.next_deadline()), self._tick, host, host.timer)
 
     def _written(self, host: _Host, life: int, count: int, queue: list[Effect]) -> None:
         if host.life != life:
@@ -283,16 +283,16 @@
         self._pump(host)
 
     def _carry_out(self, host: _Host, queue: list[Effect]) -> None:
-        member = host.member
+        member = host.participant
         assert member is not None
         for effect in queue:
             match effect:
                 case Send():
-                    self._say(host, effect.to, effect.word)
-                case Apply() | Restore() | Readable():
+                    self._say(host, effect.to, effect.message)
+                case Apply() | Restore() | ReadReady():
                     member.done(self.now, effect)
                     self._show(host)
-                case Answer():
+                case RequestCompleted():
                     if (told := host.tickets.pop(effect.ticket, None)) is not None:
                         told(effect.outcome)
                 case _:
@@ -300,26 +300,32 @@
         self._show(host)
 
     def _show(self, host: _Host) -> None:
-        member = host.member
+        member = host.participant
         assert member is not None
-        role = member.core.role.name.lower() if member.votes else "observer"
+        role = member.raft.role.name.lower() if member.votes else "observer"
         showed = Showed(
-            self.now, host.name, host.life, role, member.core.term, member.replica.applied, member.replica.chain.hex()
+            self.now,
+            host.name,
+            host.life,
+            role,
+            member.raft.term,
+            member.replica.applied_index,
+            member.replica.chain.hex(),
         )
         last = self.record.showed[-1] if self.record.showed else None
         if last is None or replace(showed, at=0.0) != replace(last, at=0.0):
             self.record.showed.append(showed)
 
     def _tick(self, host: _Host, timer: int) -> None:
-        if host.member is None or timer != host.timer:
+        if host.participant is None or timer != host.timer:
             return
         if self._frozen(host):
             if host.name not in self.truth.stopped:
                 self._at(int(self.now) + self.truth.slow[host.name] + 0.001, self._tick, host, timer)
             return
-        member = host.member
+        member = host.participant
         member.alive = tuple(sorted(self.truth.up))
-        voters = set(map(plain, member.members.voters))
+        voters = set(map(node_name, member.membership.voters))
         member.observer.others = tuple(name for name in member.alive if name not in voters)
         member.tick(self.now)
         self._pump(host)
@@ -328,10 +334,10 @@
 
     # --- the network ---
 
-    def _say(self, host: _Host, to: str, word: Said) -> None:
+    def _say(self, host: _Host, to: str, word: WireMessage) -> None:
         assert host.identity is not None
         self.words += 1
-        target = self.hosts[plain(to)]
+        target = self.hosts[node_name(to)]
         if (host.name, target.name) in self.truth.cuts:
             return
         if self._wire:
@@ -341,7 +347,7 @@
                 way = self._rng.uniform(*WAY) + self.truth.delay * self._rng.random()
                 self._at(self.now + way, self._arrive, target, host.identity.identity, word)
 
-    def _arrive(self, host: _Host, sender: str, word: Said) -> None:
+    def _arrive(self, host: _Host, sender: str, word: WireMessage) -> None:
         if host.name not in self.truth.up:
             return
         if self._frozen(host):
@@ -357,22 +363,22 @@
         for sender, word in words:
             self._arrive(host, sender, word)
 
-    def _receive(self, host: _Host, sender: str, word: Said) -> None:
-        if isinstance(word, Meet | Met):
+    def _receive(self, host: _Host, sender: str, word: WireMessage) -> None:
+        if isinstance(word, StoreAnnouncement | StoreAcknowledgement):
             self._met(host, sender, word)
-        elif host.member is not None and not isinstance(word, Hello):
-            host.member.met(sender, 1)
-            host.member.receive(self.now, sender, word)
+        elif host.participant is not None and not isinstance(word, Hello):
+            host.participant.met(sender, 1)
+            host.participant.receive(self.now, sender, word)
             self._pump(host)
 
-    def _met(self, host: _Host, sender: str, word: Meet | Met) -> None:
+    def _met(self, host: _Host, sender: str, word: StoreAnnouncement | StoreAcknowledgement) -> None:
         who = host.identity
         assert who is not None
-        if isinstance(word, Met):
-            if who.answered(plain(sender), word):
+        if isinstance(word, StoreAcknowledgement):
+            if who.answered(node_name(sender), word):
                 self._keep(host)
                 self._form(host, host.life)
-        elif (answer := who.meet(plain(sender), word)) is not None:
+        elif (answer := who.meet(node_name(sender), word)) is not None:
             self._keep(host)
             self._say(host, sender, answer)
 
@@ -387,7 +393,7 @@
             self._ask(self.hosts[name], self._rng.choice(("set", "set", "get")))
 
     def _ask(self, host: _Host, what: str) -> None:
-        member = host.member
+        member = host.participant
         if member is None or self._frozen(host):
             return
         name = f"k{self._rng.randrange(NAMES)}"
@@ -396,30 +402,30 @@
         if what == "get":
             host.tickets[member.read(self.now, self.now + BY)] = lambda outcome: self._read(host, asked, outcome)
         else:
-            id = member.new_id()
-            data = set_fact(name, asked.value.encode())
+            id = member.new_proposal_id()
+            data = pack_assignment(name, asked.value.encode())
             ticket = member.propose(self.now, id, data, self.now + BY)
             host.tickets[ticket] = lambda outcome: self._proposed(host, asked, id, data, outcome)
         self._pump(host)
 
     def _read(self, host: _Host, asked: Asked, outcome: Outcome) -> None:
-        if outcome.state is State.AGREED and host.member is not None:
-            fact = host.facts.known.get(asked.name)
-            asked.upto = host.member.replica.applied  # by now it may show more than it had to
+        if outcome.state is OutcomeState.COMMITTED and host.participant is not None:
+            fact = host.key_value.known.get(asked.name)
+            asked.up_to_index = host.participant.replica.applied_index  # by now it may show more than it had to
             if fact is not None:
                 asked.value, asked.at, asked.times = fact.value.decode(), fact.at, fact.times
         asked.ended, asked.outcome = self.now, outcome.state.name.lower()
 
     def _proposed(self, host: _Host, asked: Asked, id: bytes, data: bytes, outcome: Outcome) -> None:
         """An asker that does not know asks again, in half of the cases at another node."""
-        if outcome.state is State.UNKNOWN and asked.began < self.schedule.seconds - 4 * BY:
+        if outcome.state is OutcomeState.UNKNOWN and asked.began < self.schedule.seconds - 4 * BY:
             other = host if self._rng.random() < 0.5 else self._rng.choice(list(self.hosts.values()))
             self._at(self.now + 0.5 * self._rng.random(), self._again, other, asked, id, data)
             return
         asked.ended, asked.outcome, asked.at = self.now, outcome.state.name.lower(), outcome.at
 
     def _again(self, host: _Host, asked: Asked, id: bytes, data: bytes) -> None:
-        member = host.member
+        member = host.participant
         if member is None or self._frozen(host):
             self._at(self.now + 1.0, self._again, self._rng.choice(list(self.hosts.values())), asked, id, data)
             return
@@ -434,26 +440,26 @@
             return  # in the end nothing happens any more: a hand-over refuses for a moment, too
         self._at(self.now + self._changes * (0.5 + self._rng.random()), self._change_some)
         for host in self.hosts.values():
-            member = host.member
-            if member is None or member.core.role is not Role.LEADER or self._frozen(host):
+            member = host.participant
+            if member is None or member.raft.role is not Role.LEADER or self._frozen(host):
                 continue
-            members = member.core.members
+            members = member.raft.membership
             outside = [member.known[name][0] for name in member.known if member.known[name][0] not in members.everybody]
             if members.learners:
-                new = Voters((*members.voters, members.learners[0]), members.learners[1:])
+                new = Membership((*members.voters, members.learners[0]), members.learners[1:])
             elif len(members.voters) > 3 or not outside:
                 gone = self._rng.choice(members.voters)
-                new = Voters(tuple(name for name in members.voters if name != gone), members.learners)
+                new = Membership(tuple(name for name in members.voters if name != gone), members.learners)
             else:
-                new = Voters(members.voters, (self._rng.choice(outside),))
+                new = Membership(members.voters, (self._rng.choice(outside),))
             if len(new.voters) < 3:
                 continue
             try:
                 if member.name not in new.voters:  # one that leads hands over first
-                    member.hand_over(self.now, next(iter(member.core.furthest())))
+                    member.transfer_leadership(self.now, next(iter(member.raft.voters_by_lag())))
                 else:
-                    member.change(self.now, new)
-            except RefusedError:
+                    member.change_membership(self.now, new)
+            except RejectedError:
                 continue
             self.record.troubles.append(self.now)
             self._pump(host)
--- a/chutepin/registry.py
+++ b/chutepin/registry.py
@@ -28,6 +28,6 @@
     cluster = Cluster(setup.cluster, config.name, config.seed, descriptors, counters, log, store)
     if setup.consensus is None or store is None:
         return [cluster]
-    from .consensus.subsystem import Agreement
+    from .consensus.subsystem import ConsensusSubsystem
 
-    return [cluster, Agreement(setup.consensus, config.name, cluster, store, descriptors, counters, log)]
+    return [cluster, ConsensusSubsystem(setup.consensus, config.name, cluster, store, descriptors, counters, log)]
--- a/tests/consensus_mutants.py
+++ b/tests/consensus_mutants.py
@@ -4,33 +4,33 @@
 
 import random
 
-from chutepin.consensus import Core, Durable, Entry, Readable, Role, Times, Voters
-from chutepin.consensus.identity import Identity, Standing
-from chutepin.consensus.member import Member
-from chutepin.consensus.messages import Ask
-from chutepin.consensus.replica import Machine, Replica, new_id
+from chutepin.consensus import Entry, Membership, PersistentState, RaftNode, RaftSettings, ReadReady, Role
+from chutepin.consensus.identity import Identity, StoreStatus
+from chutepin.consensus.messages import RequestVote
+from chutepin.consensus.participant import Participant
+from chutepin.consensus.replica import Replica, StateMachine, new_proposal_id
 from chutepin.lab.quorum import Parts
 
 
-class NoPreVote(Core):
+class NoPreVote(RaftNode):
     """Whoever misses the leader raises the term at once, and everybody listens."""
 
     def _campaign(self, now: float, role: Role, handed: bool) -> None:
         super()._campaign(now, Role.CANDIDATE, handed)
 
-    def _ignores(self, now: float, sender: str, ask: Ask) -> bool:
+    def _ignores(self, now: float, sender: str, ask: RequestVote) -> bool:
         return False
 
 
-class ReadsAtOnce(Core):
+class ReadsAtOnce(RaftNode):
     """A leader answers reads without asking whether it still leads."""
 
     def read(self, now: float, id: int) -> None:
         self._must_lead()
-        self._effects.append(Readable(id, self.commit))
+        self._effects.append(ReadReady(id, self.commit_index))
 
 
-class SnapshotSkips(Member):
+class SnapshotSkips(Participant):
     """The state that is kept is one entry old."""
 
     before = b""
@@ -40,8 +40,8 @@
         super()._apply(now, entries)
 
     def compact(self, now: float) -> None:
-        if self.replica.applied == self.core.applied and self.before:
-            self.core.compact(now, self.before)
+        if self.replica.applied_index == self.raft.applied_index and self.before:
+            self.raft.compact(now, self.before)
             self._from_core()
 
 
@@ -53,41 +53,51 @@
         return data
 
 
-class SessionsForgotten(Member):
+class SessionsForgotten(Participant):
     """Which proposals were agreed is no part of the state that is kept."""
 
     def __init__(
-        self, name: str, first: Voters, durable: Durable, machine: Machine, now: float, rng: random.Random, times: Times
+        self,
+        name: str,
+        first: Membership,
+        durable: PersistentState,
+        machine: StateMachine,
+        now: float,
+        rng: random.Random,
+        times: RaftSettings,
     ) -> None:
         super().__init__(name, first, durable, machine, now, rng, times)
         self.replica = _Forgetful(machine)
 
 
-class IdsRepeat(Member):
+class IdsRepeat(Participant):
     """Chance begins anew with each process."""
 
-    def new_id(self) -> bytes:
-        return new_id(self.replica.applied // 8 * 8, 7)
+    def new_proposal_id(self) -> bytes:
+        return new_proposal_id(self.replica.applied_index // 8 * 8, 7)
 
 
 class LostDiskVotes(Identity):
     """A voter needs nobody to have met its store."""
 
     def __init__(
-        self, name: str, voters: tuple[str, ...], born: str, standing: Standing | None, met: dict[str, str]
+        self, name: str, voters: tuple[str, ...], born: str, standing: StoreStatus | None, met: dict[str, str]
     ) -> None:
         super().__init__(name, voters, born, standing, met)
         if name in voters:
-            self.standing = Standing.SETTLED
+            self.standing = StoreStatus.CONFIRMED
 
 
-class TellsUnagreed(Member):
+class TellsUnagreed(Participant):
     """What it holds is told to those that follow, agreed or not."""
 
     def _feed(self, now: float) -> None:
-        applied, self.replica.applied = self.replica.applied, max(self.replica.applied, self.core.last)
+        applied, self.replica.applied_index = (
+            self.replica.applied_index,
+            max(self.replica.applied_index, self.raft.last_index),
+        )
         super()._feed(now)
-        self.replica.applied = applied
+        self.replica.applied_index = applied
 
 
 # A planted error, the schedule that brings it out, and the claim that must find it.
--- a/tests/data/make_stored_bytes.py
+++ b/tests/data/make_stored_bytes.py
@@ -22,13 +22,13 @@
 from chutepin.cluster.frames import encode as gossip_frame
 from chutepin.cluster.messages import Packet
 from chutepin.cluster.records import BadLink, Links, Record, ShortRecord, Status
-from chutepin.consensus.codec import PREFACE, WORDS
+from chutepin.consensus.codec import MESSAGE_TYPES, PREFACE
 from chutepin.consensus.codec import encode as consensus_frame
-from chutepin.consensus.facts import Facts, set_fact
-from chutepin.consensus.identity import IDENTITY_KEY, MET_KEY, Standing, StoredIdentity
+from chutepin.consensus.identity import IDENTITY_KEY, MET_KEY, StoredIdentity, StoreStatus
 from chutepin.consensus.journal import Journal
-from chutepin.consensus.messages import Entry, Kind, Persist, Snapshot, Voters
-from chutepin.consensus.replica import Proposal, Replica, new_id, pack
+from chutepin.consensus.key_value import KeyValueMachine, pack_assignment
+from chutepin.consensus.messages import Entry, EntryKind, Membership, Persist, Snapshot
+from chutepin.consensus.replica import Proposal, Replica, new_proposal_id, pack_proposal
 from chutepin.facade import End
 from chutepin.handover.frames import frame, key_frame
 from chutepin.idempotency import IdempotencyRecord as KeyEntry
@@ -126,51 +126,53 @@
 
 def proposal(index: int, key: str, value: str) -> Entry:
     """An entry as a member proposes it."""
-    data = pack(Proposal(new_id(index - 1, 1000 + index), 1, set_fact(key, value.encode())))
-    return Entry(index, 2 + index // 4, Kind.PROPOSAL, data)
+    data = pack_proposal(Proposal(new_proposal_id(index - 1, 1000 + index), 1, pack_assignment(key, value.encode())))
+    return Entry(index, 2 + index // 4, EntryKind.PROPOSAL, data)
 
 
 def journal_changes() -> list[Persist]:
     """What a member makes durable, in order: entries, a vote, a log replaced at its end, a snapshot, entries on."""
-    voters = Voters(("anna", "bert~0a1b", "carl"), ("dora",))
-    first = Entry(1, 1, Kind.VOTERS, b"", voters)
-    empty = Entry(2, 2, Kind.EMPTY)
+    voters = Membership(("anna", "bert~0a1b", "carl"), ("dora",))
+    first = Entry(1, 1, EntryKind.VOTERS, b"", voters)
+    empty = Entry(2, 2, EntryKind.NO_OP)
     entries = [proposal(index, f"key {index % 3}", f"value {index}") for index in range(3, 10)]
-    copy = Replica(Facts())
+    copy = Replica(KeyValueMachine())
     copy.apply([first, empty, *entries[:4]])
     snapshot = Snapshot(6, entries[3].term, voters, copy.snapshot())
     return [
         Persist(1, "anna", 1, (first,)),
         Persist(2, "bert~0a1b", 2, (empty, *entries[:3])),
-        Persist(3, "", 6, (Entry(6, 3, Kind.EMPTY), Entry(7, 3, Kind.EMPTY))),
+        Persist(3, "", 6, (Entry(6, 3, EntryKind.NO_OP), Entry(7, 3, EntryKind.NO_OP))),
         Persist(4, "carl", 6, tuple(entries[3:5])),
         Persist(4, "carl", 8, (), snapshot, 5),
         Persist(4, "carl", 8, tuple(entries[5:])),
-        Persist(5, "dora", 10, (Entry(10, 5, Kind.VOTERS, b"", Voters(("anna", "dora"), ("carl", "bert~0a1b"))),)),
+        Persist(
+            5, "dora", 10, (Entry(10, 5, EntryKind.VOTERS, b"", Membership(("anna", "dora"), ("carl", "bert~0a1b"))),)
+        ),
     ]
 
 
 def large_changes() -> list[Persist]:
     """A snapshot of more than one piece that takes the place of another, with nothing left of the log before."""
     data = b"".join(zlib.crc32(b"%d" % number).to_bytes(4) for number in range(17_000))
-    earlier, members = Snapshot(4, 1, Voters(("anna",)), data[:40_000]), Voters(("anna", "bert"), ("carl",))
+    earlier, members = Snapshot(4, 1, Membership(("anna",)), data[:40_000]), Membership(("anna", "bert"), ("carl",))
     return [
-        Persist(1, "anna", 1, tuple(Entry(index, 1, Kind.EMPTY) for index in range(1, 6))),
+        Persist(1, "anna", 1, tuple(Entry(index, 1, EntryKind.NO_OP) for index in range(1, 6))),
         Persist(1, "anna", 6, (), earlier, 3),
         Persist(7, "bert", 21, (), Snapshot(20, 6, members, data), 20, True),
-        Persist(7, "bert", 21, (Entry(21, 7, Kind.EMPTY),)),
+        Persist(7, "bert", 21, (Entry(21, 7, EntryKind.NO_OP),)),
     ]
 
 
 def identity_changes() -> list[Change]:
     """Whose journal it is."""
-    stored = StoredIdentity(CLUSTER, "anna", "00c0ffee00c0ffee", Standing.SETTLED)
+    stored = StoredIdentity(CLUSTER, "anna", "00c0ffee00c0ffee", StoreStatus.CONFIRMED)
     return [(IDENTITY_KEY, stored.pack()), (MET_KEY, bytes(msgpack.packb({"bert": "0a1b", "carl": "2c3d"})))]
 
 
 def identities() -> Iterator[bytes]:
     """One of each standing."""
-    for standing in Standing:
+    for standing in StoreStatus:
         yield StoredIdentity(CLUSTER, "anna", "00c0ffee00c0ffee", standing).pack()
 
 
@@ -230,8 +232,8 @@
 
 def consensus_frames() -> Iterator[tuple[str, bytes]]:
     """All kinds by their number."""
-    voters = Voters(("anna", "bert~0a1b"), ("carl", "dora"))
-    entries = (Entry(5, 2, Kind.EMPTY), proposal(6, "key", "value"), Entry(7, 4, Kind.VOTERS, b"why", voters))
+    voters = Membership(("anna", "bert~0a1b"), ("carl", "dora"))
+    entries = (Entry(5, 2, EntryKind.NO_OP), proposal(6, "key", "value"), Entry(7, 4, EntryKind.VOTERS, b"why", voters))
     kinds: list[tuple[str, tuple[Any, ...]]] = [
         ("Hello", (CLUSTER, "anna", "anna~00c0ffee", "bert", 3)),
         ("Ask", (9, 8, 7, True, True)),
@@ -241,8 +243,8 @@
         ("Piece", (9, 6, 5, voters, 70_000, 2**32 - 3, 32_768, bytes(range(64)), 32)),
         ("Taken", (9, 6, 32_832, 33)),
         ("Begin", (10,)),
-        ("Forward", (new_id(6, 2**63 + 1), 2, b"a proposal")),
-        ("Rejected", (new_id(6, 2), "not the leader", True)),
+        ("Forward", (new_proposal_id(6, 2**63 + 1), 2, b"a proposal")),
+        ("Rejected", (new_proposal_id(6, 2), "not the leader", True)),
         ("ReadAsk", (41,)),
         ("ReadAt", (41, 7)),
         ("Pull", (3, 6, 32_768, 2)),
@@ -251,10 +253,10 @@
         ("Met", ("anna", "00c0ffee00c0ffee")),
         ("Greet", (True,)),
     ]
-    assert len(kinds) == len(WORDS)
+    assert len(kinds) == len(MESSAGE_TYPES)
     for number, (name, values) in enumerate(kinds):
-        yield name, consensus_frame(WORDS[number](*values))
-    yield "ReadAt, elsewhere", consensus_frame(WORDS[11](41, -1))
+        yield name, consensus_frame(MESSAGE_TYPES[number](*values))
+    yield "ReadAt, elsewhere", consensus_frame(MESSAGE_TYPES[11](41, -1))
 
 
 def learned() -> dict[str, object]:
--- a/tests/test_assembly.py
+++ b/tests/test_assembly.py
@@ -17,7 +17,7 @@
 from chutepin.clock import Clock
 from chutepin.config import ConfigError
 from chutepin.config.consensus import ConsensusSetup
-from chutepin.consensus.subsystem import Agreement
+from chutepin.consensus.subsystem import ConsensusSubsystem
 from chutepin.counters import Counters
 from chutepin.lab.assembly import Assembly, play
 from chutepin.lab.claims import broken
@@ -237,9 +237,9 @@
         pass
 
 
-def agreement(store: Store, name: str = "n1") -> Agreement:
+def agreement(store: Store, name: str = "n1") -> ConsensusSubsystem:
     log = Log(Clock())
-    return Agreement(
+    return ConsensusSubsystem(
         ConsensusSetup(("n1",)), name, Alone(), store, DescriptorBudget(64, {"cluster": (0, 8)}), Counters(), log
     )
 
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -8,80 +8,83 @@
 import pytest
 
 from chutepin.consensus import (
-    Core,
-    Durable,
     Effect,
     Entry,
-    Kind,
+    EntryKind,
+    Membership,
     Persist,
-    Readable,
-    RefusedError,
+    PersistentState,
+    RaftNode,
+    RaftSettings,
+    ReadReady,
+    RejectedError,
     Role,
     Send,
-    Times,
-    Voters,
 )
-from chutepin.consensus.messages import Append, Appended, Ask, Message, Vote
+from chutepin.consensus.messages import AppendEntries, AppendEntriesReply, RaftMessage, RequestVote, RequestVoteReply
 from chutepin.lab.explorer import Scope, explore, walk
 
-THREE = Voters(("v1", "v2", "v3"))
+THREE = Membership(("v1", "v2", "v3"))
 
 
 # --- planted errors ---
 
 
-class ToldBeforeDurable(Core):
+class ToldBeforeDurable(RaftNode):
     """Votes and acknowledgements leave before what they say is on the disk."""
 
     def take(self) -> list[Effect]:
         return sorted(super().take(), key=lambda effect: isinstance(effect, Persist))
 
 
-class CountsOldTerms(Core):
+class CountsOldTerms(RaftNode):
     """An entry of an earlier term is agreed once a majority has it."""
 
     def _advance(self) -> None:
-        matches = sorted(self.last if name == self.name else self._progress[name].match for name in self.members.voters)
+        matches = sorted(
+            self.last_index if name == self.name else self._progress[name].match_index
+            for name in self.membership.voters
+        )
         self._commit(matches[len(matches) - self._majority()])
 
 
-class AnyLogWins(Core):
+class AnyLogWins(RaftNode):
     """Whoever asks gets the vote, however old its log."""
 
-    def _asked(self, now: float, sender: str, ask: Ask) -> None:
+    def _asked(self, now: float, sender: str, ask: RequestVote) -> None:
         super()._asked(now, sender, ask._replace(last_term=10**9))
 
 
-class VotesTwice(Core):
+class VotesTwice(RaftNode):
     """It forgets whom it voted for."""
 
-    def _asked(self, now: float, sender: str, ask: Ask) -> None:
-        self.vote = ""
+    def _asked(self, now: float, sender: str, ask: RequestVote) -> None:
+        self.voted_for = ""
         super()._asked(now, sender, ask)
 
 
-class VoteNotDurable(Core):
+class VoteNotDurable(RaftNode):
     """For whom it voted is not written."""
 
     def _persist(self, first: int = 0) -> None:
-        vote, self.vote = self.vote, ""
+        vote, self.voted_for = self.voted_for, ""
         super()._persist(first)
-        self.vote = vote
+        self.voted_for = vote
 
 
-class TwoAtATime(Core):
+class TwoAtATime(RaftNode):
     """Any change of voters is taken."""
 
-    def change(self, now: float, members: Voters) -> int:
+    def change_membership(self, now: float, members: Membership) -> int:
         self._must_lead()
-        return self._add(Entry(self.last + 1, self.term, Kind.VOTERS, members=members))
+        return self._add(Entry(self.last_index + 1, self.term, EntryKind.VOTERS, membership=members))
 
 
-class NoLookBack(Core):
+class NoLookBack(RaftNode):
     """It takes entries whatever stands before them."""
 
-    def _append(self, now: float, sender: str, message: Append) -> None:
-        if message.prev_index <= self.last:
+    def _append(self, now: float, sender: str, message: AppendEntries) -> None:
+        if message.prev_index <= self.last_index:
             message = message._replace(prev_term=self.term_at(message.prev_index))
         super()._append(now, sender, message)
 
@@ -118,7 +121,7 @@
         (VotesTwice, Scope(elections=2, proposals=0), "lead in term"),
     ],
 )
-def test_a_planted_error_is_found_by_the_shortest_way(planted: type[Core], scope: Scope, says: str) -> None:
+def test_a_planted_error_is_found_by_the_shortest_way(planted: type[RaftNode], scope: Scope, says: str) -> None:
     found = explore(scope, planted)
     assert says in found.broken and len(found.path) <= 10
 
@@ -130,7 +133,7 @@
     beats=30,
     crashes=2,
     twice=2,
-    changes=(Voters(THREE.voters, ("v4",)), Voters((*THREE.voters, "v4")), Voters(("v2", "v3", "v4"))),
+    changes=(Membership(THREE.voters, ("v4",)), Membership((*THREE.voters, "v4")), Membership(("v2", "v3", "v4"))),
 )
 
 
@@ -149,7 +152,7 @@
 
 
 def test_a_walk_finds_a_change_of_two_voters_at_a_time() -> None:
-    scope = Scope(elections=8, proposals=4, beats=10, changes=(Voters(("v3", "v4", "v5")),))
+    scope = Scope(elections=8, proposals=4, beats=10, changes=(Membership(("v3", "v4", "v5")),))
     assert any(walk(scope, seed, 200, TwoAtATime).broken for seed in range(2000))
     assert not any(walk(scope, seed, 200).broken for seed in range(10))
 
@@ -157,24 +160,24 @@
 def test_entries_of_an_earlier_term_are_not_agreed_by_counting() -> None:
     """A leader of term 3 whose entry of term 1 is with a majority must not take it for agreed."""
 
-    def lead(make: type[Core]) -> Core:
-        core = make("v1", THREE, Durable(), 0.0, random.Random(1))
+    def lead(make: type[RaftNode]) -> RaftNode:
+        core = make("v1", THREE, PersistentState(), 0.0, random.Random(1))
         core._campaign(0.0, Role.CANDIDATE, False)
         core._voted(0.0, "v2", _granted(1))
         core._follow(1.0, 2, "")  # another one leads in term 2
         core._campaign(1.0, Role.CANDIDATE, False)
         core._voted(1.0, "v3", _granted(3))
         assert core.role is Role.LEADER and core.term == 3 and core.term_at(1) == 1
-        core._progress["v3"].match = 1  # the old entry is with two of three
+        core._progress["v3"].match_index = 1  # the old entry is with two of three
         core._advance()
         return core
 
-    assert lead(Core).commit == 0
-    assert lead(CountsOldTerms).commit == 1  # and this is what the test would see
+    assert lead(RaftNode).commit_index == 0
+    assert lead(CountsOldTerms).commit_index == 1  # and this is what the test would see
 
 
-def _granted(term: int) -> Vote:
-    return Vote(term, False, True)
+def _granted(term: int) -> RequestVoteReply:
+    return RequestVoteReply(term, False, True)
 
 
 # --- elections, leases, reads, handing over: in virtual time ---
@@ -183,12 +186,13 @@
 class Net:
     """Members on virtual time; messages come at once unless their link is cut."""
 
-    def __init__(self, members: Voters = THREE, seed: int = 1) -> None:
+    def __init__(self, members: Membership = THREE, seed: int = 1) -> None:
         self.now, self.cuts = 0.0, set[tuple[str, str]]()
         self.cores = {
-            name: Core(name, members, Durable(), 0.0, random.Random(f"{seed} {name}")) for name in members.everybody
+            name: RaftNode(name, members, PersistentState(), 0.0, random.Random(f"{seed} {name}"))
+            for name in members.everybody
         }
-        self.readable: list[Readable] = []
+        self.readable: list[ReadReady] = []
         self.stopped: set[str] = set()
 
     def settle(self) -> None:
@@ -205,7 +209,7 @@
                         and effect.to not in self.stopped
                     ):
                         self.cores[effect.to].receive(self.now, name, effect.message)
-                    elif isinstance(effect, Readable):
+                    elif isinstance(effect, ReadReady):
                         self.readable.append(effect)
 
     def run(self, seconds: float, holds: Callable[[], bool] = lambda: False) -> None:
@@ -213,15 +217,15 @@
         while self.now < end and not holds():
             self.now += 0.01
             for name, core in self.cores.items():
-                if name not in self.stopped and self.now >= core.wake_at():
+                if name not in self.stopped and self.now >= core.next_deadline():
                     core.tick(self.now)
             self.settle()
 
     def leaders(self) -> list[str]:
         return [name for name, core in self.cores.items() if core.role is Role.LEADER and name not in self.stopped]
 
-    def led(self) -> Core:
-        self.run(10.0, lambda: len(self.leaders()) == 1 and self.cores[self.leaders()[0]].commit > 0)
+    def led(self) -> RaftNode:
+        self.run(10.0, lambda: len(self.leaders()) == 1 and self.cores[self.leaders()[0]].commit_index > 0)
         return self.cores[self.leaders()[0]]
 
 
@@ -231,11 +235,11 @@
         leader = net.led()
         index = leader.propose(net.now, b"x")
         net.settle()
-        assert leader.commit == index
+        assert leader.commit_index == index
         net.stopped.add(leader.name)
         net.run(4.0)
         other = net.led()
-        assert other.name != leader.name and other.term > leader.term and other.commit >= index
+        assert other.name != leader.name and other.term > leader.term and other.commit_index >= index
 
 
 def test_a_member_behind_a_one_sided_cut_does_not_depose_the_leader() -> None:
@@ -259,8 +263,8 @@
     net.settle()
     assert not net.readable
     net.run(1.5)
-    assert leader.role is not Role.LEADER and net.readable == [Readable(7, -1)]
-    with pytest.raises(RefusedError, match="not the leader"):
+    assert leader.role is not Role.LEADER and net.readable == [ReadReady(7, -1)]
+    with pytest.raises(RejectedError, match="not the leader"):
         leader.propose(net.now, b"x")
 
 
@@ -271,39 +275,39 @@
     net.settle()
     leader.read(net.now, 1)
     net.settle()
-    assert net.readable == [Readable(1, index)]
+    assert net.readable == [ReadReady(1, index)]
 
 
 def test_a_leader_hands_over_to_whom_it_names() -> None:
     net = Net()
     leader = net.led()
     to = next(name for name in net.cores if name != leader.name)
-    leader.hand_over(net.now, to)
-    with pytest.raises(RefusedError, match="hands over"):
+    leader.transfer_leadership(net.now, to)
+    with pytest.raises(RejectedError, match="hands over"):
         leader.propose(net.now, b"x")
     net.settle()
     assert net.leaders() == [to] and leader.leader == to
 
 
 def test_voters_change_one_at_a_time_and_only_after_they_have_caught_up() -> None:
-    net = Net(Voters(THREE.voters))
-    net.cores["v4"] = Core("v4", THREE, Durable(), 0.0, random.Random(4))
+    net = Net(Membership(THREE.voters))
+    net.cores["v4"] = RaftNode("v4", THREE, PersistentState(), 0.0, random.Random(4))
     leader = net.led()
-    with pytest.raises(RefusedError, match="caught up"):
-        leader.change(net.now, Voters((*THREE.voters, "v4")))
-    leader.change(net.now, Voters(THREE.voters, ("v4",)))
+    with pytest.raises(RejectedError, match="caught up"):
+        leader.change_membership(net.now, Membership((*THREE.voters, "v4")))
+    leader.change_membership(net.now, Membership(THREE.voters, ("v4",)))
     net.settle()
-    with pytest.raises(RefusedError, match="one voter"):
-        leader.change(net.now, Voters(("v1", "v4")))
-    leader.change(net.now, Voters((*THREE.voters, "v4")))
-    with pytest.raises(RefusedError, match="under way"):
-        leader.change(net.now, THREE)
+    with pytest.raises(RejectedError, match="one voter"):
+        leader.change_membership(net.now, Membership(("v1", "v4")))
+    leader.change_membership(net.now, Membership((*THREE.voters, "v4")))
+    with pytest.raises(RejectedError, match="under way"):
+        leader.change_membership(net.now, THREE)
     net.settle()
     gone = leader.name
-    leader.change(net.now, Voters(tuple(name for name in (*THREE.voters, "v4") if name != gone)))
+    leader.change_membership(net.now, Membership(tuple(name for name in (*THREE.voters, "v4") if name != gone)))
     net.settle()
     net.run(6.0, lambda: net.leaders() not in ([], [gone]))
-    assert gone not in net.led().members.voters and net.led().commit >= 4
+    assert gone not in net.led().membership.voters and net.led().commit_index >= 4
 
 
 def test_a_far_behind_log_is_found_in_as_many_steps_as_there_are_terms() -> None:
@@ -316,28 +320,30 @@
     net.settle()
     net.stopped.clear()
     net.run(1.0)
-    assert net.cores[behind].log == leader.log and net.cores[behind].commit == leader.commit
+    assert net.cores[behind].log == leader.log and net.cores[behind].commit_index == leader.commit_index
 
 
 def test_what_flies_to_a_follower_is_bounded_in_bytes() -> None:
-    times = Times(in_flight=10_000, piece=2_000)
-    core = Core("v1", THREE, Durable(), 0.0, random.Random(1), times)
+    times = RaftSettings(in_flight=10_000, piece=2_000)
+    core = RaftNode("v1", THREE, PersistentState(), 0.0, random.Random(1), times)
     core._campaign(0.0, Role.CANDIDATE, False)
     core.receive(0.0, "v2", _granted(1))
     core.receive(0.0, "v2", _acked(1))
     for _ in range(100):
         core.propose(0.0, bytes(500))
     sent = [effect.message for effect in core.take() if isinstance(effect, Send) and effect.to == "v2"]
-    flying = sum(len(entry.data) + 32 for message in sent if isinstance(message, Append) for entry in message.entries)
+    flying = sum(
+        len(entry.data) + 32 for message in sent if isinstance(message, AppendEntries) for entry in message.entries
+    )
     assert 9_000 <= flying <= 11_000
 
 
-def _acked(match: int) -> Message:
-    return Appended(1, True, match, 0)
+def _acked(match: int) -> RaftMessage:
+    return AppendEntriesReply(1, True, match, 0)
 
 
 def test_an_agreed_entry_is_never_replaced() -> None:
-    core = Core("v1", THREE, Durable(), 0.0, random.Random(1))
-    core.receive(0.0, "v2", Append(1, 0, 0, (Entry(1, 1, Kind.EMPTY),), 1, 1))
+    core = RaftNode("v1", THREE, PersistentState(), 0.0, random.Random(1))
+    core.receive(0.0, "v2", AppendEntries(1, 0, 0, (Entry(1, 1, EntryKind.NO_OP),), 1, 1))
     with pytest.raises(AssertionError, match="agreed entry"):
-        core.receive(0.0, "v3", Append(2, 0, 0, (Entry(1, 2, Kind.EMPTY),), 0, 1))
+        core.receive(0.0, "v3", AppendEntries(2, 0, 0, (Entry(1, 2, EntryKind.NO_OP),), 0, 1))
--- a/tests/test_consensus_voters.py
+++ b/tests/test_consensus_voters.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from chutepin.consensus import Apply, Durable, Readable, RefusedError, Restore, Role, Times, Voters
-from chutepin.consensus.facts import Facts
-from chutepin.consensus.identity import plain
-from chutepin.consensus.member import AddedNode, HandsOver, Member, Send
+from chutepin.consensus import Apply, Membership, PersistentState, RaftSettings, ReadReady, RejectedError, Restore, Role
+from chutepin.consensus.identity import node_name
+from chutepin.consensus.key_value import KeyValueMachine
+from chutepin.consensus.participant import AddedNode, Participant, Send, TransferStarted
 
 TURN = 0.05  # seconds of virtual time between two ticks
 FIRST = ("n1", "n2", "n3")
@@ -23,7 +23,9 @@
         self.now = 0.0
         self.unreachable: set[str] = set()  # nodes to which nothing comes
         self.members = {
-            plain(name): Member(name, Voters(FIRST), Durable(), Facts(), 0.0, random.Random(name), Times())
+            node_name(name): Participant(
+                name, Membership(FIRST), PersistentState(), KeyValueMachine(), 0.0, random.Random(name), RaftSettings()
+            )
             for name in (*FIRST, LATER)
         }
         for member in self.members.values():
@@ -40,22 +42,22 @@
             while any([self._carry_out(member) for member in self.members.values()]):
                 pass
 
-    def _carry_out(self, member: Member) -> bool:
+    def _carry_out(self, member: Participant) -> bool:
         effects = member.take()
         for effect in effects:
             match effect:
-                case Send() if plain(effect.to) not in self.unreachable:
-                    to = self.members[plain(effect.to)]
-                    to.met(member.name, Facts.version)
-                    to.receive(self.now, member.name, effect.word)
-                case Apply() | Restore() | Readable():
+                case Send() if node_name(effect.to) not in self.unreachable:
+                    to = self.members[node_name(effect.to)]
+                    to.met(member.name, KeyValueMachine.version)
+                    to.receive(self.now, member.name, effect.message)
+                case Apply() | Restore() | ReadReady():
                     member.done(self.now, effect)
         return bool(effects)
 
     @property
-    def leader(self) -> Member:
+    def leader(self) -> Participant:
         """The one that leads."""
-        (leader,) = (member for member in self.members.values() if member.core.role is Role.LEADER)
+        (leader,) = (member for member in self.members.values() if member.raft.role is Role.LEADER)
         return leader
 
 
@@ -63,10 +65,10 @@
     group = Group()
     assert group.leader.add_node(group.now, "n4") == AddedNode(LATER, votes=False)
     group.run(2.0)
-    assert {member.members for member in group.members.values()} == {Voters(FIRST, (LATER,))}
+    assert {member.membership for member in group.members.values()} == {Membership(FIRST, (LATER,))}
     assert group.leader.add_node(group.now, "n4") == AddedNode(LATER, votes=True)
     group.run(2.0)
-    assert {member.members for member in group.members.values()} == {Voters((*FIRST, LATER))}
+    assert {member.membership for member in group.members.values()} == {Membership((*FIRST, LATER))}
 
 
 def test_a_learner_that_has_not_caught_up_does_not_vote() -> None:
@@ -74,14 +76,14 @@
     group.unreachable.add("n4")
     group.leader.add_node(group.now, "n4")
     group.run(0.5)
-    with pytest.raises(RefusedError, match=rf"^{LATER} has not caught up as a learner$"):
+    with pytest.raises(RejectedError, match=rf"^{LATER} has not caught up as a learner$"):
         group.leader.add_node(group.now, "n4")
-    assert group.leader.members == Voters(FIRST, (LATER,))
+    assert group.leader.membership == Membership(FIRST, (LATER,))
 
 
 def test_a_node_that_nobody_met_is_not_added() -> None:
     group = Group()
-    with pytest.raises(RefusedError, match=r"^n9 is not known here: only a leader has met all nodes that live$"):
+    with pytest.raises(RejectedError, match=r"^n9 is not known here: only a leader has met all nodes that live$"):
         group.leader.add_node(group.now, "n9")
 
 
@@ -92,8 +94,8 @@
     group.run(2.0)
     assert group.leader.remove_node(group.now, name) is None
     group.run(2.0)
-    assert group.leader.members == Voters(FIRST)
-    with pytest.raises(RefusedError, match=f"^{name} takes no part$"):
+    assert group.leader.membership == Membership(FIRST)
+    with pytest.raises(RejectedError, match=f"^{name} takes no part$"):
         group.leader.remove_node(group.now, name)
 
 
@@ -102,19 +104,19 @@
     gone = next(name for name in FIRST if name != group.leader.name)
     assert group.leader.remove_node(group.now, gone) is None
     group.run(2.0)
-    assert group.leader.members == Voters(tuple(name for name in FIRST if name != gone))
+    assert group.leader.membership == Membership(tuple(name for name in FIRST if name != gone))
 
 
 def test_a_leader_hands_over_before_it_goes() -> None:
     group = Group()
     old = group.leader
     answer = old.remove_node(group.now, old.name)
-    assert isinstance(answer, HandsOver) and answer.to in FIRST and answer.to != old.name
+    assert isinstance(answer, TransferStarted) and answer.to in FIRST and answer.to != old.name
     group.run(2.0)
-    assert group.leader.name == answer.to and group.leader.members == Voters(FIRST)
+    assert group.leader.name == answer.to and group.leader.membership == Membership(FIRST)
     assert group.leader.remove_node(group.now, old.name) is None
     group.run(2.0)
-    assert old.name not in group.leader.members.everybody
+    assert old.name not in group.leader.membership.everybody
 
 
 def test_a_voter_leads_by_its_node_name_and_a_stranger_or_learner_does_not() -> None:
@@ -125,7 +127,7 @@
     assert group.leader.transfer(group.now, "n4") == LATER
     group.run(2.0)
     assert group.leader.name == LATER
-    with pytest.raises(RefusedError, match=r"^n9 is no other voter$"):
+    with pytest.raises(RejectedError, match=r"^n9 is no other voter$"):
         group.leader.transfer(group.now, "n9")
 
 
@@ -133,7 +135,7 @@
     group = Group()
     other = next(group.members[name] for name in FIRST if name != group.leader.name)
     for change in (other.add_node, other.remove_node, other.transfer):
-        with pytest.raises(RefusedError, match=r"^not the leader$") as refused:
+        with pytest.raises(RejectedError, match=r"^not the leader$") as refused:
             change(group.now, other.name)
         assert refused.value.leader == group.leader.name
 
@@ -145,17 +147,17 @@
     for _ in range(2):
         group.leader.add_node(group.now, "n4")
         group.run(2.0)
-    members = group.leader.members
-    with pytest.raises(RefusedError, match=r"takes part already$"):
+    members = group.leader.membership
+    with pytest.raises(RejectedError, match=r"takes part already$"):
         group.leader.add_node(group.now, voter)
     group.run(2.0)
-    assert {member.members for member in group.members.values()} == {members}
+    assert {member.membership for member in group.members.values()} == {members}
 
 
 @pytest.mark.parametrize(
-    "members", [Voters((*FIRST, "n1")), Voters(FIRST, (LATER, LATER)), Voters(FIRST, ("n1",))], ids=str
+    "members", [Membership((*FIRST, "n1")), Membership(FIRST, (LATER, LATER)), Membership(FIRST, ("n1",))], ids=str
 )
-def test_nobody_takes_part_twice(members: Voters) -> None:
+def test_nobody_takes_part_twice(members: Membership) -> None:
     group = Group()
-    with pytest.raises(RefusedError, match=r" takes part already$"):
-        group.leader.change(group.now, members)
+    with pytest.raises(RejectedError, match=r" takes part already$"):
+        group.leader.change_membership(group.now, members)
--- a/tests/test_frame_bytes.py
+++ b/tests/test_frame_bytes.py
@@ -108,7 +108,7 @@
 @pytest.mark.parametrize("name", KEPT["consensus"])
 def test_a_kept_consensus_frame_is_read_and_written_the_same(name: str) -> None:
     data = kept("consensus")[name]
-    (word,) = consensus.Reader().feed(data)
+    (word,) = consensus.FrameReader().feed(data)
     assert consensus.encode(word) == data
     assert consensus.decode(data[CONSENSUS_HEAD:]) == word
 
@@ -118,9 +118,9 @@
     frames = kept("consensus")
     numbers = [msgpack.unpackb(frames[name][CONSENSUS_HEAD:])[0] for name in names]
     assert numbers == list(range(len(names)))
-    words = consensus.Reader().feed(b"".join(frames[name] for name in names))
-    assert {type(word) for word in words} == set(get_args(consensus.Said))
-    assert len(names) == len(get_args(consensus.Said))
+    words = consensus.FrameReader().feed(b"".join(frames[name] for name in names))
+    assert {type(word) for word in words} == set(get_args(consensus.WireMessage))
+    assert len(names) == len(get_args(consensus.WireMessage))
 
 
 def test_a_consensus_connection_begins_as_it_did() -> None:
--- a/tests/test_quorum.py
+++ b/tests/test_quorum.py
@@ -10,14 +10,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from chutepin.consensus import Durable, Entry, Kind, Persist, Snapshot, Voters
-from chutepin.consensus.codec import MAX_FRAME, CodecError, Hello, Reader, Said, decode, encode
-from chutepin.consensus.identity import Identity, Meet, Met, Standing, StoredIdentity
+from chutepin.consensus import Entry, EntryKind, Membership, Persist, PersistentState, Snapshot
+from chutepin.consensus.codec import MAX_FRAME, CodecError, FrameReader, Hello, WireMessage, decode, encode
+from chutepin.consensus.identity import Identity, StoreAcknowledgement, StoreAnnouncement, StoredIdentity, StoreStatus
 from chutepin.consensus.journal import Journal, JournalError, entry_key
-from chutepin.consensus.member import Forward, Greet, Rejected
-from chutepin.consensus.messages import Append, Piece
-from chutepin.consensus.observer import Feed, Pull
-from chutepin.consensus.replica import Outcome, State
+from chutepin.consensus.messages import AppendEntries, InstallSnapshotChunk
+from chutepin.consensus.observer import FetchReply, FetchRequest
+from chutepin.consensus.participant import ForwardProposal, Greeting, ProposalRejected
+from chutepin.consensus.replica import Outcome, OutcomeState
 from chutepin.lab.claims import Record, broken
 from chutepin.lab.faults import Fault, Schedule, draw, split
 from chutepin.lab.quorum import WRITE, Disk, Parts, Simulator
@@ -175,15 +175,19 @@
 
     def ask() -> None:
         host = simulator.hosts["n4"]
-        assert host.member is not None
-        ticket = host.member.propose(simulator.now, host.member.new_id(), b"", simulator.now + 2.0, 2)
+        assert host.participant is not None
+        ticket = host.participant.propose(
+            simulator.now, host.participant.new_proposal_id(), b"", simulator.now + 2.0, 2
+        )
         host.tickets[ticket] = told.append
         simulator._pump(host)
 
     simulator._at(8.0, ask)
     simulator.run()
-    assert [(outcome.state, outcome.why) for outcome in told] == [(State.REFUSED, "n1 does not know version 2")]
-    leader = next(host.member for host in simulator.hosts.values() if host.member and host.member.core.role == 3)
+    assert [(outcome.state, outcome.why) for outcome in told] == [(OutcomeState.REJECTED, "n1 does not know version 2")]
+    leader = next(
+        host.participant for host in simulator.hosts.values() if host.participant and host.participant.raft.role == 3
+    )
     assert len(leader.known) == 3  # it has met all others, also those that never spoke to it by themselves
 
 
@@ -201,16 +205,20 @@
     simulator = Simulator(late, 3, every=0.02)
     record = simulator.run()
     assert broken(record) == {}
-    applied = {name: host.member.replica.applied for name, host in simulator.hosts.items() if host.member is not None}
+    applied = {
+        name: host.participant.replica.applied_index
+        for name, host in simulator.hosts.items()
+        if host.participant is not None
+    }
     assert len(set(applied.values())) == 1 and applied["n14"] > 1000
-    assert simulator.hosts["n14"].member is not None and simulator.hosts["n14"].member.core.last == 0
+    assert simulator.hosts["n14"].participant is not None and simulator.hosts["n14"].participant.raft.last_index == 0
 
 
 # --- what is durable ---
 
 
 def entry(index: int, term: int, data: bytes = b"x") -> Entry:
-    return Entry(index, term, Kind.PROPOSAL, data)
+    return Entry(index, term, EntryKind.PROPOSAL, data)
 
 
 @STEPS
@@ -219,7 +227,7 @@
     chance: random.Random, seed: int
 ) -> None:
     rng = random.Random(seed)
-    disk, journal, model = Disk(), Journal(), Durable()
+    disk, journal, model = Disk(), Journal(), PersistentState()
     for _ in range(rng.randrange(1, 25)):
         change = drawn_change(rng, model)
         disk.lay(journal.write(change))
@@ -237,27 +245,27 @@
             model = after
         disk.sync(len(disk.pending))
         loaded, _ = Journal().load(disk.get)
-        spare = loaded.base - model.base  # the entry at the base is read for its term only
+        spare = loaded.base_index - model.base_index  # the entry at the base is read for its term only
         assert 0 <= spare <= 1
-        assert (loaded.term, loaded.vote, loaded.entries) == (model.term, model.vote, model.entries[spare:])
+        assert (loaded.term, loaded.voted_for, loaded.entries) == (model.term, model.voted_for, model.entries[spare:])
     kept = {key for key in disk.durable if key.startswith(b"agree/entry/")}
     assert len(kept) <= len(model.entries) + 1
 
 
-def drawn_change(rng: random.Random, model: Durable) -> Persist:
-    last = model.base + len(model.entries)
+def drawn_change(rng: random.Random, model: PersistentState) -> Persist:
+    last = model.base_index + len(model.entries)
     term = model.term + (rng.random() < 0.4)
     kind = rng.random()
-    known = max(model.base, model.snapshot.upto if model.snapshot is not None else 0)
+    known = max(model.base_index, model.snapshot.up_to_index if model.snapshot is not None else 0)
     if kind < 0.2 and last > known:  # keep a state, let go of what led there
-        upto = rng.randint(known + 1, last)
-        at = model.entries[upto - model.base - 1].term
-        base = rng.randint(model.base, upto)
-        snapshot = Snapshot(upto, at, Voters(("n1",)), rng.randbytes(rng.choice((0, 10, 40_000))))
-        return Persist(model.term, model.vote, 0, (), snapshot, base)
+        up_to_index = rng.randint(known + 1, last)
+        at = model.entries[up_to_index - model.base_index - 1].term
+        base_index = rng.randint(model.base_index, up_to_index)
+        snapshot = Snapshot(up_to_index, at, Membership(("n1",)), rng.randbytes(rng.choice((0, 10, 40_000))))
+        return Persist(model.term, model.voted_for, 0, (), snapshot, base_index)
     if kind < 0.3:  # take over a leader's state
-        snapshot = Snapshot(last + rng.randint(1, 5), term, Voters(("n1",)), rng.randbytes(10))
-        return Persist(term, "", 0, (), snapshot, snapshot.upto, True)
+        snapshot = Snapshot(last + rng.randint(1, 5), term, Membership(("n1",)), rng.randbytes(10))
+        return Persist(term, "", 0, (), snapshot, snapshot.up_to_index, True)
     first = rng.randint(known + 1, last + 1)
     term = model.term + 1 if first <= last else term  # what is replaced is of an earlier term
     return Persist(
@@ -265,21 +273,21 @@
     )
 
 
-def check_between(loaded: Durable, before: Durable, after: Durable) -> None:
+def check_between(loaded: PersistentState, before: PersistentState, after: PersistentState) -> None:
     """What was acknowledged holds but for what the write replaces."""
-    assert (loaded.term, loaded.vote) in ((before.term, before.vote), (after.term, after.vote))
+    assert (loaded.term, loaded.voted_for) in ((before.term, before.voted_for), (after.term, after.voted_for))
     new = {(one.index, one.term) for one in after.entries}
     old = {(one.index, one.term): one for one in before.entries}
-    covered = loaded.snapshot.upto if loaded.snapshot is not None else 0
+    covered = loaded.snapshot.up_to_index if loaded.snapshot is not None else 0
     have = {(one.index, one.term) for one in loaded.entries}
     for key in old:
-        assert key in have or key not in new or key[0] <= max(covered, loaded.base)
+        assert key in have or key not in new or key[0] <= max(covered, loaded.base_index)
 
 
 def test_a_damaged_journal_is_refused() -> None:
     disk, journal = Disk(), Journal()
     disk.lay(journal.write(Persist(1, "n1", 1, (entry(1, 1), entry(2, 1), entry(3, 1)))))
-    disk.lay(journal.write(Persist(1, "n1", 0, (), Snapshot(3, 1, Voters(("n1",)), b"state"), 1)))
+    disk.lay(journal.write(Persist(1, "n1", 0, (), Snapshot(3, 1, Membership(("n1",)), b"state"), 1)))
     disk.sync(len(disk.pending))
     for key, value in (
         (entry_key(2), None),
@@ -297,35 +305,35 @@
 
 # --- words ---
 
-CHANGE = Entry(4, 3, Kind.VOTERS, b"", Voters(("n1", "n2"), ("n3~a",)))
-WORDS: list[Said] = [
+CHANGE = Entry(4, 3, EntryKind.VOTERS, b"", Membership(("n1", "n2"), ("n3~a",)))
+MESSAGE_TYPES: list[WireMessage] = [
     Hello("fleet", "n1", "n1~ab", "n2", 1),
-    Append(3, 2, 1, (entry(3, 2), CHANGE), 2, 9),
-    Piece(1, 5, 1, Voters(("n1",)), 3, 77, 0, b"abc", 4),
-    Forward(bytes(16), 1, b"data"),
-    Rejected(bytes(16), "full", False),
-    Pull(1, 0, 0, 3),
-    Meet("n1", "ab"),
-    Greet(True),
-    Feed((entry(1, 1),), "n1", -1, 2, Voters(("n1",)), 0, 0, 0, 0, 0, b""),
+    AppendEntries(3, 2, 1, (entry(3, 2), CHANGE), 2, 9),
+    InstallSnapshotChunk(1, 5, 1, Membership(("n1",)), 3, 77, 0, b"abc", 4),
+    ForwardProposal(bytes(16), 1, b"data"),
+    ProposalRejected(bytes(16), "full", False),
+    FetchRequest(1, 0, 0, 3),
+    StoreAnnouncement("n1", "ab"),
+    Greeting(True),
+    FetchReply((entry(1, 1),), "n1", -1, 2, Membership(("n1",)), 0, 0, 0, 0, 0, b""),
 ]
 
 
 def test_words_come_out_of_their_bytes_as_they_went_in_however_they_are_cut() -> None:
-    data = b"".join(map(encode, WORDS))
+    data = b"".join(map(encode, MESSAGE_TYPES))
     for step in (1, 7, len(data)):
-        reader = Reader()
-        assert [word for at in range(0, len(data), step) for word in reader.feed(data[at : at + step])] == WORDS
+        reader = FrameReader()
+        assert [word for at in range(0, len(data), step) for word in reader.feed(data[at : at + step])] == MESSAGE_TYPES
 
 
 @STEPS
 @given(st.binary(max_size=60))
 def test_no_bytes_do_more_than_end_their_connection(data: bytes) -> None:
     try:
-        Reader().feed(data)
+        FrameReader().feed(data)
     except CodecError:
         pass
-    for word in WORDS:
+    for word in MESSAGE_TYPES:
         frame = bytearray(encode(word)[8:])
         if data:
             frame[len(data) % len(frame)] ^= data[0]
@@ -337,7 +345,7 @@
 
 def test_a_frame_that_is_too_long_is_refused_before_it_is_read() -> None:
     with pytest.raises(CodecError, match="too_long"):
-        Reader().feed((MAX_FRAME + 1).to_bytes(4) + bytes(4))
+        FrameReader().feed((MAX_FRAME + 1).to_bytes(4) + bytes(4))
 
 
 # --- identities ---
@@ -348,20 +356,20 @@
     first, other, third = (Identity(name, voters, f"b{name}", None, {}) for name in voters)
     assert first.standing.value == "forming" and first.others == ("n2", "n3")
     for peer in (other, third):
-        answer = peer.meet("n1", Meet("n1", first.born))
-        assert answer == Met("n1", first.born)
+        answer = peer.meet("n1", StoreAnnouncement("n1", first.born))
+        assert answer == StoreAcknowledgement("n1", first.born)
         assert first.answered(peer._name, answer) is (peer is third)
-    assert first.standing is Standing.SETTLED and first.identity == "n1"
+    assert first.standing is StoreStatus.CONFIRMED and first.identity == "n1"
     again = Identity("n1", voters, "other", None, {})
-    answer = other.meet("n1", Meet("n1", again.born))
+    answer = other.meet("n1", StoreAnnouncement("n1", again.born))
     assert answer is not None and again.answered("n2", answer)
-    assert again.standing is Standing.LOST and again.identity == "n1~other"
-    assert Identity("n4", voters, "x", None, {}).standing is Standing.FOLLOWS
-    assert other.meet("n2", Meet("n1", "forged")) is None
+    assert again.standing is StoreStatus.LOST and again.identity == "n1~other"
+    assert Identity("n4", voters, "x", None, {}).standing is StoreStatus.OBSERVER
+    assert other.meet("n2", StoreAnnouncement("n1", "forged")) is None
 
 
-@pytest.mark.parametrize("standing", Standing)
-def test_the_identity_in_the_store_keeps_its_form(standing: Standing) -> None:
+@pytest.mark.parametrize("standing", StoreStatus)
+def test_the_identity_in_the_store_keeps_its_form(standing: StoreStatus) -> None:
     """A store that an earlier version wrote must be read as the same node's."""
     stored = StoredIdentity("fleet", "n1", "0123456789ab", standing)
     written = msgpack.packb(["fleet", "n1", "0123456789ab", standing.value])
--- a/tests/test_stored_bytes.py
+++ b/tests/test_stored_bytes.py
@@ -12,9 +12,9 @@
 
 import pytest
 
-from chutepin.consensus.facts import Facts
 from chutepin.consensus.identity import IDENTITY_KEY, MET_KEY, StoredIdentity
 from chutepin.consensus.journal import Journal
+from chutepin.consensus.key_value import KeyValueMachine
 from chutepin.consensus.messages import Snapshot
 from chutepin.consensus.replica import Replica
 from chutepin.store import Store
@@ -121,7 +121,7 @@
         durable, _ = Journal().load(store.get)
     values = [getattr(durable, field.name) for field in fields(durable)]
     (snapshot,) = [value for value in values if isinstance(value, Snapshot)]
-    copy = Replica(Facts())
+    copy = Replica(KeyValueMachine())
     assert copy.restore(snapshot)
     assert copy.snapshot().hex() == JOURNAL["state"][0][3][3]
 
