--- a/benchmarks/capacity/measure/start.py
+++ b/benchmarks/capacity/measure/start.py
@@ -11,9 +11,9 @@
 import msgpack
 
 from chutepin.cluster.frames import StreamReader, cluster_id, decode, stream_frame
+from chutepin.cluster.member_table import MemberTable as Members
 from chutepin.cluster.messages import Packet, Sync
 from chutepin.cluster.records import Record, Status
-from chutepin.cluster.table import Table as Members
 from chutepin.consensus.facts import Facts, set_fact
 from chutepin.consensus.messages import Entry, Kind, Snapshot, Voters
 from chutepin.consensus.replica import REMEMBERED, Proposal, Replica, new_id, pack
@@ -23,7 +23,7 @@
 MEMBERS = (100, 300, 900, 2_300)
 FACTS = (32, 64, 128, 256)  # the machine's own bound is 256 names
 ROUNDS = 3
-REPEATS = 5  # of what is timed
+REPEAT_FACTOR = 5  # of what is timed
 SEED = 1
 REMEMBER_S = 86_400.0
 VALUE = msgpack.packb(["bernard-lodge", 0.5, 2.7, "status-read"])  # a tenant: name, share, quota, class
@@ -41,9 +41,9 @@
 def _timed(work: object) -> float:
     assert callable(work)
     begun = time.process_time()
-    for _ in range(REPEATS):
+    for _ in range(REPEAT_FACTOR):
         work()
-    return 1000 * (time.process_time() - begun) / REPEATS
+    return 1000 * (time.process_time() - begun) / REPEAT_FACTOR
 
 
 def _membership(table: Table, members: int) -> None:
--- a/benchmarks/capacity/roles.py
+++ b/benchmarks/capacity/roles.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 
 from benchmarks.fleet_size import ASSUMPTIONS, MEGABYTE, TARGET
-from chutepin.cluster.frames import MAX_STREAM
+from chutepin.cluster.frames import MAX_STREAM_FRAME_BYTES
 from chutepin.consensus.facts import MAX_NAMES
 from chutepin.consensus.replica import MAX_STATE
 from chutepin.lab.scale.traffic import WINDOW
@@ -306,7 +306,7 @@
             Aspect.STATE,
             "one frame of the whole membership",
             "start.state_bytes",
-            Limit(MAX_STREAM, "B", "chutepin.cluster.frames.MAX_STREAM"),
+            Limit(MAX_STREAM_FRAME_BYTES, "B", "chutepin.cluster.frames.MAX_STREAM_FRAME_BYTES"),
             {condition: Load(TARGET.nodes) for condition in Condition},
             "the state in several frames",
         ),
--- a/chutepin/cluster/anti_entropy.py
+++ b/chutepin/cluster/anti_entropy.py
@@ -9,14 +9,15 @@
 import zlib
 from collections.abc import Iterable
 
-from .table import Member
+from .member_table import Member
 
 NAMES_PER_BUCKET = 8  # digests (4 bytes each) and the records of a few differing buckets then cost about the same
 MAX_BUCKETS = 1024
 DIGEST_BYTES = 4
 _DIGEST_MASK = 2 ** (8 * DIGEST_BYTES) - 1
-MIN_PAUSE, MAX_PAUSE = 0.5, 8.0  # times `sync-every`
-ODD_ONE_OUT = 4  # members in a row whose digests are equal, but for this member's: then it has missed something
+MIN_PAUSE_FACTOR, MAX_PAUSE_FACTOR = 0.5, 8.0  # times `sync-every`
+# Members in a row with equal digests that differ from this member's: it has missed something.
+MAX_EQUAL_PEER_DIGESTS = 4
 MANY_DIFFERENCES = 16  # found at once: something is going on, and the next repair comes soon
 
 
@@ -94,7 +95,7 @@
             return False
         if self._unequal_since is None:
             self._unequal_since = now
-        if self._in_a_row >= ODD_ONE_OUT:
+        if self._in_a_row >= MAX_EQUAL_PEER_DIGESTS:
             self.hurry(now)
         return now >= self.due and now - self._unequal_since >= patience
 
@@ -110,9 +111,9 @@
     def found(self, now: float, differences: int, drawn: float) -> None:
         """A repair found so many differences that dissemination should have mended."""
         if differences >= MANY_DIFFERENCES:
-            self._pause = self._every * MIN_PAUSE
+            self._pause = self._every * MIN_PAUSE_FACTOR
         elif differences:
             self._pause = max(self._every, self._pause / 2)
         else:
-            self._pause = min(self._every * MAX_PAUSE, self._pause * 2)
+            self._pause = min(self._every * MAX_PAUSE_FACTOR, self._pause * 2)
         self.due = now + self._pause * (0.5 + drawn)
--- a/chutepin/cluster/budget.py
+++ b/chutepin/cluster/budget.py
@@ -5,13 +5,13 @@
 from __future__ import annotations
 
 BYTES_PER_SECOND = 6000  # sent; as much comes in, and probes are beside: under 16 KB a second in the worst hour
-BURST_SECONDS = 2.0  # that an idle member saves up
+BURST_S = 2.0  # that an idle member saves up
 
 
 class ByteBudget:
     """Bytes that may be sent now."""
 
-    def __init__(self, now: float, rate: float = BYTES_PER_SECOND, burst: float = BURST_SECONDS) -> None:
+    def __init__(self, now: float, rate: float = BYTES_PER_SECOND, burst: float = BURST_S) -> None:
         self._rate, self._most = rate, rate * burst
         self._tokens, self._at = self._most, now
 
--- a/chutepin/cluster/detector.py
+++ b/chutepin/cluster/detector.py
@@ -12,43 +12,43 @@
 import random
 
 from ..config.cluster import ClusterSetup
-from .accusations import Accusing
-from .gossip import PRESSURE, ROUTINE_REPEATS
+from .gossip import MAX_PENDING_REPEATS, MAX_ROUTINE_REPEATS
+from .member_table import Member
 from .messages import (
     Ack,
     BucketDigests,
     BucketRecords,
-    Found,
     Gossip,
+    NameTaken,
     Packet,
     Ping,
     PingReq,
+    ProbeResult,
     RecordRequest,
     Records,
-    Refuse,
-    Stale,
+    StaleProcess,
     Sync,
 )
-from .outbox import INTRODUCED_AFTER, Answer, Effect, Send
-from .records import Claim, Links, Record, ShortRecord, Status, Update, expand, shorten
-from .table import Member
-from .trials import Why
+from .probe_state import ProbeReason
+from .records import LinkReport, MergeResult, Record, ShortRecord, Status, Update, expand, shorten
+from .send_queue import INTRODUCTION_S, Answer, Effect, Send
+from .suspicions import Accusing
 
 __all__ = ["Answer", "Detector", "Effect", "Send"]
 
-HOUSEKEEPING = 1.0  # seconds
-FAREWELLS = 8  # members that hear at once of one that leaves
-CONTACTS = 12.0  # a second, of all members together, with one seed or one dead member that is away
-MAX_BACK = 8  # of the dead that are asked at a time, where they are more than the live
-TESTED_AFTER_EXCHANGE = 4  # of those that the other side of an exchange holds for dead: this member asks them itself
+HOUSEKEEPING_INTERVAL_S = 1.0  # seconds
+LEAVE_NOTICES = 8  # members that hear at once of one that leaves
+CONTACTS_PER_SECOND = 12.0  # a second, of all members together, with one seed or one dead member that is away
+MAX_RECONNECT_PROBES = 8  # of the dead that are asked at a time, where they are more than the live
+VERIFIED_AFTER_EXCHANGE = 4  # of those that the other side of an exchange holds for dead: this member asks them itself
 MAX_CORRECTIONS = 4  # updates that are put right by one packet
-EXCHANGES = (Sync, BucketRecords, RecordRequest, Records)  # whose updates are states of the other side, not news
+STATE_MESSAGES = (Sync, BucketRecords, RecordRequest, Records)  # whose updates are states of the other side, not news
 
 
 def _is_request(packet: Packet) -> bool:
     """Whether a packet that came over TCP waits for an answer."""
     body = packet.body
-    return isinstance(body, (BucketDigests, RecordRequest)) or (isinstance(body, Sync) and body.ask)
+    return isinstance(body, (BucketDigests, RecordRequest)) or (isinstance(body, Sync) and body.reply_requested)
 
 
 class Detector(Accusing):
@@ -62,7 +62,7 @@
         self._due = now  # when the next tick is due
         self._next_probe = now + setup.probe_every * rng.random()
         self._next_join = now
-        self._next_house = now + HOUSEKEEPING * rng.random()
+        self._next_house = now + HOUSEKEEPING_INTERVAL_S * rng.random()
         if not self._seeds:
             self.view.joined = True  # it is the first
 
@@ -78,7 +78,7 @@
         if self.view.queue and self.view.table.live():
             at = min(at, self._gossip_due())
         for probe in self._probes.values():
-            at = min(at, probe.end if probe.helped else probe.helpers_at)
+            at = min(at, probe.end if probe.indirect else probe.helpers_at)
         for relay in self._relays.values():
             at = min(at, relay.end)
         for accusation in self._accusations.values():
@@ -90,7 +90,7 @@
     @property
     def _active(self) -> bool:
         """It takes part: some member has taken it in, and its name is its own."""
-        return self.view.joined and self.view.refused_by is None
+        return self.view.joined and self.view.name_holder is None
 
     def leave(self, now: float) -> None:
         """Say goodbye; from here on nothing is probed."""
@@ -103,19 +103,19 @@
         self._accusations.clear()
         self._looks.clear()
         live = view.table.live()
-        for name in self._rng.sample(live, min(FAREWELLS, len(live))):
+        for name in self._rng.sample(live, min(LEAVE_NOTICES, len(live))):
             self._send(name, Gossip(), [view.me])
 
     def begin_anew(self, now: float, incarnation: int) -> None:
         """Go on after another process of this node has spoken in its name: a life after that one's, nothing pending."""
-        self.view.begin_life(incarnation)
+        self.view.set_process_incarnation(incarnation)
         self._number = 0
         for pending in (self._probes, self._relays, self._accusations, self._looks, self._look_nonces):
             pending.clear()
         self._next_probe = self._next_join = self._next_back = self._pace.due = now
         self._last_gossip = -math.inf
-        self._introduced_at = now + INTRODUCED_AFTER
-        self._next_house = now + HOUSEKEEPING
+        self._introduced_at = now + INTRODUCTION_S
+        self._next_house = now + HOUSEKEEPING_INTERVAL_S
 
     def receive(self, now: float, packet: Packet, stream: bool = False) -> None:
         """Take in a packet; `stream`: it came over TCP, so that it may be answered with `Answer`."""
@@ -132,34 +132,34 @@
             self._over(now, member, record, packet, stream) or self._conflicts(member, record, packet)
         ):
             return
-        claim = view.take(now, record)
+        claim = view.merge(now, record)
         member = view.table.members.get(sender)
         if member is None:
             view.counts["drop.no_room"] += 1
             return
-        if packet.life > member.life:
-            member.begin_life(packet.life)
-        if not stream and not member.fresh(packet.number):
+        if packet.process_incarnation > member.process_incarnation:
+            member.set_process_incarnation(packet.process_incarnation)
+        if not stream and not member.accept_sequence(packet.sequence):
             view.counts["drop.replayed"] += 1
             return
-        believed = member.record.live or claim is Claim.NEW
+        believed = member.record.live or claim is MergeResult.ACCEPTED
         if not isinstance(body, BucketRecords):
             self._take_updates(now, packet, sender, believed)
-        wants = body.via if isinstance(body, Ping) and body.via else sender
+        wants = body.requester if isinstance(body, Ping) and body.requester else sender
         heard = self._heard(now, wants) if wants != sender else 0
         if not stream:
-            member.heard = now
+            member.last_heard = now
         self._body(now, packet, member, heard, believed)
 
     def _is_for_me(self, packet: Packet) -> bool:
         """Neither astray, nor of another process of this name, nor the word that this one is refused."""
         if packet.to and packet.to != self.me.name:
             self.view.counts["drop.misdirected"] += 1
-        elif packet.me.name == self.me.name:
+        elif packet.sender.name == self.me.name:
             self._namesake(packet)
-        elif isinstance(packet.body, Refuse):
+        elif isinstance(packet.body, NameTaken):
             self._refused(packet)
-        elif self.view.refused_by is not None and not isinstance(packet.body, Sync):
+        elif self.view.name_holder is not None and not isinstance(packet.body, Sync):
             self.view.counts["drop.refused"] += 1
         else:
             return True
@@ -167,9 +167,9 @@
 
     def _sender_of(self, packet: Packet) -> Record | None:
         """The sender's whole record; None where it was told short and is not known here, or not at that place."""
-        if isinstance(packet.me, Record):
-            return packet.me
-        record = self.view.whole_record(packet.me)
+        if isinstance(packet.sender, Record):
+            return packet.sender
+        record = self.view.expand_record(packet.sender)
         if record is None:
             self.view.counts["drop.unknown"] += 1
         return record
@@ -177,14 +177,14 @@
     def _over(self, now: float, member: Member, record: Record, packet: Packet, stream: bool) -> bool:
         """The packet is of a process that another one of the same name has followed. It may be a restart with a clock
         that was set back, so it is told, at most once a second."""
-        if record.address != member.record.address or packet.life >= member.life:
+        if record.address != member.record.address or packet.process_incarnation >= member.process_incarnation:
             return False
         self.view.counts["drop.earlier_life"] += 1
-        notice = Stale(member.life)
+        notice = StaleProcess(member.process_incarnation)
         if stream and _is_request(packet):
             self._reply(member.record.name, notice)
-        elif isinstance(packet.body, Ping) and now >= member.scolded + 1:
-            member.scolded = now
+        elif isinstance(packet.body, Ping) and now >= member.stale_notice_sent_at + 1:
+            member.stale_notice_sent_at = now
             self._send(member.record.name, notice)
         return True
 
@@ -198,53 +198,55 @@
         if joined and record.incarnation < member.record.incarnation:
             return False
         if _is_request(packet):
-            self._reply(member.record.name, Refuse(), [member.record])
+            self._reply(member.record.name, NameTaken(), [member.record])
         self.view.counts["drop.name_taken"] += 1
         return True
 
     def _namesake(self, packet: Packet) -> None:
         """The sender has this member's name. One at the same address is its other process, in an upgrade."""
-        record = expand(packet.me, self.me) if isinstance(packet.me, ShortRecord) else packet.me
+        record = expand(packet.sender, self.me) if isinstance(packet.sender, ShortRecord) else packet.sender
         if record is not None and record.address == self.me.address:
             return
         self.view.counts["namesakes"] += 1
         if _is_request(packet) and self._active:
-            self._reply(packet.me.name, Refuse(), [self.view.me])
+            self._reply(packet.sender.name, NameTaken(), [self.view.me])
 
     def _refused(self, packet: Packet) -> None:
         holder = packet.updates[0] if packet.updates else None
         if isinstance(holder, Record) and holder.name == self.me.name and holder.address != self.me.address:
-            self.view.refuse(holder)
+            self.view.reject_name(holder)
 
     def _heard(self, now: float, name: str) -> int:
         member = self.view.table.members.get(name)
-        return -1 if member is None or member.heard == -math.inf else int(1000 * (now - member.heard))
+        return -1 if member is None or member.last_heard == -math.inf else int(1000 * (now - member.last_heard))
 
     def _take_updates(self, now: float, packet: Packet, sender: str, believed: bool) -> None:
         """What the sender tells. Of one that is held for dead only what it tells about this member counts: that can be
         refuted, and so two sides of a cut come together."""
         view = self.view
         better: list[Record | ShortRecord] = []
-        sync = isinstance(packet.body, EXCHANGES)
+        sync = isinstance(packet.body, STATE_MESSAGES)
         spread = not isinstance(packet.body, Sync)  # what one learns that joins, all others know
         for update in packet.updates:
-            if not believed and (isinstance(update, Links) or update.name != view.me.name):
+            if not believed and (isinstance(update, LinkReport) or update.name != view.me.name):
                 continue
-            whole = view.whole_record(update) if isinstance(update, ShortRecord) else update
+            whole = view.expand_record(update) if isinstance(update, ShortRecord) else update
             if whole is None:
                 view.counts["unknown"] += 1  # repair will bring it
-            elif view.take(now, whole, sync, spread) is Claim.STALE and not sync and len(better) < MAX_CORRECTIONS:
+            elif (
+                view.merge(now, whole, sync, spread) is MergeResult.STALE and not sync and len(better) < MAX_CORRECTIONS
+            ):
                 correction = self._same_form(update)
                 if correction.live or not self.isolated:  # cut off, it is in no place to call others dead
                     better.append(correction)
         if better:
             view.counts["corrected"] += 1
             self._send(sender, Gossip(), better)
-        self._look_at_suspects(now, TESTED_AFTER_EXCHANGE if sync else 0)
+        self._look_at_suspects(now, VERIFIED_AFTER_EXCHANGE if sync else 0)
 
     def _same_form(self, update: Update) -> Record | ShortRecord:
         """What is known here of the subject of an update, short if that was."""
-        assert not isinstance(update, Links)
+        assert not isinstance(update, LinkReport)
         record = self.view.table.members[update.name].record
         return shorten(record) if isinstance(update, ShortRecord) else record
 
@@ -259,11 +261,11 @@
                 self._ask_for(now, sender, body, against)
             case Ack():
                 self._acked(now, body, member)
-            case Found():
+            case ProbeResult():
                 self._found(now, body)
-            case Stale():
-                if body.life >= self.view.life:
-                    self.view.begin_life(body.life)
+            case StaleProcess():
+                if body.process_incarnation >= self.view.process_incarnation:
+                    self.view.set_process_incarnation(body.process_incarnation)
                     self._number = 0
             case Sync():
                 self._synced(now, packet, believed)
@@ -280,7 +282,7 @@
                 self._answer_digests(now, sender, body)
             case BucketRecords():
                 self._take_buckets(now, sender, body, packet.updates, believed)
-                self._look_at_suspects(now, TESTED_AFTER_EXCHANGE)
+                self._look_at_suspects(now, VERIFIED_AFTER_EXCHANGE)
             case RecordRequest():
                 self._answer_records(now, sender, body)
             case _:
@@ -292,16 +294,16 @@
         self._catch_up(now)
         if self.leaving:
             self._gossip(now)
-            self._next_probe = self._next_join = self._next_house = now + HOUSEKEEPING
+            self._next_probe = self._next_join = self._next_house = now + HOUSEKEEPING_INTERVAL_S
             return
         if self._active:
             self._judge(now)
             if now >= self._next_probe:
                 # Drawn, lest members that began together go on probing at the same moments.
                 drawn = 0.9 + 0.2 * self._rng.random()
-                self._next_probe = now + self._setup.probe_every * self.health.stretch * drawn
+                self._next_probe = now + self._setup.probe_every * self.health.timeout_multiplier * drawn
                 if (subject := self._turn()) is not None:
-                    self._probe(now, subject, Why.ROUND)
+                    self._probe(now, subject, ProbeReason.SCHEDULED)
             self._gossip(now)
         else:
             self._next_probe = now + self._setup.probe_every
@@ -309,7 +311,7 @@
             self._next_join = now + self._setup.join_every * (0.75 + self._rng.random() / 2)
             self._join(now)
         if now >= self._next_house:
-            self._next_house = now + HOUSEKEEPING
+            self._next_house = now + HOUSEKEEPING_INTERVAL_S
             self._keep_house(now)
 
     def _catch_up(self, now: float) -> None:
@@ -317,10 +319,10 @@
         late, self._acted, self._due = now - self._due, now, max(now, self._due)
         if late <= self._setup.probe_timeout / 2:
             return
-        self.health.late += 1
+        self.health.late_timers += 1
         if late > self._setup.probe_timeout:
-            self.health.worse()
-        self.health.answered += late
+            self.health.degrade()
+        self.health.last_answered_at += late
         for probe in self._probes.values():
             probe.helpers_at += late
             probe.end += late
@@ -337,7 +339,7 @@
     def _judge(self, now: float) -> None:
         """Probes, relays, accusations and looks whose time has come."""
         for probe in list(self._probes.values()):
-            if not probe.helped and now >= probe.helpers_at:
+            if not probe.indirect and now >= probe.helpers_at:
                 self._ask_helpers(probe)
             if now >= probe.end:
                 self._ended(now, probe)
@@ -362,30 +364,32 @@
         ]
         if not self.view.joined:
             away = self._seeds
-        often = 0.25 * min(1.0, CONTACTS / self.view.members)
+        often = 0.25 * min(1.0, CONTACTS_PER_SECOND / self.view.live_count)
         if away and (not self.view.joined or self._rng.random() < often):
             name, address = self._rng.choice(away)
             self._contact(now, name, self._reach.get(name, address))
-            if self.view.refused_by is not None:
+            if self.view.name_holder is not None:
                 self._next_join = now + 5 * self._setup.join_every
         gone = self.view.table.count(Status.DEAD)
-        if self._active and gone and self._rng.random() < CONTACTS * gone / self.view.members:
+        if self._active and gone and self._rng.random() < CONTACTS_PER_SECOND * gone / self.view.live_count:
             # The smaller side of a cut asks several at a time, so that all of the larger one soon hear what to refute.
-            several = min(MAX_BACK, gone, 1 + gone // self.view.members)
-            for name in self._rng.sample(self.view.table.of(Status.DEAD), several):
-                self._probe(now, name, Why.BACK)
+            several = min(MAX_RECONNECT_PROBES, gone, 1 + gone // self.view.live_count)
+            for name in self._rng.sample(self.view.table.with_status(Status.DEAD), several):
+                self._probe(now, name, ProbeReason.RECONNECT)
 
     def _keep_house(self, now: float) -> None:
         view = self.view
-        view.age(now)
+        view.expire(now)
         known = 1 + len(view.table.members) - view.table.count(Status.LEFT)
         hears = 1 + view.table.count(Status.ALIVE)
-        if len(view.queue) * ROUTINE_REPEATS > PRESSURE:  # updates are told less often than they should be
+        if (
+            len(view.queue) * MAX_ROUTINE_REPEATS > MAX_PENDING_REPEATS
+        ):  # updates are sent less often than they should be
             self._pace.hurry(now)
         if (isolated := 2 * hears < known) != self.isolated:
             self.isolated = isolated
-            view.tell("isolated" if isolated else "in_touch", self.me.name, hears=hears, known=known)
+            view.record_event("isolated" if isolated else "in_touch", self.me.name, hears=hears, known=known)
         self._look_at_bad_links(now)
         # Without a probe under way for long there is nobody to probe, which is no silence of others.
         if not view.table.live():
-            self.health.answered = now
+            self.health.last_answered_at = now
--- a/chutepin/cluster/frames.py
+++ b/chutepin/cluster/frames.py
@@ -22,15 +22,15 @@
     Body,
     BucketDigests,
     BucketRecords,
-    Found,
     Gossip,
+    NameTaken,
     Packet,
     Ping,
     PingReq,
+    ProbeResult,
     RecordRequest,
     Records,
-    Refuse,
-    Stale,
+    StaleProcess,
     Sync,
 )
 from .records import (
@@ -39,9 +39,9 @@
     MAX_NAME,
     MAX_NUMBER,
     BadLink,
-    Links,
+    LinkReport,
     Record,
-    Sender,
+    SenderRecord,
     ShortRecord,
     Status,
     Update,
@@ -49,30 +49,30 @@
 
 VERSION = 2
 COMPRESSED = 0x80  # set in the version byte of a frame whose content is compressed; over TCP only
-COMPRESS_FROM = 4096  # bytes of content: whole states shrink to a third, digests do not shrink at all
+COMPRESS_FROM_BYTES = 4096  # bytes of content: whole states shrink to a third, digests do not shrink at all
 COMPRESS_LEVEL = 1  # the fastest
-MAX_DATAGRAM = 1200  # bytes: fits every path without being taken apart
-MAX_STREAM = 2**20  # bytes of a frame over TCP, and of its content unpacked: 8,192 records of 120 bytes
+MAX_DATAGRAM_BYTES = 1200  # bytes: fits every path without being taken apart
+MAX_STREAM_FRAME_BYTES = 2**20  # bytes of a frame over TCP, and of its content unpacked: 8,192 records of 120 bytes
 MAX_UPDATES = 8192  # in one frame
-MAX_BLOB = 4096  # bytes of digests: 1,024 buckets
+MAX_DIGEST_BYTES = 4096  # bytes of digests: 1,024 buckets
 _HEAD = struct.Struct("!2sB4sI")  # mark, version, cluster, checksum
 _LENGTH = struct.Struct("!I")
-_MARK = b"cp"
+_MAGIC = b"cp"
 BODIES: tuple[type[Any], ...] = (
     Ping,
     Ack,
     PingReq,
-    Found,
+    ProbeResult,
     Gossip,
     Sync,
-    Refuse,
-    Stale,
+    NameTaken,
+    StaleProcess,
     BucketDigests,
     BucketRecords,
     RecordRequest,
     Records,
 )
-_STREAM_ONLY = (Sync, Refuse, BucketDigests, BucketRecords, RecordRequest, Records)
+_STREAM_ONLY = (Sync, NameTaken, BucketDigests, BucketRecords, RecordRequest, Records)
 _FIELDS: dict[type[Any], tuple[type[Any], ...]] = {body: tuple(get_type_hints(body).values()) for body in BODIES}
 
 
@@ -88,7 +88,7 @@
     return hashlib.blake2b(name.encode(), digest_size=4).digest()
 
 
-def _plain(update: Update) -> tuple[Any, ...]:
+def _wire_form(update: Update) -> tuple[Any, ...]:
     """An update as it is written: a short record without the `by` that it does not need."""
     if isinstance(update, ShortRecord) and not update.by:
         return update[:-1]
@@ -97,7 +97,7 @@
 
 def update_bytes(update: Update) -> int:
     """How many bytes an update takes in a frame, at the most: ages may grow until it is sent."""
-    return len(msgpack.packb(_plain(update))) + (4 * len(update.bad) if isinstance(update, Links) else 0)
+    return len(msgpack.packb(_wire_form(update))) + (4 * len(update.bad) if isinstance(update, LinkReport) else 0)
 
 
 def encode(packet: Packet, cluster: bytes) -> bytes:
@@ -106,26 +106,26 @@
     content = msgpack.packb(
         [
             packet.to,
-            _plain(packet.me),
-            packet.me.incarnation - packet.life,  # small in nearly all frames
-            packet.number,
+            _wire_form(packet.sender),
+            packet.sender.incarnation - packet.process_incarnation,  # small in nearly all frames
+            packet.sequence,
             packet.digest,
             BODIES.index(type(body)),
             body,
-            [_plain(update) for update in packet.updates],
+            [_wire_form(update) for update in packet.updates],
         ]
     )
     version = VERSION
-    if len(content) >= COMPRESS_FROM:
+    if len(content) >= COMPRESS_FROM_BYTES:
         content, version = zlib.compress(content, COMPRESS_LEVEL), VERSION | COMPRESSED
-    return bytes(_HEAD.pack(_MARK, version, cluster, zlib.crc32(content)) + content)
+    return bytes(_HEAD.pack(_MAGIC, version, cluster, zlib.crc32(content)) + content)
 
 
 def decode(data: bytes, cluster: bytes, stream: bool) -> Packet:
     """The packet of a frame. Raises FrameError."""
-    if len(data) > (MAX_STREAM if stream else MAX_DATAGRAM):
+    if len(data) > (MAX_STREAM_FRAME_BYTES if stream else MAX_DATAGRAM_BYTES):
         raise FrameError("too_long")
-    if data[:2] != _MARK:
+    if data[:2] != _MAGIC:
         raise FrameError("garbage")
     if len(data) <= _HEAD.size:
         raise FrameError("truncated")
@@ -151,7 +151,7 @@
     """The content of a compressed frame, never more than a frame may hold. Raises FrameError."""
     unpacker = zlib.decompressobj()
     try:
-        whole = unpacker.decompress(content, MAX_STREAM)
+        whole = unpacker.decompress(content, MAX_STREAM_FRAME_BYTES)
     except zlib.error:
         raise FrameError("malformed") from None
     if not unpacker.eof:
@@ -162,21 +162,21 @@
 
 
 def _packet(raw: Any, stream: bool) -> Packet:
-    to, sender, lives, number, digest, kind, fields, updates = raw
-    body = BODIES[_whole(kind)]
+    to, sender, incarnation_delta, number, digest, kind, fields, updates = raw
+    body = BODIES[_unsigned(kind)]
     if body in _STREAM_ONLY and not stream:
         raise FrameError("malformed")
     if len(updates) > MAX_UPDATES:
         raise FrameError("too_long")
     me = _sender(sender)
-    if type(lives) is not int:
+    if type(incarnation_delta) is not int:
         raise FrameError("malformed")
     # A seed may be asked before its name is known to be right: `to` may be empty, no other name may.
     return Packet(
         _text(to) if to else "",
         me,
-        _whole(me.incarnation - lives),
-        _whole(number),
+        _unsigned(me.incarnation - incarnation_delta),
+        _unsigned(number),
         int(digest),
         _body(body, fields),
         tuple(_update(update) for update in updates),
@@ -202,7 +202,7 @@
     return raw
 
 
-def _whole(raw: Any) -> int:
+def _unsigned(raw: Any) -> int:
     if type(raw) is not int or not 0 <= raw <= MAX_NUMBER:
         raise FrameError("malformed")
     return raw
@@ -214,14 +214,14 @@
     return raw
 
 
-def _truth(raw: Any) -> bool:
+def _boolean(raw: Any) -> bool:
     if not isinstance(raw, bool):
         raise FrameError("malformed")
     return raw
 
 
-def _blob(raw: Any) -> bytes:
-    if not isinstance(raw, bytes) or len(raw) > MAX_BLOB:
+def _bytes(raw: Any) -> bytes:
+    if not isinstance(raw, bytes) or len(raw) > MAX_DIGEST_BYTES:
         raise FrameError("malformed")
     return raw
 
@@ -229,8 +229,8 @@
 _READERS |= {
     int: _age,
     str: lambda raw: _text(raw) if raw else "",
-    bool: _truth,
-    bytes: _blob,
+    bool: _boolean,
+    bytes: _bytes,
     tuple[str, ...]: lambda raw: tuple(map(_text, raw)),
 }
 
@@ -243,20 +243,22 @@
         _text(address),
         sys.intern(_text(region)),
         sys.intern(_text(zone)),
-        _whole(incarnation),
-        Status(_whole(status)),
+        _unsigned(incarnation),
+        Status(_unsigned(status)),
         _text(by),
     )
 
 
 def _short(raw: list[Any]) -> ShortRecord:
     name, incarnation, status, check, *by = raw
-    if _whole(check) >> CHECK_BITS or len(by) > 1:
+    if _unsigned(check) >> CHECK_BITS or len(by) > 1:
         raise FrameError("malformed")
-    return ShortRecord(_text(name), _whole(incarnation), Status(_whole(status)), check, _text(by[0]) if by else "")
+    return ShortRecord(
+        _text(name), _unsigned(incarnation), Status(_unsigned(status)), check, _text(by[0]) if by else ""
+    )
 
 
-def _sender(raw: list[Any]) -> Sender:
+def _sender(raw: list[Any]) -> SenderRecord:
     return _record(raw) if len(raw) == _RECORD_LENGTH else _short(raw)
 
 
@@ -264,15 +266,15 @@
     return _links(raw) if isinstance(raw[-1], list) else _sender(raw)
 
 
-def _links(raw: list[Any]) -> Links:
-    reporter, life, version, bad = raw
+def _links(raw: list[Any]) -> LinkReport:
+    reporter, process_incarnation, version, bad = raw
     if len(bad) > MAX_LINKS:
         raise FrameError("malformed")
-    return Links(
+    return LinkReport(
         _text(reporter),
-        _whole(life),
-        _whole(version),
-        tuple(BadLink(_text(source), _text(target), _whole(age)) for source, target, age in bad),
+        _unsigned(process_incarnation),
+        _unsigned(version),
+        tuple(BadLink(_text(source), _text(target), _unsigned(age)) for source, target, age in bad),
     )
 
 
@@ -294,8 +296,8 @@
         if len(self._buffer) < _LENGTH.size:
             return None
         (length,) = _LENGTH.unpack_from(self._buffer)
-        if not _HEAD.size < length <= MAX_STREAM:
-            raise FrameError("too_long" if length > MAX_STREAM else "truncated")
+        if not _HEAD.size < length <= MAX_STREAM_FRAME_BYTES:
+            raise FrameError("too_long" if length > MAX_STREAM_FRAME_BYTES else "truncated")
         if len(self._buffer) < _LENGTH.size + length:
             return None
         return bytes(self._buffer[_LENGTH.size : _LENGTH.size + length])
--- a/chutepin/cluster/incarnation.py
+++ b/chutepin/cluster/incarnation.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from ..store import Store
 
-FOREVER = 2.0**33  # seconds of Unix time: the year 2242; the store sets files to the time of their last expiry
+EXPIRES_NEVER_S = 2.0**33  # seconds of Unix time: the year 2242; the store sets files to the time of their last expiry
 
 
 def _key(name: str) -> bytes:
@@ -32,7 +32,7 @@
         if self._store is not None:
             known = self._store.get(_key(self._name))
             number = max(number, int(known) + 1 if known else 0)
-            self._store.put(_key(self._name), b"%d" % number, FOREVER)
+            self._store.put(_key(self._name), b"%d" % number, EXPIRES_NEVER_S)
             self._store.commit()
         return number
 
@@ -42,4 +42,4 @@
             from ..store import StoreError
 
             with contextlib.suppress(StoreError):
-                self._store.offer(_key(self._name), b"%d" % incarnation, FOREVER)
+                self._store.offer(_key(self._name), b"%d" % incarnation, EXPIRES_NEVER_S)
--- a/chutepin/cluster/link_watch.py
+++ b/chutepin/cluster/link_checks.py
@@ -6,8 +6,8 @@
 
 from ..config.cluster import ClusterSetup
 from .messages import PingReq
+from .probe_state import LINK_RECHECK_PINGS, MAX_LINK_CHECKS, LinkCheck
 from .state_exchange import StateExchange
-from .trials import LOOKS_AGAIN, MOST_LOOKS, Look
 
 
 class LinkWatch(StateExchange):
@@ -15,7 +15,7 @@
 
     def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
         super().__init__(setup, name, incarnation, now, rng)
-        self._looks: dict[str, Look] = {}
+        self._looks: dict[str, LinkCheck] = {}
         self._look_nonces: dict[int, str] = {}
         self._look_again: dict[str, float] = {}
 
@@ -33,11 +33,11 @@
 
     def _look(self, now: float, subject: str, pings: int) -> None:
         """Begin to look at a link, unless that is under way."""
-        if subject in self._looks or len(self._looks) >= MOST_LOOKS:
+        if subject in self._looks or len(self._looks) >= MAX_LINK_CHECKS:
             return
-        self._looks[subject] = Look(subject, now, now, pings)
+        self._looks[subject] = LinkCheck(subject, now, now, pings)
 
-    def _look_on(self, now: float, look: Look) -> None:
+    def _look_on(self, now: float, look: LinkCheck) -> None:
         """One more direct ping; then the helpers are asked what the other side has heard; then it is judged."""
         if not self.view.table.is_live(look.subject) or look.asking:
             self._judge_link(now, look)
@@ -47,15 +47,15 @@
         self._look_nonces[nonce] = look.subject
         if look.left > 0:
             look.left -= 1
-            look.next = now + self._setup.probe_timeout * self.health.stretch
+            look.next = now + self._setup.probe_timeout * self.health.timeout_multiplier
             self._ping(now, look.subject, nonce)
             return
         look.asking = True
-        look.next = now + self._setup.probe_every * self.health.stretch
+        look.next = now + self._setup.probe_every * self.health.timeout_multiplier
         for helper in self._helpers(look.subject):
             self._send(helper, PingReq(nonce, look.subject))
 
-    def _judge_link(self, now: float, look: Look) -> None:
+    def _judge_link(self, now: float, look: LinkCheck) -> None:
         """Nothing is told without evidence: what the other side has heard, or that it was heard here."""
         del self._looks[look.subject]
         for nonce in look.nonces:
@@ -65,18 +65,18 @@
             return
         if look.direct:
             self._links(now, look.subject, True, True)
-        elif look.heard is not None:
-            reaches = 0 <= look.heard <= 1000 * (now - look.began)
-            hears = member.heard >= look.began
+        elif look.last_heard_ms is not None:
+            reaches = 0 <= look.last_heard_ms <= 1000 * (now - look.began)
+            hears = member.last_heard >= look.began
             # Where the own pings do not arrive there was nothing to be heard: no evidence but for what came.
             self._links(now, look.subject, reaches, hears if reaches or hears else None)
 
     def _links(self, now: float, subject: str, reaches: bool, hears: bool | None) -> None:
         """What was found out about the link to a member and that from it."""
         view, me = self.view, self.me.name
-        view.find_link(now, me, subject, not reaches)
+        view.record_link(now, me, subject, not reaches)
         if hears is not None:
-            view.find_link(now, subject, me, not hears)
+            view.record_link(now, subject, me, not hears)
         if any(subject in link for link in view.links.own):
             self._look_again[subject] = now + self._setup.link_every
         else:
@@ -89,4 +89,4 @@
                 del self._look_again[subject]
             elif now >= at:
                 self._look_again[subject] = now + self._setup.link_every
-                self._look(now, subject, LOOKS_AGAIN)
+                self._look(now, subject, LINK_RECHECK_PINGS)
--- a/chutepin/cluster/links.py
+++ b/chutepin/cluster/link_table.py
@@ -5,12 +5,12 @@
 import zlib
 from dataclasses import dataclass, field
 
-from .records import MAX_LINKS, BadLink, Links
+from .records import MAX_LINKS, BadLink, LinkReport
 
 
 @dataclass(slots=True)
-class _Report:
-    life: int
+class _PeerReport:
+    process_incarnation: int
     version: int
     since: dict[tuple[str, str], float]  # by (source, target), on the local clock
 
@@ -20,48 +20,48 @@
     """Bounded: 16 links for each reporter, reporters are members. A link beyond that is counted in `unsaid`."""
 
     me: str
-    life: int
+    process_incarnation: int
     own: dict[tuple[str, str], float] = field(default_factory=dict)
     version: int = 0
-    unsaid: int = 0
+    unreported: int = 0
     digest: int = 0  # of what all tell, the own report included
-    _told: dict[str, _Report] = field(default_factory=dict)
+    _reports: dict[str, _PeerReport] = field(default_factory=dict)
 
-    def _account(self, reporter: str, life: int, version: int) -> None:
+    def _toggle_digest(self, reporter: str, process_incarnation: int, version: int) -> None:
         """Put a report into the digest, or take it out. One without any link ever adds nothing."""
         if version:
-            self.digest ^= zlib.crc32(f"{reporter} {life} {version}".encode())
+            self.digest ^= zlib.crc32(f"{reporter} {process_incarnation} {version}".encode())
 
-    def find(self, now: float, source: str, target: str, bad: bool) -> bool:
+    def record(self, now: float, source: str, target: str, bad: bool) -> bool:
         """This member has found a link bad, or good again; whether that is news."""
         if bad == ((source, target) in self.own):
             return False
         if bad and len(self.own) >= MAX_LINKS:
-            self.unsaid += 1
+            self.unreported += 1
             return False
         if bad:
             self.own[source, target] = now
         else:
             del self.own[source, target]
-        self._next()
+        self._advance_version()
         return True
 
-    def _next(self) -> None:
-        self._account(self.me, self.life, self.version)
+    def _advance_version(self) -> None:
+        self._toggle_digest(self.me, self.process_incarnation, self.version)
         self.version += 1
-        self._account(self.me, self.life, self.version)
+        self._toggle_digest(self.me, self.process_incarnation, self.version)
 
-    def live_on(self, life: int) -> None:
+    def set_process_incarnation(self, process_incarnation: int) -> None:
         """This member tells in a new life."""
-        self._account(self.me, self.life, self.version)
-        self.life = life
-        self._account(self.me, self.life, self.version)
+        self._toggle_digest(self.me, self.process_incarnation, self.version)
+        self.process_incarnation = process_incarnation
+        self._toggle_digest(self.me, self.process_incarnation, self.version)
 
-    def report(self, now: float) -> Links:
+    def report(self, now: float) -> LinkReport:
         """What this member tells of links."""
-        return Links(
+        return LinkReport(
             self.me,
-            self.life,
+            self.process_incarnation,
             self.version,
             tuple(
                 BadLink(source, target, max(0, int(1000 * (now - since))))
@@ -69,49 +69,53 @@
             ),
         )
 
-    def hear(self, now: float, links: Links) -> bool:
+    def merge(self, now: float, links: LinkReport) -> bool:
         """Another member tells; whether that is newer than what was known."""
-        known = self._told.get(links.reporter)
-        if links.reporter == self.me or (known and (links.life, links.version) <= (known.life, known.version)):
+        known = self._reports.get(links.reporter)
+        if links.reporter == self.me or (
+            known and (links.process_incarnation, links.version) <= (known.process_incarnation, known.version)
+        ):
             return False
         if known is not None:
-            self._account(links.reporter, known.life, known.version)
-        self._account(links.reporter, links.life, links.version)
-        self._told[links.reporter] = _Report(
-            links.life, links.version, {(link.source, link.target): now - link.age / 1000 for link in links.bad}
+            self._toggle_digest(links.reporter, known.process_incarnation, known.version)
+        self._toggle_digest(links.reporter, links.process_incarnation, links.version)
+        self._reports[links.reporter] = _PeerReport(
+            links.process_incarnation,
+            links.version,
+            {(link.source, link.target): now - link.age / 1000 for link in links.bad},
         )
         return True
 
-    def told(self, now: float) -> list[Links]:
+    def reports(self, now: float) -> list[LinkReport]:
         """What the others told, to be told on in a whole state."""
         return [
-            Links(
+            LinkReport(
                 name,
-                report.life,
+                report.process_incarnation,
                 report.version,
                 tuple(
                     BadLink(source, target, max(0, int(1000 * (now - since))))
                     for (source, target), since in report.since.items()
                 ),
             )
-            for name, report in self._told.items()
+            for name, report in self._reports.items()
         ]
 
     def forget(self, name: str) -> bool:
         """A member has gone: neither its reports nor links to it mean anything; whether an own report has changed."""
-        if (known := self._told.pop(name, None)) is not None:
-            self._account(name, known.life, known.version)
+        if (known := self._reports.pop(name, None)) is not None:
+            self._toggle_digest(name, known.process_incarnation, known.version)
         mine = [link for link in self.own if name in link]
         for link in mine:
             del self.own[link]
         if mine:
-            self._next()
+            self._advance_version()
         return bool(mine)
 
-    def bad(self, live: set[str]) -> dict[tuple[str, str], float]:
+    def bad_links(self, live: set[str]) -> dict[tuple[str, str], float]:
         """All bad links between members that live, with the time since when, by whoever knew first."""
         found: dict[tuple[str, str], float] = {}
-        for since_of in [self.own, *(report.since for report in self._told.values())]:
+        for since_of in [self.own, *(report.since for report in self._reports.values())]:
             for link, since in since_of.items():
                 if link[0] in live and link[1] in live:
                     found[link] = min(since, found.get(link, since))
--- a/chutepin/cluster/table.py
+++ b/chutepin/cluster/member_table.py
@@ -8,26 +8,28 @@
 import math
 from dataclasses import dataclass
 
-from .records import Claim, Record, Status, judge
+from .records import MergeResult, Record, Status, compare_records
 
-WINDOW = 256  # packets of one sender that may come out of their order
+REPLAY_WINDOW_PACKETS = 256  # packets of one sender that may come out of their order
 
 
 @dataclass(slots=True)
-class Window:
+class ReplayWindow:
     """Which packets of one life of a sender have come: none is taken in twice."""
 
     highest: int = -1
     seen: int = 0  # a bit for each of the last numbers
 
-    def fresh(self, number: int) -> bool:
+    def accept(self, number: int) -> bool:
         """Take note of a number; false for one that came before or is too old to tell."""
         if number > self.highest:
-            self.seen = (self.seen << min(number - self.highest, WINDOW) | 1) & ((1 << WINDOW) - 1)
+            self.seen = (self.seen << min(number - self.highest, REPLAY_WINDOW_PACKETS) | 1) & (
+                (1 << REPLAY_WINDOW_PACKETS) - 1
+            )
             self.highest = number
             return True
         back = self.highest - number
-        if back >= WINDOW or self.seen >> back & 1:
+        if back >= REPLAY_WINDOW_PACKETS or self.seen >> back & 1:
             return False
         self.seen |= 1 << back
         return True
@@ -38,24 +40,24 @@
     """One other member."""
 
     record: Record
-    since: float  # when the record was taken in
+    changed_at: float  # when the record was taken in
     digest: int = 0  # what the record adds to the digest of a view; 0 while it is not live
     position: int = -1  # in the list of the live
-    life: int = 0  # the process that spoke last
-    heard: float = -math.inf  # its last packet that came directly
-    scolded: float = -math.inf  # when it was last told that its life is over
-    accusers: tuple[str, ...] = ()  # at this incarnation
-    window: Window | None = None  # none before its first datagram: most members are hardly ever heard directly
+    process_incarnation: int = 0  # the process that spoke last
+    last_heard: float = -math.inf  # its last packet that came directly
+    stale_notice_sent_at: float = -math.inf  # when it was last told that its life is over
+    suspected_by: tuple[str, ...] = ()  # at this incarnation
+    window: ReplayWindow | None = None  # none before its first datagram: most members are hardly ever heard directly
 
-    def begin_life(self, life: int) -> None:
+    def set_process_incarnation(self, process_incarnation: int) -> None:
         """Another process speaks in its name."""
-        self.life, self.window = life, None
+        self.process_incarnation, self.window = process_incarnation, None
 
-    def fresh(self, number: int) -> bool:
+    def accept_sequence(self, number: int) -> bool:
         """Take note of a datagram's number; false for one that came before or is too old to tell."""
         if self.window is None:
-            self.window = Window()
-        return self.window.fresh(number)
+            self.window = ReplayWindow()
+        return self.window.accept(number)
 
 
 def digest_of(record: Record) -> int:
@@ -64,20 +66,20 @@
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=7).digest())
 
 
-LEFT_REMEMBERED = 300.0  # seconds for which those that left in order are known, at the most: restarts take less
+LEFT_RETENTION_S = 300.0  # seconds for which those that left in order are known, at the most: restarts take less
 _GROUPED = (Status.SUSPECT, Status.DEAD, Status.LEFT)
 
 
-class Table:
+class MemberTable:
     """All other members by name. No operation takes longer for a longer table, but for those that give lists."""
 
-    def __init__(self, most: int, remember: float) -> None:
+    def __init__(self, max_names: int, remember: float) -> None:
         """`most`: names, the gone included. `remember`: seconds for which the dead are known."""
-        self._most = most
-        self._remembered = {Status.DEAD: remember, Status.LEFT: min(remember, LEFT_REMEMBERED)}
+        self._max_names = max_names
+        self._remembered = {Status.DEAD: remember, Status.LEFT: min(remember, LEFT_RETENTION_S)}
         self.members: dict[str, Member] = {}
         self.digest = 0  # of the live ones
-        self.refused = 0  # names for which there was no room
+        self.rejected = 0  # names for which there was no room
         # Those that are not alive, by state, in the order in which they came into it.
         self._groups: dict[Status, dict[str, None]] = {status: {} for status in _GROUPED}
         self._live: list[str] = []
@@ -91,7 +93,7 @@
         member = self.members.get(name)
         return member is not None and member.position >= 0
 
-    def of(self, status: Status) -> list[str]:
+    def with_status(self, status: Status) -> list[str]:
         """Names of those in this state."""
         if status is Status.ALIVE:
             return [name for name in self._live if name not in self._groups[Status.SUSPECT]]
@@ -103,27 +105,27 @@
             return len(self._live) - len(self._groups[Status.SUSPECT])
         return len(self._groups[status])
 
-    def put(self, now: float, record: Record) -> Claim:
+    def put(self, now: float, record: Record) -> MergeResult:
         """Take in a record, if it holds against the known one; HELD also where there is no room."""
         member = self.members.get(record.name)
         if member is None:
-            if not self._room():
-                self.refused += 1
-                return Claim.HELD
+            if not self._make_room():
+                self.rejected += 1
+                return MergeResult.REJECTED
             self.members[record.name] = member = Member(record, now)
             self._enter(member)
-            return Claim.NEW
+            return MergeResult.ACCEPTED
         old = member.record
-        claim = judge(record, old)
-        if claim is Claim.NEW:
+        result = compare_records(record, old)
+        if result is MergeResult.ACCEPTED:
             if record.address != old.address:  # another process: nothing that was heard of the old one is its own
-                member.begin_life(0)
-                member.heard = -math.inf
+                member.set_process_incarnation(0)
+                member.last_heard = -math.inf
             if (record.incarnation, record.address) != (old.incarnation, old.address) or not record.live:
-                member.accusers = ()
+                member.suspected_by = ()
             self.replace(member, record)
-            member.since = now
-        return claim
+            member.changed_at = now
+        return result
 
     def replace(self, member: Member, record: Record) -> None:
         """Give a member another record; keep groups, list and digest as the records are."""
@@ -162,29 +164,29 @@
         self.digest ^= member.digest
         member.position, member.digest = -1, 0
 
-    def _room(self) -> bool:
+    def _make_room(self) -> bool:
         """Whether a name fits, without the oldest of the gone if need be."""
-        if len(self.members) < self._most:
+        if len(self.members) < self._max_names:
             return True
         oldest = [next(iter(self._groups[status])) for status in (Status.DEAD, Status.LEFT) if self._groups[status]]
         if not oldest:
             return False
-        self.drop(min(oldest, key=lambda name: self.members[name].since))
+        self.remove(min(oldest, key=lambda name: self.members[name].changed_at))
         return True
 
-    def drop(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Forget a name."""
         member = self.members[name]
         self._groups.get(member.record.status, {}).pop(name, None)
         self._leave(member)
         del self.members[name]
 
-    def aged(self, now: float) -> list[str]:
+    def expired(self, now: float) -> list[str]:
         """The gone that have been remembered long enough."""
         found = []
         for status, remembered in self._remembered.items():
             for name in self._groups[status]:
-                if now - self.members[name].since <= remembered:
+                if now - self.members[name].changed_at <= remembered:
                     break  # those behind it are younger
                 found.append(name)
         return found
--- a/chutepin/cluster/messages.py
+++ b/chutepin/cluster/messages.py
@@ -5,15 +5,15 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from .records import Sender, Update
+from .records import SenderRecord, Update
 
 
 class Ping(NamedTuple):
     """Answer me. `via`: the member that asked the sender to find out, and the nonce of its own ping."""
 
     nonce: int
-    via: str = ""
-    asked: int = 0
+    requester: str = ""
+    requester_nonce: int = 0
 
 
 class Ack(NamedTuple):
@@ -21,7 +21,7 @@
     or the one that asked it to) directly; -1 if not lately."""
 
     nonce: int
-    heard: int
+    last_heard_ms: int
 
 
 class PingReq(NamedTuple):
@@ -31,13 +31,13 @@
     subject: str
 
 
-class Found(NamedTuple):
+class ProbeResult(NamedTuple):
     """The answer to a PingReq: `subject` answered, or (`answered` false) did not in time. `heard` as in Ack."""
 
     nonce: int
     subject: str
     answered: bool
-    heard: int
+    last_heard_ms: int
 
 
 class Gossip(NamedTuple):
@@ -49,7 +49,7 @@
     in before. `referred`: in an answer, that the updates are a few members, one of which is to be asked for all; in a
     request, that the sender was told to ask here. Over TCP only."""
 
-    ask: bool
+    reply_requested: bool
     joined: bool
     referred: bool = False
 
@@ -84,25 +84,25 @@
     """The answer to RecordRequest: whole records. Over TCP only."""
 
 
-class Refuse(NamedTuple):
+class NameTaken(NamedTuple):
     """The sender's name is held by another process that lives: the one update tells which. Over TCP only."""
 
 
-class Stale(NamedTuple):
+class StaleProcess(NamedTuple):
     """What came from you was said in an earlier life than the one known here."""
 
-    life: int
+    process_incarnation: int
 
 
 Body = (
     Ping
     | Ack
     | PingReq
-    | Found
+    | ProbeResult
     | Gossip
     | Sync
-    | Refuse
-    | Stale
+    | NameTaken
+    | StaleProcess
     | BucketDigests
     | BucketRecords
     | RecordRequest
@@ -119,9 +119,9 @@
     carry it, 0 elsewhere."""
 
     to: str
-    me: Sender
-    life: int
-    number: int
+    sender: SenderRecord
+    process_incarnation: int
+    sequence: int
     digest: int
     body: Body
     updates: tuple[Update, ...] = ()
--- a/chutepin/cluster/trials.py
+++ b/chutepin/cluster/probe_state.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-WITNESSES = 3  # how many are called by an accusation, and how many others shorten it fully
-LOOKS = 8  # direct pings of a first look at a link: at 30% loss all are lost once in 15,000 looks
-LOOKS_AGAIN = 3  # of a look at one that is known to be bad
-MOST_LOOKS = 16  # under way at once
-MOST_RELAYS = 256  # pings for others that are under way at once
+WITNESS_COUNT = 3  # how many are called by an accusation, and how many others shorten it fully
+LINK_CHECK_PINGS = 8  # direct pings of a first look at a link: at 30% loss all are lost once in 15,000 looks
+LINK_RECHECK_PINGS = 3  # of a look at one that is known to be bad
+MAX_LINK_CHECKS = 16  # under way at once
+MAX_RELAYED_PROBES = 256  # pings for others that are under way at once
 
 
 def suspicion_time(least: float, most_times: int, members: int, others: int) -> float:
@@ -19,19 +19,19 @@
     It shrinks from `most_times` to one time the least with the logarithm of the confirmations (Lifeguard). The least
     one grows with the logarithm of the number of members, as news takes that long."""
     least *= max(1.0, math.log10(members))
-    wanted = min(WITNESSES, members - 2)
+    wanted = min(WITNESS_COUNT, members - 2)
     if wanted < 1:
         return least
     most = least * most_times
     return max(least, most - (most - least) * math.log(others + 1) / math.log(wanted + 1))
 
 
-class Why(Enum):
+class ProbeReason(Enum):
     """What a probe is for."""
 
-    ROUND = 1  # its turn has come, or somebody accuses it
-    VERIFY = 2  # it stands accused by this member
-    BACK = 3  # it is held for dead: does it answer again?
+    SCHEDULED = 1  # its turn has come, or somebody accuses it
+    VERIFICATION = 2  # it stands accused by this member
+    RECONNECT = 3  # it is held for dead: does it answer again?
 
 
 @dataclass(slots=True)
@@ -40,10 +40,10 @@
 
     nonce: int
     subject: str
-    why: Why
+    reason: ProbeReason
     helpers_at: float  # when helpers are asked
     end: float
-    helped: bool = False
+    indirect: bool = False
     helpers: int = 0
     nacks: int = 0
     direct: bool = False  # it answered itself
@@ -56,17 +56,17 @@
 
 
 @dataclass(slots=True)
-class Relay:
+class RelayedProbe:
     """This member asks somebody for another one."""
 
-    asker: str
-    asked: int  # the asker's nonce
+    requester: str
+    requester_nonce: int  # the asker's nonce
     subject: str
     end: float
 
 
 @dataclass(slots=True)
-class Accusation:
+class Suspicion:
     """This member's own, after its own probe has failed."""
 
     subject: str
@@ -78,7 +78,7 @@
 
 
 @dataclass(slots=True)
-class Look:
+class LinkCheck:
     """A look at the link between this member and another one that answers through helpers only."""
 
     subject: str
@@ -88,4 +88,4 @@
     nonces: list[int] = field(default_factory=list)
     asking: bool = False  # helpers were asked what the subject has heard
     direct: bool = False
-    heard: int | None = None  # milliseconds since the subject heard this member; -1: not lately; None: not known
+    last_heard_ms: int | None = None  # since the subject heard this member; -1: not lately; None: not known
--- a/chutepin/cluster/probing.py
+++ b/chutepin/cluster/probing.py
@@ -5,11 +5,11 @@
 import random
 
 from ..config.cluster import ClusterSetup
-from .link_watch import LinkWatch
-from .messages import Ack, Found, PingReq
+from .link_checks import LinkWatch
+from .member_table import Member
+from .messages import Ack, PingReq, ProbeResult
+from .probe_state import LINK_CHECK_PINGS, MAX_RELAYED_PROBES, Probe, ProbeReason, RelayedProbe
 from .records import Record
-from .table import Member
-from .trials import LOOKS, MOST_RELAYS, Probe, Relay, Why
 
 
 class Probing(LinkWatch):
@@ -20,7 +20,7 @@
         self.leaving = False
         self._rotation: list[str] = []
         self._probes: dict[int, Probe] = {}
-        self._relays: dict[int, Relay] = {}
+        self._relays: dict[int, RelayedProbe] = {}
         self._next_back = now  # when the next exchange with one that is back from the dead may begin
 
     def _accuse(self, now: float, subject: str) -> None:
@@ -31,46 +31,48 @@
         """The subject has answered: for the layer above."""
         raise NotImplementedError
 
-    def _probe(self, now: float, subject: str, why: Why) -> None:
+    def _probe(self, now: float, subject: str, why: ProbeReason) -> None:
         """Begin to ask a member, unless that is under way."""
         member = self.view.table.members.get(subject)
         if (
             self.leaving
             or member is None
-            or any(probe.subject == subject and probe.why is why for probe in self._probes.values())
+            or any(probe.subject == subject and probe.reason is why for probe in self._probes.values())
         ):
             return
-        if why is not Why.BACK and not member.record.live:
+        if why is not ProbeReason.RECONNECT and not member.record.live:
             return
-        wait = self._setup.probe_timeout * self.health.stretch
+        wait = self._setup.probe_timeout * self.health.timeout_multiplier
         nonce = self._number_anew()
         self._probes[nonce] = Probe(
             nonce,
             subject,
             why,
-            now if why is Why.VERIFY else now + wait,
-            now + self._setup.probe_every * self.health.stretch,
+            now if why is ProbeReason.VERIFICATION else now + wait,
+            now + self._setup.probe_every * self.health.timeout_multiplier,
         )
-        self._ping(now, subject, nonce, introduce=why is not Why.ROUND)
+        self._ping(now, subject, nonce, introduce=why is not ProbeReason.SCHEDULED)
 
     def _ask_for(self, now: float, asker: str, body: PingReq, against: list[Record]) -> None:
         """Ping somebody for another member."""
         member = self.view.table.members.get(body.subject)
-        if self.leaving or member is None or not member.record.live or len(self._relays) >= MOST_RELAYS:
+        if self.leaving or member is None or not member.record.live or len(self._relays) >= MAX_RELAYED_PROBES:
             known = [member.record] if member is not None else []
-            self._send(asker, Found(body.nonce, body.subject, False, -1), known + against)
+            self._send(asker, ProbeResult(body.nonce, body.subject, False, -1), known + against)
             return
         nonce = self._number_anew()
-        self._relays[nonce] = Relay(asker, body.nonce, body.subject, now + self._setup.probe_timeout)
+        self._relays[nonce] = RelayedProbe(asker, body.nonce, body.subject, now + self._setup.probe_timeout)
         self._ping(now, body.subject, nonce, asker, body.nonce)
 
     def _acked(self, now: float, body: Ack, member: Member) -> None:
         """Somebody answered directly."""
-        self.health.answered = now
+        self.health.last_answered_at = now
         subject = member.record.name
         if (relay := self._relays.get(body.nonce)) is not None and relay.subject == subject:
             del self._relays[body.nonce]
-            self._send(relay.asker, Found(relay.asked, subject, True, body.heard), [member.record])
+            self._send(
+                relay.requester, ProbeResult(relay.requester_nonce, subject, True, body.last_heard_ms), [member.record]
+            )
         elif (probe := self._probes.get(body.nonce)) is not None and probe.subject == subject:
             probe.direct = True
             self._ended(now, probe)
@@ -78,12 +80,12 @@
             self._looks[subject].direct = True
             self._judge_link(now, self._looks[subject])
 
-    def _found(self, now: float, body: Found) -> None:
+    def _found(self, now: float, body: ProbeResult) -> None:
         """A helper tells what it found."""
-        self.health.answered = now
+        self.health.last_answered_at = now
         if (look := self._looks.get(body.subject)) is not None and body.nonce in look.nonces:
             if body.answered:
-                look.heard = body.heard
+                look.last_heard_ms = body.last_heard_ms
                 self._judge_link(now, look)
             return
         probe = self._probes.get(body.nonce)
@@ -100,37 +102,39 @@
         del self._probes[probe.nonce]
         subject, view = probe.subject, self.view
         if probe.answered:
-            self.health.better()
-            if probe.why is Why.BACK and subject in view.table.members and now >= self._next_back:
+            self.health.recover()
+            if probe.reason is ProbeReason.RECONNECT and subject in view.table.members and now >= self._next_back:
                 self._next_back = now + self._setup.join_every
                 self._contact(now, subject, self.address(subject) or "")
             self._withdraw(subject)
             if not probe.direct:
-                self._look(now, subject, LOOKS)
+                self._look(now, subject, LINK_CHECK_PINGS)
             elif any(subject in link for link in view.links.own):
                 self._links(now, subject, True, True)
             return
-        if probe.why is Why.BACK:
+        if probe.reason is ProbeReason.RECONNECT:
             return
         view.counts["probes_lost"] += 1
         if probe.helpers and not probe.nacks:  # not one helper was heard: some of them may be dead, but all?
-            self.health.worse()
-        if probe.why is Why.ROUND:
+            self.health.degrade()
+        if probe.reason is ProbeReason.SCHEDULED:
             self._accuse(now, subject)
 
-    def _relay_ended(self, nonce: int, relay: Relay) -> None:
+    def _relay_ended(self, nonce: int, relay: RelayedProbe) -> None:
         """Who was asked for another member did not answer. Saying so tells that member that its helper is well."""
         del self._relays[nonce]
         member = self.view.table.members.get(relay.subject)
         self._send(
-            relay.asker, Found(relay.asked, relay.subject, False, -1), [member.record] if member is not None else []
+            relay.requester,
+            ProbeResult(relay.requester_nonce, relay.subject, False, -1),
+            [member.record] if member is not None else [],
         )
 
     def _ask_helpers(self, probe: Probe) -> None:
         """Ask others to ask; with what stands against the subject, so that they can put it right."""
-        probe.helped = True
+        probe.indirect = True
         member = self.view.table.members.get(probe.subject)  # which may have been forgotten meanwhile
-        if probe.why is Why.BACK or member is None:
+        if probe.reason is ProbeReason.RECONNECT or member is None:
             return
         record = member.record
         helpers = self._helpers(probe.subject)
--- a/chutepin/cluster/records.py
+++ b/chutepin/cluster/records.py
@@ -61,10 +61,10 @@
 
 
 CHECK_BITS = 16  # a member that moved unnoticed is taken for unmoved once in 65,536 moves; repair mends that
-_PLACES = 4096  # places whose checks are kept: each is asked for again and again
+_PLACE_CACHE_SIZE = 4096  # places whose checks are kept: each is asked for again and again
 
 
-@lru_cache(maxsize=_PLACES)
+@lru_cache(maxsize=_PLACE_CACHE_SIZE)
 def place_check(address: str, region: str, zone: str) -> int:
     """What stands for a member's address, region and zone in a short record."""
     return zlib.crc32(f"{address} {region} {zone}".encode()) & ((1 << CHECK_BITS) - 1)
@@ -100,37 +100,37 @@
     age: int
 
 
-class Links(NamedTuple):
+class LinkReport(NamedTuple):
     """All bad links that one member tells of now. Of two of one reporter the later (life, version) holds."""
 
     reporter: str
-    life: int
+    process_incarnation: int
     version: int
     bad: tuple[BadLink, ...]
 
 
-Sender = Record | ShortRecord
-Update = Record | ShortRecord | Links
+SenderRecord = Record | ShortRecord
+Update = Record | ShortRecord | LinkReport
 
 
-class Claim(IntEnum):
+class MergeResult(IntEnum):
     """What becomes of a record that was told."""
 
-    NEW = 1  # it holds from now on
-    KNOWN = 2  # it says what is known
+    ACCEPTED = 1  # it holds from now on
+    UNCHANGED = 2  # it says what is known
     STALE = 3  # what is known is newer: the teller should hear that
-    HELD = 4  # the name is another process's: the teller's record is refused
+    REJECTED = 4  # the name is another process's: the teller's record is refused
 
 
-def judge(new: Record, old: Record) -> Claim:
+def compare_records(new: Record, old: Record) -> MergeResult:
     """Which of two records of one name holds; the table is in docs/membership.md."""
     if new.address != old.address:
         if new.live and old.live:
-            return Claim.NEW if new.incarnation < old.incarnation else Claim.HELD
+            return MergeResult.ACCEPTED if new.incarnation < old.incarnation else MergeResult.REJECTED
         if not new.live and old.live:
-            return Claim.KNOWN
-        return Claim.NEW if new.incarnation > old.incarnation else Claim.STALE
+            return MergeResult.UNCHANGED
+        return MergeResult.ACCEPTED if new.incarnation > old.incarnation else MergeResult.STALE
     mine, known = (new.incarnation, new.status), (old.incarnation, old.status)
     if mine > known:
-        return Claim.NEW
-    return Claim.KNOWN if mine == known else Claim.STALE
+        return MergeResult.ACCEPTED
+    return MergeResult.UNCHANGED if mine == known else MergeResult.STALE
--- a/chutepin/cluster/outbox.py
+++ b/chutepin/cluster/send_queue.py
@@ -11,16 +11,16 @@
 
 from ..config.cluster import ClusterSetup
 from .budget import ByteBudget
-from .frames import MAX_DATAGRAM, update_bytes
+from .frames import MAX_DATAGRAM_BYTES, update_bytes
 from .gossip import gossip_interval
-from .health import Health
+from .local_health import LocalHealth
+from .membership_view import MembershipEvent, MembershipView, PersistIncarnation
 from .messages import Ack, Body, Gossip, Packet, Ping
-from .records import Links, Record, Status, Update, shorten
-from .view import Persist, Tell, View
+from .records import LinkReport, Record, Status, Update, shorten
 
-HEAD = 160  # bytes of a datagram that hold neither a record nor an update, at the most
-INTRODUCED_AFTER = 60.0  # seconds of a life after which a member's record is known to all, so that it tells it short
-GOSSIP_BYTES = 64  # of a gossip packet without its updates
+MAX_HEADER_BYTES = 160  # bytes of a datagram that hold neither a record nor an update, at the most
+INTRODUCTION_S = 60.0  # seconds of a life after which a member's record is known to all, so that it tells it short
+GOSSIP_OVERHEAD_BYTES = 64  # of a gossip packet without its updates
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
     packet: Packet
 
 
-Effect = Send | Answer | Tell | Persist
+Effect = Send | Answer | MembershipEvent | PersistIncarnation
 
 
 class Outbox:
@@ -48,19 +48,19 @@
     def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
         self._setup, self._rng = setup, rng
         address = f"{setup.listen.host}:{setup.listen.port}"
-        self.view = View(
+        self.view = MembershipView(
             Record(name, address, setup.region, setup.zone, incarnation, Status.ALIVE, name),
             setup.members,
             setup.remember,
         )
-        self.health = Health()
+        self.health = LocalHealth()
         self._reach = dict(setup.reach)
         self._number = self._nonce = 0
         self._effects: list[Effect] = []
         self._acted = now  # when the last tick or packet came
         self._last_gossip = -math.inf
         self._budget = ByteBudget(now)
-        self._introduced_at = now + INTRODUCED_AFTER
+        self._introduced_at = now + INTRODUCTION_S
 
     @property
     def me(self) -> Record:
@@ -69,8 +69,8 @@
 
     def drain_effects(self) -> list[Effect]:
         """What is to be done since the last time, in order."""
-        effects, self._effects = self._effects + list(self.view.told), []
-        self.view.told.clear()
+        effects, self._effects = self._effects + list(self.view.events), []
+        self.view.events.clear()
         return effects
 
     def address(self, name: str) -> str | None:
@@ -90,17 +90,17 @@
         sender = view.me if introduce else shorten(view.me)
         updates = list(first)
         if not stream and view.queue:
-            updates += self._piggyback(MAX_DATAGRAM - HEAD - update_bytes(sender) - len(to), updates)
+            updates += self._piggyback(MAX_DATAGRAM_BYTES - MAX_HEADER_BYTES - update_bytes(sender) - len(to), updates)
         digest = view.digest if isinstance(body, (Ping, Ack)) else 0
-        return Packet(to, sender, view.life, self._number, digest, body, tuple(updates))
+        return Packet(to, sender, view.process_incarnation, self._number, digest, body, tuple(updates))
 
     def _piggyback(self, room: int, first: list[Update]) -> list[Update]:
         """Updates that go along with a datagram behind those that it is for."""
         room -= sum(map(update_bytes, first))
-        told = {update.name for update in first if not isinstance(update, Links)}
-        picked = self.view.pick(min(room, self._budget.available(self._acted)))
+        told = {update.name for update in first if not isinstance(update, LinkReport)}
+        picked = self.view.pick_updates(min(room, self._budget.available(self._acted)))
         self._budget.spend(self._acted, sum(map(update_bytes, picked)))
-        return [update for update in picked if isinstance(update, Links) or update.name not in told]
+        return [update for update in picked if isinstance(update, LinkReport) or update.name not in told]
 
     def _send(self, to: str, body: Body, first: Iterable[Update] = (), introduce: bool = False) -> None:
         address = self.address(to)
@@ -133,12 +133,12 @@
             return
         self._last_gossip = now
         for name in self._rng.sample(live, min(self._setup.gossip_to, len(live))):
-            if not self.view.queue or self._budget.available(now) < 2 * GOSSIP_BYTES:
+            if not self.view.queue or self._budget.available(now) < 2 * GOSSIP_OVERHEAD_BYTES:
                 return
-            self._budget.spend(now, GOSSIP_BYTES)
+            self._budget.spend(now, GOSSIP_OVERHEAD_BYTES)
             self._send(name, Gossip())
 
     def _gossip_due(self) -> float:
         """When the next round of gossip packets may go out."""
         urgent = self.view.queue.urgent > 0
-        return self._last_gossip + gossip_interval(self._setup.gossip_every, self.view.members, urgent)
+        return self._last_gossip + gossip_interval(self._setup.gossip_every, self.view.live_count, urgent)
--- a/chutepin/cluster/state_exchange.py
+++ b/chutepin/cluster/state_exchange.py
@@ -8,17 +8,18 @@
 from ..config.cluster import ClusterSetup
 from . import anti_entropy
 from .anti_entropy import RepairPace
+from .member_table import Member, digest_of
+from .membership_view import MAX_STATE_BYTES, fit_updates
 from .messages import BucketDigests, BucketRecords, Packet, RecordRequest, Records, Sync
-from .outbox import INTRODUCED_AFTER, Outbox
-from .records import Claim, Links, Record, ShortRecord, Update, shorten
-from .table import Member, digest_of
-from .view import WHOLE, fitting
+from .records import LinkReport, MergeResult, Record, ShortRecord, Update, shorten
+from .send_queue import INTRODUCTION_S, Outbox
 
-RECORD_BYTES = 24  # of a short record, for an estimate
-LEAST_REPAIR = 2048  # bytes that a repair may move however little of the budget is left
-DISSEMINATION = 2.0  # seconds, times log10 of the members, after which nearly all have heard an update
-REFER_FROM = 64  # members from which on a seed refers those that join: whole states would be a few seeds' whole traffic
-REFERRALS = 8  # members that a seed names to one that joins
+SHORT_RECORD_BYTES = 24  # of a short record, for an estimate
+MIN_REPAIR_BYTES = 2048  # bytes that a repair may move however little of the budget is left
+DISSEMINATION_S = 2.0  # seconds, times log10 of the members, after which nearly all have heard an update
+# From so many members on a seed refers those that join, lest full states be a few seeds' whole traffic.
+REFERRAL_MIN_MEMBERS = 64
+REFERRAL_COUNT = 8  # members that a seed names to one that joins
 
 
 class StateExchange(Outbox):
@@ -39,21 +40,21 @@
 
     def _synced(self, now: float, packet: Packet, believed: bool) -> None:
         """Whole states are exchanged."""
-        if isinstance(packet.body, Sync) and packet.body.ask:
-            if self.view.refused_by is not None:
+        if isinstance(packet.body, Sync) and packet.body.reply_requested:
+            if self.view.name_holder is not None:
                 return
             self.view.joined = True
-            if packet.body.referred or self.view.members < REFER_FROM:
-                self._reply(packet.me.name, Sync(False, True), self.view.whole(now))
+            if packet.body.referred or self.view.live_count < REFERRAL_MIN_MEMBERS:
+                self._reply(packet.sender.name, Sync(False, True), self.view.full_state(now))
             else:
-                self._refer(packet.me.name)
+                self._refer(packet.sender.name)
         elif isinstance(packet.body, Sync) and packet.body.referred:
             self._follow(packet)
-        elif self.view.refused_by is not None:  # nobody holds the name any more
-            self.view.refused_by = None
-            self.view.begin_life(self.me.incarnation)
+        elif self.view.name_holder is not None:  # nobody holds the name any more
+            self.view.name_holder = None
+            self.view.set_process_incarnation(self.me.incarnation)
             self._number = 0
-            self.view.tell("accepted", self.me.name, by=packet.me.name, incarnation=self.me.incarnation)
+            self.view.record_event("accepted", self.me.name, by=packet.sender.name, incarnation=self.me.incarnation)
             self._taken_in(now)
         elif believed and not self.view.joined:
             self._taken_in(now)
@@ -61,12 +62,12 @@
     def _taken_in(self, now: float) -> None:
         """This member has joined; for some time its record may not be known everywhere."""
         self.view.joined = True
-        self._introduced_at = now + INTRODUCED_AFTER
+        self._introduced_at = now + INTRODUCTION_S
 
     def _refer(self, newcomer: str) -> None:
         """Name a few members that one that joins may ask for all, so that not the seeds alone carry whole states."""
         live = [name for name in self.view.table.live() if name != newcomer]
-        some = self._rng.sample(live, min(REFERRALS, len(live)))
+        some = self._rng.sample(live, min(REFERRAL_COUNT, len(live)))
         records = [self.view.table.members[name].record for name in some]
         self._reply(newcomer, Sync(False, True, referred=True), records)
 
@@ -83,7 +84,7 @@
 
     def _dissemination_time(self) -> float:
         """Seconds after which an update that is still missing somewhere will not come by itself."""
-        return DISSEMINATION * max(1.0, math.log10(self.view.members))
+        return DISSEMINATION_S * max(1.0, math.log10(self.view.live_count))
 
     def _compare(self, now: float, sender: str, digest: int) -> None:
         """A member told the digest of its view: repair, if that has differed for too long."""
@@ -105,14 +106,14 @@
         """Ask a member for what differs."""
         self._pace.began(now, self._rng.random())
         self.view.counts["repairs"] += 1
-        digests = self._digests(anti_entropy.bucket_count(self.view.members))
+        digests = self._digests(anti_entropy.bucket_count(self.view.live_count))
         self._budget.spend(now, len(digests))
         self._exchange(to, address, BucketDigests(digests, self.view.links.digest))
 
     def _answer_digests(self, now: float, sender: str, body: BucketDigests) -> None:
         """Tell the records of the buckets that differ, as many as the budget allows."""
         count = anti_entropy.bucket_count_of(body.digests)
-        if not count or self.view.refused_by is not None:
+        if not count or self.view.name_holder is not None:
             return
         if not self.view.joined:  # nothing to compare yet; but here is somebody to join by
             self._reply(sender, Records())
@@ -121,14 +122,14 @@
             return
         buckets = anti_entropy.differing(self._digests(count), body.digests)
         self._rng.shuffle(buckets)  # lest those beyond the budget be the same ones each time
-        room = max(LEAST_REPAIR, self._budget.available(now))
-        each = RECORD_BYTES * max(1, self.view.members // count)
+        room = max(MIN_REPAIR_BYTES, self._budget.available(now))
+        each = SHORT_RECORD_BYTES * max(1, self.view.live_count // count)
         chosen = set(buckets[: max(1, room // each)])
         settled, young = self._records_in(now, chosen, count)
         updates: list[Update] = [*settled, *young]
-        self._budget.spend(now, RECORD_BYTES * len(updates))
+        self._budget.spend(now, SHORT_RECORD_BYTES * len(updates))
         if body.links != self.view.links.digest:
-            updates += self.view.all_links(now, room)
+            updates += self.view.link_reports(now, room)
         answer = BucketRecords(count, anti_entropy.as_bits(chosen, count), len(settled), self.view.links.digest)
         self._reply(sender, answer, updates)
 
@@ -138,7 +139,7 @@
         young: list[ShortRecord] = []
         before = now - self._dissemination_time()
         for member in anti_entropy.in_buckets(self.view.table.members, buckets, count):
-            (settled if member.since <= before else young).append(shorten(member.record))
+            (settled if member.changed_at <= before else young).append(shorten(member.record))
         if anti_entropy.bucket_of(self.me.name, count) in buckets:
             young.append(shorten(self.me))
         return settled, young
@@ -154,15 +155,15 @@
         newer: list[Update] = []
         found, listed = 0, {sender, self.me.name}
         for position, update in enumerate(updates):
-            if isinstance(update, Links):
-                self.view.take_links(now, update)
+            if isinstance(update, LinkReport):
+                self.view.merge_links(now, update)
                 continue
             listed.add(update.name)
             learned = self._take_listed(now, update, wanted, newer)
             found += learned and position < body.settled
         missing = self._missing_there(body, listed)
         before = now - self._dissemination_time()
-        found += sum(member.since <= before for member in missing)
+        found += sum(member.changed_at <= before for member in missing)
         newer += [member.record for member in missing]
         self.view.counts["repaired"] += found
         self._pace.found(now, found, self._rng.random())
@@ -172,17 +173,17 @@
         """One record of a bucket that differs; whether it was news here."""
         view = self.view
         member = view.table.members.get(update.name)
-        record = view.whole_record(update) if isinstance(update, ShortRecord) else update
+        record = view.expand_record(update) if isinstance(update, ShortRecord) else update
         if record is None:
             if member is not None and update.name != self.me.name:
                 newer.append(member.record)  # known here at another place: each side judges the other's whole record
             if update.live:
                 wanted.append(update.name)
             return update.live
-        claim = view.take(now, record, True)
-        if claim is Claim.STALE and member is not None:
+        claim = view.merge(now, record, True)
+        if claim is MergeResult.STALE and member is not None:
             newer.append(shorten(member.record))
-        return claim is Claim.NEW
+        return claim is MergeResult.ACCEPTED
 
     def _missing_there(self, body: BucketRecords, listed: set[str]) -> list[Member]:
         """Live members in the buckets that differ which the other side did not list."""
@@ -192,15 +193,15 @@
 
     def _request(self, now: float, to: str, wanted: list[str], newer: list[Update], links: int) -> None:
         """Ask for whole records that are not known here; tell what is newer here."""
-        room = max(LEAST_REPAIR, self._budget.available(now))
+        room = max(MIN_REPAIR_BYTES, self._budget.available(now))
         if links != self.view.links.digest:
-            newer += self.view.all_links(now, room)
+            newer += self.view.link_reports(now, room)
         address = self.address(to)
         if address is None or not (wanted or newer):
             return
-        told, left = fitting(newer, room)
+        told, left = fit_updates(newer, room)
         self._budget.spend(now, room - left)
-        self._exchange(to, address, RecordRequest(tuple(wanted[: room // RECORD_BYTES])), told)
+        self._exchange(to, address, RecordRequest(tuple(wanted[: room // SHORT_RECORD_BYTES])), told)
 
     def _answer_records(self, now: float, sender: str, body: RecordRequest) -> None:
         """Send the whole records that were asked for."""
@@ -208,6 +209,6 @@
         asked = [members[name].record for name in body.names if name in members]
         if self.me.name in body.names:
             asked.append(self.me)
-        told, left = fitting(asked, WHOLE)
-        self._budget.spend(now, WHOLE - left)
+        told, left = fit_updates(asked, MAX_STATE_BYTES)
+        self._budget.spend(now, MAX_STATE_BYTES - left)
         self._reply(sender, Records(), told)
--- a/chutepin/cluster/subsystem.py
+++ b/chutepin/cluster/subsystem.py
@@ -18,17 +18,17 @@
 from ..subsystem import CommandHandler
 from .detector import Answer, Detector, Effect, Send
 from .incarnation import Incarnations
+from .membership_view import MembershipEvent, PersistIncarnation
 from .messages import Packet
 from .records import Record, Status
 from .transport import Transport
-from .view import Persist, Tell
 
 if TYPE_CHECKING:
     from ..store import Store
 
-CHANGES = 512  # that operators can still ask for
-AGAIN = 1.0  # seconds between tries at an address that another process of this node still holds
-FIELDS = ("by", "was", "source", "target", "holder", "hears", "known", "address")  # of a change, in this order
+MAX_CHANGES = 512  # that operators can still ask for
+LISTEN_RETRY_S = 1.0  # seconds between tries at an address that another process of this node still holds
+EVENT_FIELDS = ("by", "was", "source", "target", "holder", "hears", "known", "address")  # of a change, in this order
 
 
 class Cluster:
@@ -51,7 +51,7 @@
         self._transport = Transport(setup.name, setup.listen, self._deliver, descriptors, counters, log)
         self._timer: asyncio.TimerHandle | None = None
         self._at = 0.0
-        self._changes: deque[tuple[int, float, Tell]] = deque(maxlen=CHANGES)
+        self._changes: deque[tuple[int, float, MembershipEvent]] = deque(maxlen=MAX_CHANGES)
         self._numbered = 0
         self._wanted = asyncio.Event()  # the process serves
         self._yielded = asyncio.Event()  # a successor does
@@ -116,7 +116,7 @@
                         why=error.strerror or str(error),
                         listen=f"{self._setup.listen.host}:{self._setup.listen.port}",
                     )
-                await asyncio.sleep(AGAIN)
+                await asyncio.sleep(LISTEN_RETRY_S)
 
     def _rest(self) -> None:
         """Speak no more."""
@@ -155,13 +155,13 @@
         view, health = self._detector.view, self._detector.health
         counts = {f"cluster.{name}": count for name, count in sorted(view.counts.items())}
         return counts | {
-            "cluster.members": view.members,
+            "cluster.members": view.live_count,
             "cluster.health": health.score,
-            "cluster.late": health.late,
-            "cluster.accused": view.accused,
-            "cluster.no_room": view.table.refused,
+            "cluster.late": health.late_timers,
+            "cluster.accused": view.refutation_count,
+            "cluster.no_room": view.table.rejected,
             "cluster.queue_dropped": view.queue.dropped,
-            "cluster.links_unsaid": view.links.unsaid,
+            "cluster.links_unsaid": view.links.unreported,
         }
 
     # --- for parts that speak to other members themselves ---
@@ -195,13 +195,13 @@
             return
         if self._transport.overrun:  # what was lost in a flood is no evidence against others
             self._transport.overrun = False
-            self._detector.health.worse()
+            self._detector.health.degrade()
         try:
             self._detector.tick(time.monotonic())
             self._carry_out(self._detector.drain_effects())
         finally:
             if self._timer is None and self._active:  # an error in one turn, which the node logs, silences nobody
-                self._timer = asyncio.get_running_loop().call_later(AGAIN, self._tick)
+                self._timer = asyncio.get_running_loop().call_later(LISTEN_RETRY_S, self._tick)
 
     def _carry_out(self, effects: Iterable[Effect]) -> Packet | None:
         """Do what the detector wants done; the answer to an exchange, if there is one."""
@@ -212,10 +212,10 @@
                     self._transport.send(effect)
                 case Answer():
                     answer = effect.packet
-                case Persist():
+                case PersistIncarnation():
                     self._incarnations.keep(effect.incarnation)
-                case Tell():
-                    self._tell(effect)
+                case MembershipEvent():
+                    self._record_event(effect)
         at = self._detector.wake_at()
         if self._active and (self._timer is None or at != self._at):
             if self._timer is not None:
@@ -224,10 +224,10 @@
             self._at, self._timer = at, loop.call_at(loop.time() + max(0.0, at - time.monotonic()), self._tick)
         return answer
 
-    def _tell(self, tell: Tell) -> None:
+    def _record_event(self, event: MembershipEvent) -> None:
         self._numbered += 1
-        self._changes.append((self._numbered, time.monotonic(), tell))
-        self._log.event(f"cluster.{tell.what}", member=tell.member, **tell.fields)
+        self._changes.append((self._numbered, time.monotonic(), event))
+        self._log.event(f"cluster.{event.kind}", member=event.member, **event.fields)
 
     # --- operators ---
 
@@ -241,7 +241,7 @@
 
     def _members(self) -> str:
         view = self._detector.view
-        if (holder := view.refused_by) is not None:
+        if (holder := view.name_holder) is not None:
             return f"FAILURE refused: the name {self._name} is held by {holder.address}\n"
         records = self._records()
         alive = sum(record.status is Status.ALIVE for record in records)
@@ -255,7 +255,7 @@
             "",
             [
                 f"{source} {target} {max(0.0, now - since):.1f}"
-                for (source, target), since in sorted(view.links.bad(live).items())
+                for (source, target), since in sorted(view.links.bad_links(live).items())
             ],
         )
 
@@ -263,13 +263,13 @@
         """NUMBER AGE-ms WHAT MEMBER INCARNATION and then field=value; the oldest first."""
         now = time.monotonic()
         lines = []
-        for number, at, tell in self._changes:
+        for number, at, event in self._changes:
             fields = " ".join(
-                f"{name}={tell.fields[name]}" for name in FIELDS if tell.fields.get(name) not in (None, "")
+                f"{name}={event.fields[name]}" for name in EVENT_FIELDS if event.fields.get(name) not in (None, "")
             )
             lines.append(
-                f"{number} {1000 * (now - at):.0f} {tell.what} {tell.member} "
-                f"{tell.fields.get('incarnation', 0)} {fields}".rstrip()
+                f"{number} {1000 * (now - at):.0f} {event.kind} {event.member} "
+                f"{event.fields.get('incarnation', 0)} {fields}".rstrip()
             )
         return _answer("", lines)
 
@@ -281,9 +281,9 @@
                 f"isolated {'yes' if detector.isolated else 'no'}",
                 f"joined {'yes' if view.joined else 'no'}",
                 f"health {detector.health.score}",
-                f"accused {view.accused}",
+                f"accused {view.refutation_count}",
                 f"digest {view.digest:014x}",
-                f"refused {view.refused_by.address if view.refused_by is not None else 'no'}",
+                f"refused {view.name_holder.address if view.name_holder is not None else 'no'}",
             ],
         )
 
--- a/chutepin/cluster/transport.py
+++ b/chutepin/cluster/transport.py
@@ -17,7 +17,7 @@
 from ..counters import Counters
 from ..logs import Log
 from .detector import Send
-from .frames import MAX_DATAGRAM, FrameError, StreamReader, cluster_id, decode, encode, stream_frame
+from .frames import MAX_DATAGRAM_BYTES, FrameError, StreamReader, cluster_id, decode, encode, stream_frame
 from .messages import Packet
 
 PART = "cluster"  # in the descriptors of descriptors
@@ -147,7 +147,7 @@
                 self._rest()
                 return
             try:
-                data = self._udp.recv(MAX_DATAGRAM + 1)
+                data = self._udp.recv(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
             except OSError:  # an error that belongs to an earlier send
@@ -189,7 +189,7 @@
                 self._begin(where, effect.packet)
             elif self._udp is not None:
                 data = encode(effect.packet, self._cluster)
-                assert len(data) <= MAX_DATAGRAM, len(data)
+                assert len(data) <= MAX_DATAGRAM_BYTES, len(data)
                 self._udp.sendto(data, where)
                 self._counters.add("cluster.datagrams_out")
                 self._counters.add("cluster.bytes_out", len(data))
--- a/chutepin/lab/baseline.py
+++ b/chutepin/lab/baseline.py
@@ -24,12 +24,12 @@
 
     def receive(self, now: float, packet: Packet, stream: bool = False) -> None:
         """Whoever is heard is alive."""
-        member = self.view.table.members.get(packet.me.name)
+        member = self.view.table.members.get(packet.sender.name)
         if member is None:
             return
-        member.heard = now
+        member.last_heard = now
         if not member.record.live:
-            self.view.take(
+            self.view.merge(
                 now,
                 member.record._replace(status=Status.ALIVE, incarnation=member.record.incarnation + 1, by=self.me.name),
             )
@@ -39,8 +39,8 @@
         self._next = now + EVERY
         for name, member in self.view.table.members.items():
             self._send(name, Gossip())
-            if member.record.live and now - max(member.heard, 0.0) > DEAD_AFTER:
-                self.view.take(now, member.record._replace(status=Status.DEAD, by=self.me.name))
+            if member.record.live and now - max(member.last_heard, 0.0) > DEAD_AFTER:
+                self.view.merge(now, member.record._replace(status=Status.DEAD, by=self.me.name))
         for name in list(self.view.table.members):
             self.view.queue.remove(self.view.table.members[name].record)
 
@@ -55,7 +55,14 @@
             if not isinstance(effect, Send)
             else Send(
                 effect.address,
-                Packet(effect.packet.to, effect.packet.me, effect.packet.life, effect.packet.number, 0, Gossip()),
+                Packet(
+                    effect.packet.to,
+                    effect.packet.sender,
+                    effect.packet.process_incarnation,
+                    effect.packet.sequence,
+                    0,
+                    Gossip(),
+                ),
             )
             for effect in super().drain_effects()
         ]
--- a/chutepin/lab/invariants.py
+++ b/chutepin/lab/invariants.py
@@ -205,9 +205,9 @@
 
 def bytes_are_within_budget(history: History, slack: float = 1.0) -> list[str]:
     """What a member sends in ten seconds is what its budget and its probes allow, whatever happens."""
-    from ..cluster.budget import BURST_SECONDS, BYTES_PER_SECOND
+    from ..cluster.budget import BURST_S, BYTES_PER_SECOND
 
-    allowed = BYTES_PER_SECOND * (1 + BURST_SECONDS / WINDOW) + PROBE_BYTES
+    allowed = BYTES_PER_SECOND * (1 + BURST_S / WINDOW) + PROBE_BYTES
     if history.peak > allowed:
         return [f"a member sent {history.peak:.0f} bytes a second for ten seconds, {allowed:.0f} are allowed"]
     return []
@@ -246,14 +246,14 @@
 
 def the_departed_are_forgotten(history: History, slack: float = 1.0) -> list[str]:
     """Who left in order and did not come back is shown for minutes, not for a day."""
-    from ..cluster.table import LEFT_REMEMBERED
+    from ..cluster.member_table import LEFT_RETENTION_S
 
     latest = {name: fault.at for fault in history.done if fault.what == "leave" for name in fault.members}
     return [
         f"{shown.at:.2f} {shown.member} shows {name} left, which left at {latest[name]:.2f}"
         for shown in history.shown
         for name, state, _ in shown.states
-        if state == "left" and name in latest and shown.at > latest[name] + LEFT_REMEMBERED + SETTLED * slack
+        if state == "left" and name in latest and shown.at > latest[name] + LEFT_RETENTION_S + SETTLED * slack
     ]
 
 
--- a/chutepin/lab/scale/virtual.py
+++ b/chutepin/lab/scale/virtual.py
@@ -68,7 +68,7 @@
             for host in self.hosts.values()
             if host.detector is not None and not host.detector.leaving
         ]
-        return len({view.digest for view in views}) <= 1 and all(view.members == len(views) for view in views)
+        return len({view.digest for view in views}) <= 1 and all(view.live_count == len(views) for view in views)
 
 
 def simulate(
--- a/chutepin/lab/simulator.py
+++ b/chutepin/lab/simulator.py
@@ -15,9 +15,9 @@
 
 from ..cluster.detector import Answer, Detector, Effect, Send
 from ..cluster.frames import cluster_id, decode, encode, stream_frame
+from ..cluster.membership_view import MembershipEvent, PersistIncarnation
 from ..cluster.messages import BucketRecords, Gossip, Packet
 from ..cluster.records import Record, ShortRecord, Status, Update
-from ..cluster.view import Persist, Tell
 from ..config import Address
 from ..config.cluster import ClusterSetup
 from .faults import Fault, Schedule
@@ -232,16 +232,16 @@
                 self._send(host, effect)
             case Answer():
                 return effect.packet
-            case Persist():
+            case PersistIncarnation():
                 host.persisted = effect.incarnation
-            case Tell():
+            case MembershipEvent():
                 fields = effect.fields
                 number = fields.get("incarnation", 0)
                 self.history.seen.append(
                     Seen(
                         self.now,
                         host.name,
-                        effect.what,
+                        effect.kind,
                         effect.member,
                         str(fields.get("by", "")),
                         number if isinstance(number, int) else 0,
@@ -363,5 +363,5 @@
         now,
         view.me.name,
         tuple(sorted((r.name, r.status.name.lower(), r.incarnation) for r in records)),
-        tuple(sorted(view.links.bad(live))),
+        tuple(sorted(view.links.bad_links(live))),
     )
--- a/tests/data/make_stored_bytes.py
+++ b/tests/data/make_stored_bytes.py
@@ -21,7 +21,7 @@
 from chutepin.cluster.frames import BODIES, cluster_id, stream_frame
 from chutepin.cluster.frames import encode as gossip_frame
 from chutepin.cluster.messages import Packet
-from chutepin.cluster.records import BadLink, Links, Record, ShortRecord, Status
+from chutepin.cluster.records import BadLink, LinkReport, Record, ShortRecord, Status
 from chutepin.consensus.codec import PREFACE, WORDS
 from chutepin.consensus.codec import encode as consensus_frame
 from chutepin.consensus.facts import Facts, set_fact
@@ -207,7 +207,7 @@
     assert len(kinds) == len(BODIES)
     whole = Record("anna", "192.0.2.7:4711", "north", "north-2", 1_700_000_000_005, Status.SUSPECT, "bert")
     short = ShortRecord("anna", 1_700_000_000_005, Status.DEAD, 0xBEEF, "carl")
-    links = Links("dora", 1_700_000_000_000, 17, (BadLink("anna", "dora", 250), BadLink("bert", "dora", 70_000)))
+    links = LinkReport("dora", 1_700_000_000_000, 17, (BadLink("anna", "dora", 250), BadLink("bert", "dora", 70_000)))
     updates = (
         whole._replace(name="dora", status=Status.LEFT, by="dora"),
         short._replace(name="emil", status=Status.ALIVE, by=""),
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -7,11 +7,11 @@
 from chutepin.cluster import Detector, Record, Status
 from chutepin.cluster.anti_entropy import RepairPace
 from chutepin.cluster.budget import ByteBudget
-from chutepin.cluster.health import Health
-from chutepin.cluster.records import Claim, Update
-from chutepin.cluster.table import Table
-from chutepin.cluster.trials import Accusation
-from chutepin.cluster.view import View
+from chutepin.cluster.local_health import LocalHealth
+from chutepin.cluster.member_table import MemberTable
+from chutepin.cluster.membership_view import MembershipView
+from chutepin.cluster.probe_state import Suspicion
+from chutepin.cluster.records import MergeResult, Update
 from chutepin.config.cluster import ClusterSetup
 
 
@@ -28,7 +28,7 @@
 
     def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
         super().__init__(setup, name, incarnation, now, rng)
-        self.view.raise_above = lambda incarnation: self.view.queue.add(self.view.me)  # type: ignore[method-assign]
+        self.view.raise_incarnation_above = lambda incarnation: self.view.queue.add(self.view.me)  # type: ignore[method-assign]
 
 
 class NoHelpers(Detector):
@@ -38,8 +38,8 @@
         return []
 
 
-class _Sure(Health):
-    def worse(self, by: int = 1) -> None:
+class _Sure(LocalHealth):
+    def degrade(self, by: int = 1) -> None:
         """Never in doubt of itself."""
 
 
@@ -54,7 +54,7 @@
         pass
 
 
-class _Chatterbox(View):
+class _Chatterbox(MembershipView):
     def repeats(self) -> int:
         return 10**9
 
@@ -70,7 +70,7 @@
 class NoTimeToRefute(Detector):
     """The first accusation is a verdict."""
 
-    def _deadline(self, accusation: Accusation) -> float:
+    def _deadline(self, accusation: Suspicion) -> float:
         accusation.verified = 2
         return accusation.began
 
@@ -96,18 +96,18 @@
 class SlowToAccuse(Detector):
     """It leaves an accused ten times as long."""
 
-    def _deadline(self, accusation: Accusation) -> float:
+    def _deadline(self, accusation: Suspicion) -> float:
         return accusation.began + 10 * (super()._deadline(accusation) - accusation.began)
 
 
-class _Gullible(Table):
-    def put(self, now: float, record: Record) -> Claim:
+class _Gullible(MemberTable):
+    def put(self, now: float, record: Record) -> MergeResult:
         member = self.members.get(record.name)
         if member is None or record.status is not Status.ALIVE:
             return super().put(now, record)
         news = record.incarnation != member.record.incarnation
         self.replace(member, record)
-        return Claim.NEW if news else Claim.KNOWN
+        return MergeResult.ACCEPTED if news else MergeResult.UNCHANGED
 
 
 class TakesBackNews(Detector):
@@ -150,8 +150,8 @@
         return 10**9
 
 
-class _Unpressed(View):
-    def pick(self, room: int) -> list[Update]:
+class _Unpressed(MembershipView):
+    def pick_updates(self, room: int) -> list[Update]:
         return self.queue.pick(room, 10**9)
 
 
@@ -169,7 +169,7 @@
 
     def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
         super().__init__(setup, name, incarnation, now, rng)
-        self.view.table.aged = lambda now: []  # type: ignore[method-assign]
+        self.view.table.expired = lambda now: []  # type: ignore[method-assign]
 
 
 ALL: tuple[type[Detector], ...] = (
@@ -185,7 +185,7 @@
     TakesBackNews,
 )
 
-DISSEMINATION: tuple[type[Detector], ...] = (
+DISSEMINATION_S: tuple[type[Detector], ...] = (
     RepairsMoveWholeTables,
     NoRepair,
     RepairsWithoutPause,
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -14,8 +14,8 @@
 
 from chutepin.cluster import Answer, Detector, Record, Send, Status
 from chutepin.cluster.frames import (
-    MAX_DATAGRAM,
-    MAX_STREAM,
+    MAX_DATAGRAM_BYTES,
+    MAX_STREAM_FRAME_BYTES,
     FrameError,
     StreamReader,
     cluster_id,
@@ -23,26 +23,26 @@
     encode,
     stream_frame,
 )
-from chutepin.cluster.gossip import Queue, repeats
+from chutepin.cluster.gossip import UpdateQueue, repeats
 from chutepin.cluster.incarnation import Incarnations
+from chutepin.cluster.member_table import MemberTable, ReplayWindow
 from chutepin.cluster.messages import (
     Ack,
     BucketDigests,
     BucketRecords,
-    Found,
     Gossip,
+    NameTaken,
     Packet,
     Ping,
     PingReq,
+    ProbeResult,
     RecordRequest,
     Records,
-    Refuse,
-    Stale,
+    StaleProcess,
     Sync,
 )
-from chutepin.cluster.records import BadLink, Claim, Links, ShortRecord, judge
-from chutepin.cluster.table import Table, Window
-from chutepin.cluster.trials import suspicion_time
+from chutepin.cluster.probe_state import suspicion_time
+from chutepin.cluster.records import BadLink, LinkReport, MergeResult, ShortRecord, compare_records
 from chutepin.config import Address, ConfigError, load_setup
 from chutepin.config.cluster import ClusterSetup
 from chutepin.lab.faults import Fault, Schedule, draw, load_schedule, smallest, split
@@ -75,22 +75,22 @@
 @STEPS
 @given(RECORDS, RECORDS)
 def test_of_two_records_at_most_one_holds_and_one_address_is_ordered(a: Record, b: Record) -> None:
-    assert (judge(a, b), judge(b, a)) != (Claim.NEW, Claim.NEW)
+    assert (compare_records(a, b), compare_records(b, a)) != (MergeResult.ACCEPTED, MergeResult.ACCEPTED)
     if a.address == b.address:
         newer = max(a, b, key=lambda record: (record.incarnation, record.status))
         older = a if newer is b else b
         same = (a.incarnation, a.status) == (b.incarnation, b.status)
-        assert judge(newer, older) is (Claim.KNOWN if same else Claim.NEW)
+        assert compare_records(newer, older) is (MergeResult.UNCHANGED if same else MergeResult.ACCEPTED)
     elif a.live and b.live:  # two processes of one name: the earlier holds it
-        assert (judge(a, b) is Claim.NEW) == (a.incarnation < b.incarnation)
+        assert (compare_records(a, b) is MergeResult.ACCEPTED) == (a.incarnation < b.incarnation)
 
 
 @STEPS
 @given(st.lists(st.integers(0, 700), max_size=60))
 def test_no_number_is_fresh_twice(numbers: list[int]) -> None:
-    window, seen = Window(), set()
+    window, seen = ReplayWindow(), set()
     for number in numbers:
-        if window.fresh(number):
+        if window.accept(number):
             assert number not in seen
             seen.add(number)
         else:
@@ -98,21 +98,24 @@
 
 
 def test_the_table_is_bounded_and_forgets_the_gone_first() -> None:
-    table = Table(3, 100.0)
+    table = MemberTable(3, 100.0)
     for number, status in enumerate([Status.ALIVE, Status.DEAD, Status.LEFT]):
-        assert table.put(float(number), Record(f"m{number}", "a:1", "r", "z", 1, status, "x")) is Claim.NEW
+        assert table.put(float(number), Record(f"m{number}", "a:1", "r", "z", 1, status, "x")) is MergeResult.ACCEPTED
     digest = table.digest
-    assert table.put(5.0, Record("m3", "a:1", "r", "z", 1, Status.ALIVE, "x")) is Claim.NEW
+    assert table.put(5.0, Record("m3", "a:1", "r", "z", 1, Status.ALIVE, "x")) is MergeResult.ACCEPTED
     assert sorted(table.members) == ["m0", "m2", "m3"] and table.digest != digest
-    assert table.aged(102.5) == ["m2"] and table.aged(101.0) == []
+    assert table.expired(102.5) == ["m2"] and table.expired(101.0) == []
     table.put(6.0, Record("m4", "a:1", "r", "z", 1, Status.ALIVE, "x"))
-    assert table.put(7.0, Record("m5", "a:1", "r", "z", 1, Status.ALIVE, "x")) is Claim.HELD and table.refused == 1
+    assert (
+        table.put(7.0, Record("m5", "a:1", "r", "z", 1, Status.ALIVE, "x")) is MergeResult.REJECTED
+        and table.rejected == 1
+    )
 
 
 @STEPS
 @given(st.lists(st.integers(0, 5), max_size=60), st.integers(1, 2000))
 def test_an_update_is_told_a_bounded_number_of_times(order: list[int], room: int) -> None:
-    queue, told = Queue(), dict.fromkeys(range(6), 0)
+    queue, told = UpdateQueue(), dict.fromkeys(range(6), 0)
     for number in range(6):
         queue.add(Record(f"m{number}", "a:1", "r", "z", 1, Status.ALIVE, "x"))
     for _ in order:
@@ -138,17 +141,17 @@
 AGES = st.integers(-1, 2**63 - 1)
 ANY_RECORD = st.builds(Record, WORDS, WORDS, WORDS, WORDS, WHOLES, st.sampled_from(Status), WORDS)
 LINKS = st.builds(
-    Links, WORDS, WHOLES, WHOLES, st.lists(st.builds(BadLink, WORDS, WORDS, WHOLES), max_size=16).map(tuple)
+    LinkReport, WORDS, WHOLES, WHOLES, st.lists(st.builds(BadLink, WORDS, WORDS, WHOLES), max_size=16).map(tuple)
 )
 BODIES = st.one_of(
     st.builds(Ping, WHOLES, st.just("") | WORDS, WHOLES),
     st.builds(Ack, WHOLES, AGES),
     st.builds(PingReq, WHOLES, WORDS),
-    st.builds(Found, WHOLES, WORDS, st.booleans(), AGES),
+    st.builds(ProbeResult, WHOLES, WORDS, st.booleans(), AGES),
     st.just(Gossip()),
     st.builds(Sync, st.booleans(), st.booleans()),
-    st.just(Refuse()),
-    st.builds(Stale, WHOLES),
+    st.just(NameTaken()),
+    st.builds(StaleProcess, WHOLES),
     st.builds(BucketDigests, st.binary(max_size=64), WHOLES),
     st.builds(BucketRecords, WHOLES, st.binary(max_size=64), WHOLES, WHOLES),
     st.builds(RecordRequest, st.lists(WORDS, max_size=3).map(tuple)),
@@ -157,7 +160,7 @@
 ANY_SHORT = st.builds(
     ShortRecord, WORDS, WHOLES, st.sampled_from(Status), st.integers(0, 2**16 - 1), st.just("") | WORDS
 )
-STREAM_BODIES = (Sync, Refuse, BucketDigests, BucketRecords, RecordRequest, Records)
+STREAM_BODIES = (Sync, NameTaken, BucketDigests, BucketRecords, RecordRequest, Records)
 PACKETS = st.builds(
     Packet,
     st.just("") | WORDS,
@@ -179,7 +182,7 @@
     for spoilt in (frame[:spot], frame[:spot] + bytes([frame[spot] ^ 0x40]) + frame[spot + 1 :], frame + b"x"):
         with pytest.raises(FrameError):
             decode(spoilt, FLEET, True)
-    if isinstance(packet.body, STREAM_BODIES) or len(frame) > MAX_DATAGRAM:
+    if isinstance(packet.body, STREAM_BODIES) or len(frame) > MAX_DATAGRAM_BYTES:
         with pytest.raises(FrameError):
             decode(frame, FLEET, False)
     reader, whole = StreamReader(), stream_frame(packet, FLEET)
@@ -218,7 +221,7 @@
 
 def test_a_stream_says_its_length_or_is_dropped() -> None:
     with pytest.raises(FrameError, match="too_long"):
-        StreamReader().feed((MAX_STREAM + 1).to_bytes(4) + b"x")
+        StreamReader().feed((MAX_STREAM_FRAME_BYTES + 1).to_bytes(4) + b"x")
     with pytest.raises(FrameError, match="truncated"):
         StreamReader().feed(bytes(4))
 
@@ -480,13 +483,13 @@
             seed.wake_at()
 
     meet(31.0)
-    assert late.view.refused_by is not None and late.view.refused_by.address == "10.0.0.5:7301"
+    assert late.view.name_holder is not None and late.view.name_holder.address == "10.0.0.5:7301"
     assert seed.view.table.members["n5"].record.address == "10.0.0.5:7301"
-    seed.view.take(40.0, seed.view.table.members["n5"].record._replace(status=Status.DEAD, by="n2"))
+    seed.view.merge(40.0, seed.view.table.members["n5"].record._replace(status=Status.DEAD, by="n2"))
     seed.drain_effects()
     for at in range(41, 53):
         meet(float(at))
-    assert late.view.refused_by is None and late.view.joined
+    assert late.view.name_holder is None and late.view.joined
     assert seed.view.table.members["n5"].record.address == "10.9.9.9:7301"
 
 
@@ -496,7 +499,7 @@
     detector = simulator.hosts["n1"].detector
     assert detector is not None and detector._probes
     for name in list(detector.view.table.members):
-        detector.view.table.drop(name)
+        detector.view.table.remove(name)
     for step in range(100):
         detector.tick(10.3 + step / 10)
         detector.drain_effects()
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -13,13 +13,13 @@
 from chutepin.cluster import Answer, Detector, Record, Send, Status
 from chutepin.cluster.anti_entropy import MAX_BUCKETS, RepairPace, as_bits, bucket_count, differing, digests, from_bits
 from chutepin.cluster.budget import ByteBudget
-from chutepin.cluster.frames import COMPRESSED, MAX_STREAM, VERSION, FrameError, cluster_id, decode, encode
-from chutepin.cluster.gossip import Queue, gossip_interval, limits, repeats
-from chutepin.cluster.messages import Ack, Body, Found, Gossip, Packet, Ping, PingReq, Sync
+from chutepin.cluster.frames import COMPRESSED, MAX_STREAM_FRAME_BYTES, VERSION, FrameError, cluster_id, decode, encode
+from chutepin.cluster.gossip import UpdateQueue, gossip_interval, limits, repeats
+from chutepin.cluster.member_table import LEFT_RETENTION_S
+from chutepin.cluster.membership_view import ACCEPT_DEATH_AFTER_S, MembershipView
+from chutepin.cluster.messages import Ack, Body, Gossip, Packet, Ping, PingReq, ProbeResult, Sync
 from chutepin.cluster.records import ShortRecord, expand, shorten
-from chutepin.cluster.table import LEFT_REMEMBERED
 from chutepin.cluster.transport import Transport
-from chutepin.cluster.view import BELIEVED_AFTER, View
 from chutepin.config import Address
 from chutepin.config.cluster import ClusterSetup
 from chutepin.counters import Counters
@@ -103,7 +103,7 @@
     one.view.table.put(1.0, record(20, 1, Status.SUSPECT))
     for number in (20, 21):
         other.view.table.put(1.0, record(number, 1, Status.DEAD))
-    for now in (60.0, 60.0 + BELIEVED_AFTER):
+    for now in (60.0, 60.0 + ACCEPT_DEATH_AFTER_S):
         one._repair(now, "n2", "10.0.0.2:7301")
         _exchange(one, other, now)
         told = [one.view.table.members[name].record.status for name in ("n20", "n21")]
@@ -129,7 +129,7 @@
 
 
 def test_what_is_urgent_is_told_more_often() -> None:
-    queue = Queue()
+    queue = UpdateQueue()
     queue.add(shorten(record(1)), urgent=False)
     queue.add(shorten(record(2)), urgent=True)
     told = [update.name for _ in range(20) for update in queue.pick(1000, 8, 3) if isinstance(update, ShortRecord)]
@@ -176,7 +176,7 @@
     packet = Packet("n2", record(1), 1, 1, 0, Sync(False, True), tuple(record(number) for number in range(2300)))
     frame = encode(packet, FLEET)
     assert frame[2] == VERSION | COMPRESSED and len(frame) < 60_000 and decode(frame, FLEET, True) == packet
-    bomb = zlib.compress(bytes(MAX_STREAM + 1))
+    bomb = zlib.compress(bytes(MAX_STREAM_FRAME_BYTES + 1))
     head = frame[:7] + zlib.crc32(bomb).to_bytes(4)
     with pytest.raises(FrameError, match="too_long"):
         decode(head + bomb, FLEET, True)
@@ -207,21 +207,21 @@
 
 
 def test_seventy_thousand_names_in_a_day_take_no_more_room_than_minutes_of_them() -> None:
-    view = View(record(0), 8192, 86400.0)
+    view = MembershipView(record(0), 8192, 86400.0)
     for number in range(1, 2001):
-        view.take(0.0, record(number), spread=False)
+        view.merge(0.0, record(number), spread=False)
     largest = 0
     for number in range(2001, 72001):
         now = (number - 2000) * 86400.0 / 70000
-        view.take(now, record(number))
-        view.take(now, record(number - 2000, 1, Status.LEFT))
-        view.pick(600)
-        view.told.clear()
+        view.merge(now, record(number))
+        view.merge(now, record(number - 2000, 1, Status.LEFT))
+        view.pick_updates(600)
+        view.events.clear()
         if number % 20 == 0:
-            view.age(now)
+            view.expire(now)
             largest = max(largest, len(view.table.members))
-    assert view.members == 2001 and largest < 2000 + LEFT_REMEMBERED * 70000 / 86400 + 50
-    assert len(view.queue) < 50 and view.table.refused == 0
+    assert view.live_count == 2001 and largest < 2000 + LEFT_RETENTION_S * 70000 / 86400 + 50
+    assert len(view.queue) < 50 and view.table.rejected == 0
 
 
 # --- the simulator ---
@@ -253,7 +253,7 @@
     "missed": MISSED,
     "churn": Schedule(40, 32.0, (Fault(0.0, "delay", value=0.25), *_restarts(40, 32.0, 0.2))),
     "restart of nearly all": Schedule(40, 20.0, (Fault(5.0, "crash", NEARLY_ALL), Fault(7.0, "restart", NEARLY_ALL))),
-    "departures": Schedule(6, LEFT_REMEMBERED + 30.0, (Fault(2.0, "leave", ("n5", "n6")),)),
+    "departures": Schedule(6, LEFT_RETENTION_S + 30.0, (Fault(2.0, "leave", ("n5", "n6")),)),
 }
 CAUGHT: dict[type[Detector], tuple[str, str]] = {
     mutants.RepairsMoveWholeTables: ("missed", "repairs_move_only_differences"),
@@ -275,7 +275,7 @@
     assert not _broken(schedule, 1)
 
 
-@pytest.mark.parametrize("mutant", mutants.DISSEMINATION)
+@pytest.mark.parametrize("mutant", mutants.DISSEMINATION_S)
 def test_every_planted_error_is_caught(mutant: type[Detector]) -> None:
     schedule, invariant = CAUGHT[mutant]
     found: set[str] = set()
@@ -288,7 +288,7 @@
 
 # --- a member that leaves ---
 
-REQUESTS: tuple[Body, ...] = (Ping(1), PingReq(1, "n3"), Ack(1, 0), Found(1, "n3", True, 0), Gossip())
+REQUESTS: tuple[Body, ...] = (Ping(1), PingReq(1, "n3"), Ack(1, 0), ProbeResult(1, "n3", True, 0), Gossip())
 
 
 @pytest.mark.parametrize("body", REQUESTS, ids=lambda body: type(body).__name__)
