--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -23,11 +23,11 @@
 import click
 
 from chutepin.store import Store
-from chutepin.store.codec import RECORD_HEAD
+from chutepin.store.codec import RECORD_HEADER_BYTES
+from chutepin.store.compaction_plan import Limits
 from chutepin.store.engine import Engine
-from chutepin.store.files import RealFiles
-from chutepin.store.plan import Limits
-from chutepin.store.recover import Reader
+from chutepin.store.file_system import LocalFileSystem
+from chutepin.store.recovery import StoreReader
 
 ROUNDS = 5
 SIZES = (100, 2000, 16_384, 65_536)  # bytes of a value
@@ -67,7 +67,7 @@
 def bare(path: Path, count: int, group: int, size: int, writes: int) -> float:
     """Commits a second of a loop that writes a group, in so many writes, and syncs it."""
     descriptor = os.open(path / "bare", os.O_RDWR | os.O_CREAT | os.O_TRUNC)
-    data = os.urandom(group * (RECORD_HEAD + KEY + size) // writes)
+    data = os.urandom(group * (RECORD_HEADER_BYTES + KEY + size) // writes)
     begun = time.perf_counter()
     for _ in range(count):
         for _ in range(writes):
@@ -193,18 +193,18 @@
     """Opening with hints, by a full scan, and reading the same bytes."""
     with scratch(parent) as path:
         fill(path / "store", count, size)
-        files = RealFiles(path / "store")
+        files = LocalFileSystem(path / "store")
         results = []
         for _ in range(3):
             begun = time.perf_counter()
             for name in files.names():
-                Reader(files).whole(name)
+                StoreReader(files).whole(name)
             raw = time.perf_counter() - begun
             spent = []
             for hints in (True, False):
                 gc.collect()
                 begun = time.perf_counter()
-                found = Reader(files).read(hints=hints)
+                found = StoreReader(files).read(hints=hints)
                 spent.append(time.perf_counter() - begun)
                 assert found is not None and len(found.book.index) == count
                 del found
@@ -311,7 +311,7 @@
         now, most, worst = [1e9], 0.0, 0.0
         with scratch(parent) as path:
             engine = Engine.open(
-                RealFiles(path),
+                LocalFileSystem(path),
                 Limits(2**20, GIB // 4, GIB),
                 lambda now=now: now[0],  # type: ignore[misc]
                 lambda *_, **__: None,
--- a/chutepin/cli/store.py
+++ b/chutepin/cli/store.py
@@ -14,9 +14,8 @@
 import click
 
 from ..logs import print_line
-from ..store import Store, StoreDamagedError, StoreError, StoreLockedError
-from ..store import inspect as looking
-from ..store.codec import NEVER
+from ..store import Store, StoreDamagedError, StoreError, StoreLockedError, inspection
+from ..store.codec import NEVER_MS
 from ..store.store import MAX_BYTES
 from .output import as_json, show_fields, show_json, show_table
 
@@ -55,8 +54,8 @@
 @told
 def check(directory: str, json_asked: bool) -> int:
     """Read every record and list all damage. Changes nothing."""
-    with looking.directory(directory) as files:
-        checked = looking.check(files)
+    with inspection.directory(directory) as files:
+        checked = inspection.check(files)
     if as_json(json_asked):
         show_json(checked.as_dict())
     else:
@@ -76,8 +75,8 @@
 @told
 def stat(directory: str, json_asked: bool) -> int:
     """Sizes and counts of the store and of each segment. Changes nothing."""
-    with looking.directory(directory) as files:
-        figures = looking.stat(files)
+    with inspection.directory(directory) as files:
+        figures = inspection.stat(files)
     if as_json(json_asked):
         show_json(figures)
     else:
@@ -96,13 +95,13 @@
 def dump(directory: str, every: bool, json_asked: bool) -> int:
     """The records, in the order of the log. Changes nothing."""
     rows = []
-    with looking.directory(directory) as files:
-        for record in looking.dump(files, every):
+    with inspection.directory(directory) as files:
+        for record in inspection.dump(files, every):
             row = {
-                "seq": record.seq,
+                "seq": record.sequence,
                 "kind": record.kind.name.lower(),
                 "key": _text(record.key),
-                "expires": None if record.expires == NEVER else record.expires / 1000,
+                "expires": None if record.expires == NEVER_MS else record.expires / 1000,
                 "bytes": len(record.value),
             }
             if as_json(json_asked):
@@ -136,7 +135,7 @@
 @told
 def compact(directory: str, max_mib: int, json_asked: bool) -> int:
     """Leave behind all that is dead, so that the store takes the least room."""
-    with looking.directory(directory):
+    with inspection.directory(directory):
         pass  # a directory without a store is refused, not made into one
     with Store.open(directory, max_bytes=max_mib << 20) as store:
         before = store.metrics()["disk_bytes"]
@@ -172,8 +171,8 @@
     keys before a node is started on the result."""
     if not yes and sys.stdin.isatty():
         click.confirm(f"Salvage {directory} into {into}? Older values of damaged keys may come back", abort=True)
-    with looking.directory(directory) as files:
-        salvaged = looking.repair(files, into, time.time, max_mib << 20)
+    with inspection.directory(directory) as files:
+        salvaged = inspection.repair(files, into, time.time, max_mib << 20)
     if as_json(json_asked):
         show_json(salvaged.as_dict())
     else:
--- a/chutepin/store/codec.py
+++ b/chutepin/store/codec.py
@@ -2,10 +2,10 @@
 
 All integers are little-endian. A checksum is a CRC32C. `docs/store.md` draws the layouts.
 
-A record is `crc | magic, kind, version | key length, value length | seq | floor | expires | key | value`; the checksum
-is over all behind it. `seq` counts records in the order of the log without a gap inside a segment. `floor` is the
-offset in the same segment below which all was durable when the record was laid out: a record that can be read behind
-one that can't so proves whether the latter had been acknowledged."""
+A record is `checksum | magic, kind, version | key length, value length | sequence | durable offset | expiry | key |
+value`; the checksum covers everything after itself. The sequence number counts records in log order, without a gap
+inside a segment. The durable offset is the offset in the same segment below which everything was durable when the
+record was encoded. A readable record after an unreadable one therefore proves whether the latter was acknowledged."""
 
 from __future__ import annotations
 
@@ -19,31 +19,31 @@
 from google_crc32c import extend
 from google_crc32c import value as crc32c
 
-NEVER = 2**63 - 1  # the expiry, in ms, of what does not expire
+NEVER_MS = 2**63 - 1  # the expiry, in ms, of what does not expire
 MAGIC = 0xC5B7
 VERSION = 1
 _RECORD = struct.Struct("<IHBBIIQIQ")
 _TAIL = struct.Struct("<HBBIIQIQ")  # a record's header behind its checksum
 _CRC = struct.Struct("<I")
-RECORD_HEAD = _RECORD.size
+RECORD_HEADER_BYTES = _RECORD.size
 _pack_tail, _pack_crc = _TAIL.pack, _CRC.pack
-MAX_KEY = 2**16 - 1  # bytes
-_HEAD = struct.Struct("<8sQQQ")
-_HEAD_MAGIC = b"chutseg1"
-DATA_AT = 64  # offset of a segment's first record
-_MARK = struct.Struct("<8sIIQQ")
-_MARK_MAGIC = b"chutack1"
-MARK_AT = (0, 4096)  # the two places of the watermark: sectors of their own
-MARK_FILE = 8192  # bytes
+MAX_KEY_BYTES = 2**16 - 1  # bytes
+_SEGMENT_HEADER = struct.Struct("<8sQQQ")
+_SEGMENT_MAGIC = b"chutseg1"
+FIRST_RECORD_OFFSET = 64  # offset of a segment's first record
+_MARKER = struct.Struct("<8sIIQQ")
+_MARKER_MAGIC = b"chutack1"
+MARKER_OFFSETS = (0, 4096)  # the two places of the watermark: sectors of their own
+MARKER_FILE_BYTES = 8192  # bytes
 LOCATION = struct.Struct("<QIII")  # expires in ms, segment, offset, size
 _HINT = struct.Struct("<8sIIIQQ")
 _HINT_MAGIC = b"chuthnt1"
 _RUN = struct.Struct("<BHQIQ")
-HINT_ENTRY = LOCATION.size  # bytes of a hint for a record, besides its key
+HINT_ENTRY_BYTES = LOCATION.size  # bytes of a hint for a record, besides its key
 _MANIFEST_HEAD = "chutepin-store 1"
 
 
-class Kind(IntEnum):
+class RecordKind(IntEnum):
     """What a record says."""
 
     PUT = 1
@@ -51,10 +51,10 @@
     SEAL = 3  # the segment ends here; the log goes on in the next
 
 
-_KINDS = (Kind.PUT, *Kind)  # by number; there is no kind 0
+_KINDS = (RecordKind.PUT, *RecordKind)  # by number; there is no kind 0
 
 
-class Unsound(ValueError):  # noqa: N818 - it is caught here and never shown as such
+class CorruptRecordError(ValueError):
     """Bytes that are not what was written. `offset` says where in the file it begins."""
 
     def __init__(self, offset: int, what: str) -> None:
@@ -65,55 +65,55 @@
 class Record(NamedTuple):
     """A record as it is read back. A tuple, as millions are made when a store is opened."""
 
-    kind: Kind
+    kind: RecordKind
     offset: int  # in its file
     size: int  # bytes in all
-    seq: int
-    floor: int
+    sequence: int
+    durable_offset: int
     expires: int  # ms
     key: bytes
     value: bytes
 
 
-def encode(kind: int, seq: int, floor: int, expires: int, key: bytes, value: bytes) -> bytes:
+def encode(kind: int, sequence: int, durable_offset: int, expires: int, key: bytes, value: bytes) -> bytes:
     """A record up to its value, which follows as it is: it is not copied."""
-    tail = _pack_tail(MAGIC, kind, VERSION, len(key), len(value), seq, floor, expires) + key
+    tail = _pack_tail(MAGIC, kind, VERSION, len(key), len(value), sequence, durable_offset, expires) + key
     return _pack_crc(extend(crc32c(tail), value) if value else crc32c(tail)) + tail
 
 
-SEAL_SIZE = RECORD_HEAD
+SEAL_RECORD_BYTES = RECORD_HEADER_BYTES
 
 
 def decode(data: bytes, at: int, base: int) -> Record | int:
     """The record at `at` of `data`, whose first byte lies at `base` in the file.
 
-    Returns how many bytes are needed from `at` on where `data` holds too few. Raises Unsound for anything that is no
-    record, an empty place (zeros) among it."""
-    if len(data) - at < RECORD_HEAD:
-        return RECORD_HEAD
-    crc, magic, kind, version, key_size, value_size, seq, floor, expires = _RECORD.unpack_from(data, at)
-    if magic != MAGIC or version != VERSION or not 1 <= kind <= 3 or key_size > MAX_KEY:
-        raise Unsound(base + at, "no record begins here")
-    size = RECORD_HEAD + key_size + value_size
+    Returns the number of bytes needed from `at` on if `data` holds too few. Raises CorruptRecordError for anything
+    that is not a record, including unwritten space (zeros)."""
+    if len(data) - at < RECORD_HEADER_BYTES:
+        return RECORD_HEADER_BYTES
+    crc, magic, kind, version, key_size, value_size, sequence, durable_offset, expires = _RECORD.unpack_from(data, at)
+    if magic != MAGIC or version != VERSION or not 1 <= kind <= 3 or key_size > MAX_KEY_BYTES:
+        raise CorruptRecordError(base + at, "no record begins here")
+    size = RECORD_HEADER_BYTES + key_size + value_size
     if len(data) - at < size:
         return int(size)
     if crc32c(data[at + 4 : at + size]) != crc:
-        raise Unsound(base + at, "a record's checksum does not match")
-    key_at = at + RECORD_HEAD
+        raise CorruptRecordError(base + at, "a record's checksum does not match")
+    key_at = at + RECORD_HEADER_BYTES
     return Record(
         _KINDS[kind],
         base + at,
         size,
-        seq,
-        floor,
+        sequence,
+        durable_offset,
         expires,
         data[key_at : key_at + key_size],
         data[key_at + key_size : at + size],
     )
 
 
-def later_floor(data: bytes, base: int, limit: int) -> int:
-    """The highest floor that a sound record in `data` states, 0 if there is none.
+def highest_durable_offset(data: bytes, base: int, limit: int) -> int:
+    """The highest durable_offset that a sound record in `data` states, 0 if there is none.
 
     Reads on behind a place that can't be read. `limit` is the file's size: a length beyond it is not believed."""
     magic, highest, at = MAGIC.to_bytes(2, "little"), 0, 0
@@ -121,60 +121,65 @@
         at = found - 4
         try:
             record = decode(data, at, base)
-        except Unsound:
+        except CorruptRecordError:
             at += 1
             continue
         if isinstance(record, int):
             at += 1
             continue
-        highest = max(highest, record.floor)
+        highest = max(highest, record.durable_offset)
         at += record.size - 4 if record.size > 4 else 1
     return min(highest, limit)
 
 
-def encode_head(segment: int, size: int, born: int) -> bytes:
-    """The first bytes of a segment's file of `size` bytes, laid out at `born` (ms)."""
-    head = _HEAD.pack(_HEAD_MAGIC, segment, size, born)
-    return (head + _CRC.pack(crc32c(head))).ljust(DATA_AT, b"\0")
+def encode_segment_header(segment: int, size: int, created_ms: int) -> bytes:
+    """The first bytes of a segment's file of `size` bytes, laid out at `created_ms` (ms)."""
+    head = _SEGMENT_HEADER.pack(_SEGMENT_MAGIC, segment, size, created_ms)
+    return (head + _CRC.pack(crc32c(head))).ljust(FIRST_RECORD_OFFSET, b"\0")
 
 
-def check_head(data: bytes, segment: int, size: int) -> int:
-    """When the segment was laid out (ms). Raises Unsound if this is not the head of that segment."""
-    if len(data) < DATA_AT:
-        raise Unsound(len(data), "the file ends inside its head")
-    magic, number, stated, born = _HEAD.unpack_from(data)
-    if _CRC.unpack_from(data, _HEAD.size)[0] != crc32c(data[: _HEAD.size]) or magic != _HEAD_MAGIC:
-        raise Unsound(0, "the segment's head is damaged")
+def check_segment_header(data: bytes, segment: int, size: int) -> int:
+    """When the segment was laid out (ms). Raises CorruptRecordError if this is not the head of that segment."""
+    if len(data) < FIRST_RECORD_OFFSET:
+        raise CorruptRecordError(len(data), "the file ends inside its head")
+    magic, number, stated, created_ms = _SEGMENT_HEADER.unpack_from(data)
+    if (
+        _CRC.unpack_from(data, _SEGMENT_HEADER.size)[0] != crc32c(data[: _SEGMENT_HEADER.size])
+        or magic != _SEGMENT_MAGIC
+    ):
+        raise CorruptRecordError(0, "the segment's head is damaged")
     if (number, stated) != (segment, size):
-        raise Unsound(0, f"this is the head of segment {number} of {stated} bytes, not of {segment} of {size}")
-    return int(born)
+        raise CorruptRecordError(
+            0, f"this is the head of segment {number} of {stated} bytes, not of {segment} of {size}"
+        )
+    return int(created_ms)
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Mark:
-    """The watermark: all up to `end` of `segment` was acknowledged by `time` (ms), `seq` being the last record."""
+class DurabilityMarker:
+    """The watermark: all up to `end` of `segment` was acknowledged by `time` (ms), `sequence` being the last record."""
 
-    seq: int = 0
+    sequence: int = 0
     segment: int = 0
     end: int = 0
     time: int = 0
 
 
-def encode_mark(mark: Mark) -> bytes:
+def encode_marker(mark: DurabilityMarker) -> bytes:
     """One place's bytes."""
-    data = _MARK.pack(_MARK_MAGIC, mark.segment, mark.end, mark.seq, mark.time)
+    data = _MARKER.pack(_MARKER_MAGIC, mark.segment, mark.end, mark.sequence, mark.time)
     return data + _CRC.pack(crc32c(data))
 
 
-def decode_marks(data: bytes) -> list[Mark]:
+def decode_markers(data: bytes) -> list[DurabilityMarker]:
     """The sound ones of both places: a mark is written without a sync, so a cut may leave any of it."""
     marks = []
-    for at in MARK_AT:
-        part = data[at : at + _MARK.size + 4]
-        if len(part) == _MARK.size + 4 and _CRC.unpack_from(part, _MARK.size)[0] == crc32c(part[: _MARK.size]):
-            magic, segment, end, seq, time = _MARK.unpack_from(part)
-            if magic == _MARK_MAGIC:
-                marks.append(Mark(seq, segment, end, time))
+    for at in MARKER_OFFSETS:
+        part = data[at : at + _MARKER.size + 4]
+        if len(part) == _MARKER.size + 4 and _CRC.unpack_from(part, _MARKER.size)[0] == crc32c(part[: _MARKER.size]):
+            magic, segment, end, sequence, time = _MARKER.unpack_from(part)
+            if magic == _MARKER_MAGIC:
+                marks.append(DurabilityMarker(sequence, segment, end, time))
     return marks
 
 
@@ -202,17 +207,17 @@
             self.bytes += _RUN.size
         self._entries.append(key + location)
         self._sizes[-1] += size
-        self.bytes += key_size + HINT_ENTRY
+        self.bytes += key_size + HINT_ENTRY_BYTES
 
     def add_run(self, kind: int, key_size: int, expires: int, entries: list[bytes], size: int) -> None:
         """Records of one shape: key and location of each, and the bytes of all."""
         if entries:
             self.add(kind, entries[0][:key_size], expires, entries[0][key_size:], size)
             self._entries.extend(entries[1:])
-            self.bytes += (len(entries) - 1) * (key_size + HINT_ENTRY)
+            self.bytes += (len(entries) - 1) * (key_size + HINT_ENTRY_BYTES)
 
     def encode(self, segment: int, end: int, count: int, last: int) -> bytes:
-        """The file: of `count` records, sealed at `end`, `last` being the last record's seq."""
+        """The file: of `count` records, sealed at `end`, `last` being the last record's sequence."""
         parts = [_HINT.pack(_HINT_MAGIC, segment, end, count, last, len(self._runs))]
         for ((kind, key_size, bucket), entries), size in zip(self._runs, self._sizes, strict=True):
             parts += [_RUN.pack(kind, key_size, bucket, len(entries), size), *entries]
@@ -237,12 +242,12 @@
 
 
 def decode_hint(data: bytes, segment: int, end: int, count: int, last: int) -> list[Run]:
-    """The runs of a hint. Raises Unsound if it is damaged, or tells of another segment or another state of it."""
+    """The runs of a hint. Raises CorruptRecordError if it is damaged, stale or of another segment."""
     if len(data) < _HINT.size + 4 or _CRC.unpack_from(data, len(data) - 4)[0] != crc32c(data[:-4]):
-        raise Unsound(0, "the hint is damaged")
+        raise CorruptRecordError(0, "the hint is damaged")
     magic, number, stated_end, stated_count, stated_last, runs = _HINT.unpack_from(data)
     if (magic, number, stated_end, stated_count, stated_last) != (_HINT_MAGIC, segment, end, count, last):
-        raise Unsound(0, "the hint is of another segment or stale")
+        raise CorruptRecordError(0, "the hint is of another segment or stale")
     found, at = [], _HINT.size
     for _ in range(runs):
         kind, key_size, bucket, entries, total = _RUN.unpack_from(data, at)
@@ -260,7 +265,7 @@
     number: int
     end: int = 0
     count: int = 0  # records, the seal among them
-    last: int = 0  # seq of the last one
+    last: int = 0  # sequence of the last one
 
 
 @dataclass(frozen=True, slots=True)
@@ -271,7 +276,7 @@
     segment_bytes: int
     next: int  # number of the next segment; numbers are never used again
     # How far all was acknowledged by then. No expiry at or before its time is ever undone, whatever the clock says.
-    mark: Mark = Mark()
+    mark: DurabilityMarker = DurabilityMarker()
     segments: tuple[SegmentEntry, ...] = ()
 
 
@@ -282,7 +287,7 @@
             "generation": manifest.generation,
             "segment_bytes": manifest.segment_bytes,
             "next": manifest.next,
-            "mark": [manifest.mark.seq, manifest.mark.segment, manifest.mark.end, manifest.mark.time],
+            "mark": [manifest.mark.sequence, manifest.mark.segment, manifest.mark.end, manifest.mark.time],
             "segments": [[s.number, s.end, s.count, s.last] for s in manifest.segments],
         }
     ).encode()
@@ -290,15 +295,15 @@
 
 
 def decode_manifest(data: bytes) -> Manifest:
-    """Raises Unsound unless every byte is as it was written."""
+    """Raises CorruptRecordError unless every byte is as it was written."""
     head, newline, body = data.partition(b"\n")
     if not newline or head != f"{_MANIFEST_HEAD} {len(body):08d} {crc32c(body):08x}".encode():
-        raise Unsound(0, "the manifest is damaged or cut")
+        raise CorruptRecordError(0, "the manifest is damaged or cut")
     raw: Any = json.loads(body)
     return Manifest(
         raw["generation"],
         raw["segment_bytes"],
         raw["next"],
-        Mark(*raw["mark"]),
+        DurabilityMarker(*raw["mark"]),
         tuple(SegmentEntry(*entry) for entry in raw["segments"]),
     )
--- a/chutepin/store/engine.py
+++ b/chutepin/store/engine.py
@@ -15,53 +15,63 @@
 from dataclasses import dataclass, replace
 
 from .codec import (
-    DATA_AT,
-    HINT_ENTRY,
-    MARK_AT,
-    MARK_FILE,
-    MAX_KEY,
-    NEVER,
-    RECORD_HEAD,
-    SEAL_SIZE,
+    FIRST_RECORD_OFFSET,
+    HINT_ENTRY_BYTES,
+    MARKER_FILE_BYTES,
+    MARKER_OFFSETS,
+    MAX_KEY_BYTES,
+    NEVER_MS,
+    RECORD_HEADER_BYTES,
+    SEAL_RECORD_BYTES,
+    CorruptRecordError,
+    DurabilityMarker,
     HintWriter,
-    Kind,
     Manifest,
-    Mark,
     Record,
+    RecordKind,
     SegmentEntry,
-    Unsound,
     decode,
-    encode_head,
     encode_manifest,
-    encode_mark,
+    encode_marker,
+    encode_segment_header,
 )
+from .compaction_plan import COMPACTION_READ_BYTES, MIN_SEGMENTS, Limits, SegmentStatistics, plan_compaction
 from .errors import StoreClosedError, StoreDamagedError, StoreError, StoreFailedError, StoreFullError
-from .files import File, Files
-from .plan import MIN_SEGMENTS, STEP, Facts, Limits, plan
-from .recover import MANIFEST, MARKS, NEW, WINDOW, Reader, Recovered, Scan, hint_name, segment_name
-from .state import DELETE, KEY_MEMORY, PUT, Book, Segment, record_size
-
-HANDLES = 32  # open files of segments at once
-MAX_QUEUE = 4 * 2**20  # bytes laid out and not yet written
-SWEEP = 2000  # keys that are forgotten at once as they expire
+from .file_system import File, FileSystem
+from .index import DELETE, KEY_MEMORY_BYTES, PUT, LogIndex, Segment, record_size
+from .recovery import (
+    MANIFEST_FILE,
+    MARKER_FILE,
+    NEW,
+    READ_BYTES,
+    RecoveredStore,
+    SegmentScan,
+    StoreReader,
+    hint_name,
+    segment_name,
+)
+
+MAX_OPEN_SEGMENTS = 32  # open files of segments at once
+MAX_QUEUED_BYTES = 4 * 2**20  # bytes laid out and not yet written
+MAX_EXPIRED_PER_STEP = 2000  # keys that are forgotten at once as they expire
 _NO_ROOM = (errno.ENOSPC, errno.EDQUOT)
 Event = Callable[..., None]  # (name, **fields)
-_FAR = NEVER / 1000  # seconds: an expiry from here on is none
+_FAR = NEVER_MS / 1000  # seconds: an expiry from here on is none
 
 
 @dataclass(slots=True)
-class Copying:
+class SegmentCompaction:
     """A compaction under way."""
 
     number: int
     file: File
     records: Iterator[Record]
-    scan: Scan
+    scan: SegmentScan
     held: Record | None = None  # read, but there was no room for its copy yet
 
 
 @dataclass(slots=True)
-class Laying:
+class SegmentPreallocation:
     """A segment's file that is being laid out."""
 
     number: int
@@ -71,14 +81,14 @@
 class Engine:
     """One open store."""
 
-    def __init__(self, files: Files, limits: Limits, clock: Callable[[], float], event: Event) -> None:
+    def __init__(self, files: FileSystem, limits: Limits, clock: Callable[[], float], event: Event) -> None:
         self.files, self.limits, self._clock, self._event = files, limits, clock, event
         self.lock = threading.RLock()
-        self._begin_book(Book(limits.segment_bytes))
+        self._begin_book(LogIndex(limits.segment_bytes))
         self.counts: Counter[str] = Counter()
         self.failed = ""
         self.closed = False
-        self.durable = 0  # seq up to which all was synced
+        self.durable = 0  # sequence up to which all was synced
         self.at_rest = False  # the last step found nothing to do, and nothing has changed or been asked for since
         self._stirred = False  # something has, since the present step began
         self.no_room = ""  # why no further segment could be laid out
@@ -94,13 +104,13 @@
         self._marks: File | None = None
         self._mark_place = 0
         self._entries: dict[int, SegmentEntry] = {}
-        self._copying: Copying | None = None
-        self._laying: Laying | None = None
+        self._copying: SegmentCompaction | None = None
+        self._laying: SegmentPreallocation | None = None
 
     # --- opening and closing ---
 
     @classmethod
-    def open(cls, files: Files, limits: Limits, clock: Callable[[], float], event: Event) -> Engine:
+    def open(cls, files: FileSystem, limits: Limits, clock: Callable[[], float], event: Event) -> Engine:
         """Take the directory, read it back, mend what a cut left. Raises StoreError in any of its kinds."""
         if limits.max_bytes < MIN_SEGMENTS * limits.segment_bytes:
             raise StoreError(f"max_bytes: less than {MIN_SEGMENTS} times segment_bytes")
@@ -119,7 +129,7 @@
         return engine
 
     def _begin(self) -> None:
-        found = Reader(self.files).read()
+        found = StoreReader(self.files).read()
         if found is None:
             self._lay_marks()
             self._time = int(self._clock() * 1000)
@@ -130,7 +140,7 @@
         assert self._marks is not None
         self._marks.sync()
 
-    def _begin_book(self, book: Book) -> None:
+    def _begin_book(self, book: LogIndex) -> None:
         self.book, self._largest = book, book.largest()
         self._hold()
 
@@ -138,7 +148,7 @@
         """Whether writers wait changes only with the segments and their hints."""
         self._held = self.book.disk > self.limits.writers_wait_above
 
-    def _mend(self, found: Recovered) -> None:
+    def _mend(self, found: RecoveredStore) -> None:
         """Make what was read back the state of the disk too, before anything is built on it."""
         manifest, book = found.manifest, found.book
         if self.limits.max_bytes < MIN_SEGMENTS * manifest.segment_bytes:
@@ -151,7 +161,7 @@
         self._time = max(found.time, int(self._clock() * 1000))
         self._generation, self._next = manifest.generation, manifest.next
         self._entries = {entry.number: entry for entry in manifest.segments}
-        self.durable = book.seq
+        self.durable = book.sequence
         if found.tail is not None:
             self._mend_tail(found, found.tail)
         for name in found.garbage:
@@ -161,18 +171,18 @@
             self._event("store.hint_rebuilt", segment=number)
             self._write_hint(book.segments[number])
         self._write_hints()
-        if MARKS in self.files.names():
-            self._marks = self.files.open(MARKS)
-            if self._marks.size() != MARK_FILE:
+        if MARKER_FILE in self.files.names():
+            self._marks = self.files.open(MARKER_FILE)
+            if self._marks.size() != MARKER_FILE_BYTES:
                 self._marks.close()
                 self._lay_marks()
         else:
             self._lay_marks()
 
-    def _mend_tail(self, found: Recovered, tail: Segment) -> None:
+    def _mend_tail(self, found: RecoveredStore, tail: Segment) -> None:
         """Write anew what is not known to be on the disk, though it can be read: after a failed sync the page cache
         shows what the disk does not hold. Blank what is behind: a later batch must not run into old bytes."""
-        known = found.mark.end if found.mark.segment == tail.number else DATA_AT
+        known = found.mark.end if found.mark.segment == tail.number else FIRST_RECORD_OFFSET
         if found.mark.segment > tail.number:
             known = tail.end
         if found.torn:
@@ -183,19 +193,19 @@
         file = self._file(tail.number)
         at = min(known, tail.end)
         while at < tail.end:
-            part = file.read(at, min(WINDOW, tail.end - at))
+            part = file.read(at, min(READ_BYTES, tail.end - at))
             file.write(at, [part])
             at += len(part)
         end = tail.end + found.torn
         while at < end:
-            part = bytes(min(WINDOW, end - at))
+            part = bytes(min(READ_BYTES, end - at))
             file.write(at, [part])
             at += len(part)
         file.sync()
 
     def _lay_marks(self) -> None:
-        self._marks = self.files.create(MARKS)
-        self._marks.write(0, [bytes(MARK_FILE)])
+        self._marks = self.files.create(MARKER_FILE)
+        self._marks.write(0, [bytes(MARKER_FILE_BYTES)])
         self._marks.sync()
         self.files.sync_names()
 
@@ -250,15 +260,15 @@
         """Lay out a value, to be written by the next flush. False: there is no room just now, wait for the next
         flush or step. Raises StoreFullError if waiting will not help, and it does not once `waited` and at rest."""
         key_size = len(key)
-        if key_size > MAX_KEY:
-            raise StoreError(f"a key of {key_size} bytes; at most {MAX_KEY}")
+        if key_size > MAX_KEY_BYTES:
+            raise StoreError(f"a key of {key_size} bytes; at most {MAX_KEY_BYTES}")
         if expires < _FAR:
             until = max(0, int(expires * 1000))
         elif math.isnan(expires):
             raise StoreError("expires: not a number")
         else:
-            until = NEVER
-        size = RECORD_HEAD + key_size + len(value)
+            until = NEVER_MS
+        size = RECORD_HEADER_BYTES + key_size + len(value)
         with self.lock:
             if self._barred:
                 self.check()
@@ -268,16 +278,16 @@
                 book.expire(now, 8)
             # The plain case at a glance: a put is the one thing that callers do thousands of times a second.
             if (
-                book.live + size + key_size + HINT_ENTRY > self.limits.capacity
-                or book.key_bytes + key_size + KEY_MEMORY * (len(book.index) + 1) > self.limits.max_memory
+                book.live + size + key_size + HINT_ENTRY_BYTES > self.limits.capacity
+                or book.key_bytes + key_size + KEY_MEMORY_BYTES * (len(book.index) + 1) > self.limits.max_memory
                 or size > self._largest
             ):
                 self._admit(book, key, size, now)
             if (
                 active is None
                 or self._held
-                or book.queued > MAX_QUEUE
-                or active.end + size + SEAL_SIZE > self.limits.segment_bytes
+                or book.queued > MAX_QUEUED_BYTES
+                or active.end + size + SEAL_RECORD_BYTES > self.limits.segment_bytes
             ) and not self._room(size, waited):
                 return False
             book.lay(PUT, key, value, until)
@@ -289,20 +299,20 @@
     def put_many(self, items: Sequence[tuple[bytes, bytes]], expires: float, waited: bool = False) -> int:
         """As `put` for each of these keys and values, with one expiry; how many were laid out before there was no
         room just now. Raises StoreFullError, with nothing laid out, if all of them have no room."""
-        sizes = [RECORD_HEAD + len(key) + len(value) for key, value in items]
+        sizes = [RECORD_HEADER_BYTES + len(key) + len(value) for key, value in items]
         keys = {key for key, _ in items}
         with self.lock:
             self.check()
             book, key_size = self.book, len(items[0][0]) if items else 0
-            adds = sum(sizes) + sum(map(len, keys)) + len(items) * HINT_ENTRY
-            memory = sum(map(len, keys)) + KEY_MEMORY * len(keys)
+            adds = sum(sizes) + sum(map(len, keys)) + len(items) * HINT_ENTRY_BYTES
+            memory = sum(map(len, keys)) + KEY_MEMORY_BYTES * len(keys)
             if why := self.limits.refuses(book.live, book.memory, adds, memory):
                 self.counts["full"] += 1
                 raise StoreFullError(f"{self.files.label}: {why}")
             even = (
                 len(keys) == len(items)
                 and all(len(key) == key_size for key in keys)
-                and key_size <= MAX_KEY
+                and key_size <= MAX_KEY_BYTES
                 and not math.isnan(expires)
                 and max(sizes, default=0) <= self._largest
                 and book.index.keys().isdisjoint(keys)
@@ -312,7 +322,7 @@
                     if not self.put(key, value, expires, waited):
                         return done
                 return len(items)
-            until = NEVER if expires >= _FAR else max(0, int(expires * 1000))
+            until = NEVER_MS if expires >= _FAR else max(0, int(expires * 1000))
             done = 0
             while done < len(items):
                 if not self._room(sizes[done], waited):
@@ -324,7 +334,7 @@
                 self._stir()
             return done
 
-    def _admit(self, book: Book, key: bytes, size: int, now: int) -> None:
+    def _admit(self, book: LogIndex, key: bytes, size: int, now: int) -> None:
         """Raise if there is no room for this record, also after forgetting what has expired."""
         if size > self._largest:
             raise StoreError(f"a record of {size} bytes; at most {self._largest} fit into a segment")
@@ -343,7 +353,7 @@
                 return True
             if not self._room(record_size(key, b""), waited):
                 return False
-            self.book.lay(DELETE, key, b"", NEVER)
+            self.book.lay(DELETE, key, b"", NEVER_MS)
             self._stir()
             self.counts["deleted"] += 1
             self._put_bytes += record_size(key, b"")
@@ -352,7 +362,7 @@
     def _room(self, size: int, waited: bool) -> bool:
         """There is where to lay out a record of this size for a writer."""
         book = self.book
-        if book.queued > MAX_QUEUE:
+        if book.queued > MAX_QUEUED_BYTES:
             return False
         if not self._held:
             if book.fits(size):
@@ -383,9 +393,9 @@
             return value
         try:
             record = decode(self._file(number).read(offset, size), 0, offset)
-            if isinstance(record, int) or record.key != key or record.kind is not Kind.PUT:
-                raise Unsound(offset, "the record of another key, or none, is where the index led")
-        except Unsound as error:
+            if isinstance(record, int) or record.key != key or record.kind is not RecordKind.PUT:
+                raise CorruptRecordError(offset, "the record of another key, or none, is where the index led")
+        except CorruptRecordError as error:
             raise self._damage(number, error.offset, str(error)) from None
         except OSError as error:
             raise self._damage(number, offset, error.strerror or str(error)) from None
@@ -418,15 +428,15 @@
             return len(self.book.index)
 
     @property
-    def seq(self) -> int:
+    def sequence(self) -> int:
         """Of the last record that was laid out."""
-        return self.book.seq
+        return self.book.sequence
 
     def next_due(self) -> float:
         """When keys expire next (Unix seconds)."""
         with self.lock:
             due = self.book.due
-        return math.inf if due == NEVER else due / 1000
+        return math.inf if due == NEVER_MS else due / 1000
 
     # --- what the writing thread calls ---
 
@@ -447,7 +457,7 @@
         """Write and sync all that is laid out; its bytes. Raises StoreFailedError, and then always."""
         with self.lock:
             self.check()
-            seq = self.book.seq
+            sequence = self.book.sequence
             parts = self.book.take_queue()
         if not parts:
             return 0
@@ -462,7 +472,7 @@
                 with self.lock:
                     self.book.segments[part.segment].durable = part.offset + size
             with self.lock:
-                self.durable = seq
+                self.durable = sequence
                 self.book.written(parts)
             self._mark()
         self.counts["batches"] += 1
@@ -471,11 +481,13 @@
             self._write_hints()
         return total
 
-    def _reached(self) -> Mark:
+    def _reached(self) -> DurabilityMarker:
         """How far all is durable."""
         with self.lock:
             active = self.book.active
-            return Mark(self.durable, active.number if active else 0, active.durable if active else 0, self.now())
+            return DurabilityMarker(
+                self.durable, active.number if active else 0, active.durable if active else 0, self.now()
+            )
 
     def _mark(self) -> None:
         """Note how far all is durable. It is written after the sync and not synced itself: it survives the end of
@@ -483,9 +495,9 @@
         assert self._marks is not None
         mark = self._reached()
         self._mark_place ^= 1
-        self._marks.write(MARK_AT[self._mark_place], [encode_mark(mark)])
+        self._marks.write(MARKER_OFFSETS[self._mark_place], [encode_marker(mark)])
 
-    def step(self, budget: int = STEP) -> bool:
+    def step(self, budget: int = COMPACTION_READ_BYTES) -> bool:
         """A piece of the work beside the writers, reading about `budget` bytes; False if there was none to do.
 
         Forgets what expired, lays out the next segment, copies what tells out of the segment that the planner
@@ -493,7 +505,7 @@
         with self.lock:
             self.check()
             self._stirred = False
-            more = self.book.expire(self.now(), SWEEP)
+            more = self.book.expire(self.now(), MAX_EXPIRED_PER_STEP)
         done = (
             self._lay_out() or self._list_sealed() or (self._copy(budget) if self._copying else self._choose()) or more
         )
@@ -508,7 +520,7 @@
             file = self._handles.get(number)
             if file is None:
                 file = self._handles[number] = self.files.open(segment_name(number))
-                if len(self._handles) > HANDLES:
+                if len(self._handles) > MAX_OPEN_SEGMENTS:
                     # Never the newest: the writing thread may hold it. Reading goes on under the lock.
                     oldest = next((n for n in self._handles if n != number and not self._writes(n)), None)
                     if oldest is not None:
@@ -536,11 +548,11 @@
                 return False
         try:
             if self._laying is None:
-                self._laying = Laying(self._next, self.files.create(segment_name(self._next)))
+                self._laying = SegmentPreallocation(self._next, self.files.create(segment_name(self._next)))
                 self._next += 1  # also where it comes to nothing: numbers are never used again
             laying, size = self._laying, self.limits.segment_bytes
             laying.file.allocate(size)
-            laying.file.write(0, [encode_head(laying.number, size, self.now())])
+            laying.file.write(0, [encode_segment_header(laying.number, size, self.now())])
             with self._failing():
                 laying.file.sync()
                 self.files.sync_names()
@@ -601,7 +613,7 @@
                 self._generation + 1, self.limits.segment_bytes, self._next, self._reached(), tuple(entries)
             )
         try:
-            file = self.files.create(MANIFEST + NEW)
+            file = self.files.create(MANIFEST_FILE + NEW)
             try:
                 file.write(0, [encode_manifest(manifest)])
                 with self._failing():
@@ -611,12 +623,12 @@
         except OSError as error:
             if error.errno in _NO_ROOM:
                 with contextlib.suppress(OSError):
-                    self.files.remove(MANIFEST + NEW)
+                    self.files.remove(MANIFEST_FILE + NEW)
                 raise
             with self._failing():
                 raise
         with self._failing():
-            self.files.rename(MANIFEST + NEW, MANIFEST)
+            self.files.rename(MANIFEST_FILE + NEW, MANIFEST_FILE)
             self.files.sync_names()
         self._generation += 1
         self._entries = {entry.number: entry for entry in entries}
@@ -660,9 +672,9 @@
             self.compact_before = self._next
             self._stir()
 
-    def _facts(self) -> list[Facts]:
+    def _facts(self) -> list[SegmentStatistics]:
         return [
-            Facts(s.number, s.data, s.live, s.whole and not s.covers and not s.damaged, s.dead)
+            SegmentStatistics(s.number, s.data, s.live, s.whole and not s.shadowed_segments and not s.damaged, s.dead)
             for s in self.book.segments.values()
         ]
 
@@ -679,13 +691,13 @@
         if self.compact_before:
             self.flush()  # what was sealed just now is not durable yet: the plan would miss it
         with self.lock:
-            chosen = plan(self._facts(), self.limits, self.book.disk, self.book.live, self.compact_before)
+            chosen = plan_compaction(self._facts(), self.limits, self.book.disk, self.book.live, self.compact_before)
         if chosen.drop:
             return self._drop(chosen.drop)
         if chosen.copy is not None:
             file = self.files.open(segment_name(chosen.copy))
-            scan = Scan(file, self.limits.segment_bytes)
-            self._copying = Copying(chosen.copy, file, iter(scan), scan)
+            scan = SegmentScan(file, self.limits.segment_bytes)
+            self._copying = SegmentCompaction(chosen.copy, file, iter(scan), scan)
             return True
         if self.compact_before:
             self.compact_before = 0
@@ -701,7 +713,7 @@
             record, copying.held = copying.held or next(copying.records, None), None
             if record is None:
                 return self._copied(copying)
-            if self.book.queued > MAX_QUEUE:
+            if self.book.queued > MAX_QUEUED_BYTES:
                 self.flush()
             with self.lock:
                 if not self._copy_record(copying, record):
@@ -710,9 +722,9 @@
                 return self._lay_out()
         return True
 
-    def _copy_record(self, copying: Copying, record: Record) -> bool:
+    def _copy_record(self, copying: SegmentCompaction, record: Record) -> bool:
         """Take one record along if it tells; False if there is no room for it before a segment is laid out."""
-        if record.kind is not Kind.PUT:
+        if record.kind is not RecordKind.PUT:
             return True
         if self.book.place(record.key) != (copying.number, record.offset, record.size):
             return True
@@ -727,7 +739,7 @@
         self.counts["copied_bytes"] += record.size
         return True
 
-    def _copied(self, copying: Copying) -> bool:
+    def _copied(self, copying: SegmentCompaction) -> bool:
         """The segment is read to its end: drop it."""
         if not copying.scan.sealed:
             fault = copying.scan.fault
--- a/chutepin/store/files.py
+++ b/chutepin/store/file_system.py
@@ -5,7 +5,7 @@
 1. `File.sync` returns only once all that was written to this file before is durable. A failed one promises nothing,
    neither for what it covered nor for what a later one covers.
 2. Until then any subset of the written bytes, in any order, may be durable: whole sectors, parts of sectors, none.
-3. A name that was created, renamed or removed is so durably once `Files.sync_names` has returned; until then each
+3. A name that was created, renamed or removed is so durably once `FileSystem.sync_names` has returned; until then each
    such change may be durable or not, on its own.
 4. `rename` is atomic: after a cut the name leads to the old file or to the new one.
 5. Bytes that are durable stay as they are unless written again.
@@ -25,8 +25,8 @@
 
 from .errors import StoreLockedError
 
-LOCK = "LOCK"
-MAX_VECTOR = 1024  # buffers that the system takes in one call
+LOCK_FILE = "LOCK"
+MAX_WRITE_BUFFERS = 1024  # buffers that the system takes in one call
 
 
 class File(Protocol):
@@ -51,7 +51,7 @@
         """Let go of it; writes that were not synced stay as they are."""
 
 
-class Files(Protocol):
+class FileSystem(Protocol):
     """One directory. Errors of the system are OSError."""
 
     @property
@@ -83,7 +83,7 @@
         """Make names durable."""
 
 
-class RealFile:
+class LocalFile:
     """A descriptor."""
 
     def __init__(self, descriptor: int) -> None:
@@ -99,8 +99,8 @@
 
     def write(self, offset: int, buffers: Sequence[bytes]) -> None:
         """Write all; a short write is gone on with, one of nothing is an error."""
-        for first in range(0, len(buffers), MAX_VECTOR):
-            part: Sequence[bytes | memoryview] = buffers[first : first + MAX_VECTOR]
+        for first in range(0, len(buffers), MAX_WRITE_BUFFERS):
+            part: Sequence[bytes | memoryview] = buffers[first : first + MAX_WRITE_BUFFERS]
             left = sum(map(len, part))
             while left:
                 done = os.pwritev(self._descriptor, part, offset)
@@ -129,7 +129,7 @@
             os.close(descriptor)
 
 
-class RealFiles:
+class LocalFileSystem:
     """A directory of the system. Its lock is `flock`, which the system lifts when the process ends, however."""
 
     def __init__(self, directory: str | Path) -> None:
@@ -147,7 +147,7 @@
             self._path.mkdir(parents=True, exist_ok=True)
             with contextlib.suppress(OSError):  # some file systems sync no directories; then nothing can be done
                 _sync_directory(self._path.parent)
-        descriptor = os.open(self._path / LOCK, os.O_RDWR | os.O_CLOEXEC | (os.O_CREAT if create else 0), 0o640)
+        descriptor = os.open(self._path / LOCK_FILE, os.O_RDWR | os.O_CLOEXEC | (os.O_CREAT if create else 0), 0o640)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as error:
@@ -167,16 +167,16 @@
         """All files."""
         return sorted(os.listdir(self._path))
 
-    def open(self, name: str) -> RealFile:
+    def open(self, name: str) -> LocalFile:
         """Open for reading and writing; for reading only where the directory allows no more."""
         try:
-            return RealFile(os.open(self._path / name, os.O_RDWR | os.O_CLOEXEC))
+            return LocalFile(os.open(self._path / name, os.O_RDWR | os.O_CLOEXEC))
         except PermissionError:
-            return RealFile(os.open(self._path / name, os.O_RDONLY | os.O_CLOEXEC))
+            return LocalFile(os.open(self._path / name, os.O_RDONLY | os.O_CLOEXEC))
 
-    def create(self, name: str) -> RealFile:
+    def create(self, name: str) -> LocalFile:
         """Create or replace."""
-        return RealFile(os.open(self._path / name, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o640))
+        return LocalFile(os.open(self._path / name, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o640))
 
     def rename(self, old: str, new: str) -> None:
         """Atomic replacement."""
--- a/chutepin/store/store.py
+++ b/chutepin/store/store.py
@@ -17,16 +17,16 @@
 
 from ..clock import Clock
 from ..logs import Log
+from .compaction_plan import MIN_SEGMENTS, Limits, compaction_read_bytes
 from .engine import Engine, Event
 from .errors import StoreBusyError, StoreClosedError, StoreError, StoreFullError
-from .files import Files, RealFiles
-from .plan import MIN_SEGMENTS, Limits, pace
+from .file_system import FileSystem, LocalFileSystem
 
 MAX_BYTES = 256 * 2**20
-MAX_MEMORY = 64 * 2**20
-MAX_SEGMENT = 8 * 2**20  # by default; else a 32nd of max_bytes
-MIN_SEGMENT = 512
-SYNC_EVERY = 0.005  # seconds
+MAX_MEMORY_BYTES = 64 * 2**20
+MAX_DEFAULT_SEGMENT_BYTES = 8 * 2**20  # by default; else a 32nd of max_bytes
+MIN_SEGMENT_BYTES = 512
+SYNC_INTERVAL_S = 0.005  # seconds
 
 
 class Store:
@@ -54,11 +54,11 @@
         *,
         segment_bytes: int | None = None,
         max_bytes: int = MAX_BYTES,
-        max_memory: int = MAX_MEMORY,
-        sync_every: float = SYNC_EVERY,
+        max_memory: int = MAX_MEMORY_BYTES,
+        sync_every: float = SYNC_INTERVAL_S,
         clock: Callable[[], float] = time.time,
         event: Event | None = None,
-        files: Files | None = None,
+        files: FileSystem | None = None,
     ) -> Store:
         """Open a store, or begin one where the directory holds none.
 
@@ -68,11 +68,13 @@
         operator should see; by default it goes to the log.
 
         Raises StoreDamagedError, StoreLockedError, or StoreError for what the system or the arguments do not allow."""
-        size = min(segment_bytes or min(MAX_SEGMENT, max_bytes // 32), max_bytes // MIN_SEGMENTS)
-        if not MIN_SEGMENT <= size < 2**31:
-            raise StoreError(f"segment_bytes: {size}; from {MIN_SEGMENT} to {2**31 - 1}, and an eighth of max_bytes")
+        size = min(segment_bytes or min(MAX_DEFAULT_SEGMENT_BYTES, max_bytes // 32), max_bytes // MIN_SEGMENTS)
+        if not MIN_SEGMENT_BYTES <= size < 2**31:
+            raise StoreError(
+                f"segment_bytes: {size}; from {MIN_SEGMENT_BYTES} to {2**31 - 1}, and an eighth of max_bytes"
+            )
         engine = Engine.open(
-            files or RealFiles(directory), Limits(size, max_bytes, max_memory), clock, event or Log(Clock()).event
+            files or LocalFileSystem(directory), Limits(size, max_bytes, max_memory), clock, event or Log(Clock()).event
         )
         return cls(engine, sync_every)
 
@@ -195,7 +197,7 @@
         if self._error is not None:
             raise self._error
         self._engine.check()
-        target = self._engine.seq
+        target = self._engine.sequence
         if self._engine.durable < target:
             self._flush_at = 0.0
             self._changed.notify_all()
@@ -272,7 +274,7 @@
                     with self._changed:
                         self._settle()
                 with self._writing:
-                    more = self._engine.step(pace(written))
+                    more = self._engine.step(compaction_read_bytes(written))
                 with self._changed:
                     self._more = more
                     self._settle()
--- a/tests/data/make_stored_bytes.py
+++ b/tests/data/make_stored_bytes.py
@@ -32,9 +32,9 @@
 from chutepin.facade import End
 from chutepin.handover.frames import frame, key_frame
 from chutepin.idempotency import IdempotencyRecord as KeyEntry
+from chutepin.store.compaction_plan import Limits
 from chutepin.store.engine import Engine
-from chutepin.store.files import RealFiles
-from chutepin.store.plan import Limits
+from chutepin.store.file_system import LocalFileSystem
 
 from ..helper import Core
 
@@ -54,7 +54,10 @@
         self.now = BORN
         self.model: Model = {}
         self._engine = Engine.open(
-            RealFiles(directory), Limits(SEGMENT, MAX_BYTES, MAX_MEMORY), lambda: self.now, lambda name, **fields: None
+            LocalFileSystem(directory),
+            Limits(SEGMENT, MAX_BYTES, MAX_MEMORY),
+            lambda: self.now,
+            lambda name, **fields: None,
         )
         self._engine.settle()
 
--- a/tests/powercut.py
+++ b/tests/powercut.py
@@ -1,7 +1,7 @@
 """A directory that loses what a power cut may lose, tears what it may tear, and fails on demand.
 
-It models the assumptions that `chutepin/store/files.py` states and grants nothing beyond them. `cut_at` ends the run
-inside that file operation; `after` gives the directory as a restart may then find it."""
+It models the assumptions that `chutepin/store/file_system.py` states and grants nothing beyond them. `cut_at` ends
+the run inside that file operation; `after` gives the directory as a restart may then find it."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
         to[offset : offset + len(data)] = data
 
 
-class SimFile:
-    def __init__(self, files: SimFiles, inode: Inode, name: str) -> None:
+class SimulatedFile:
+    def __init__(self, files: SimulatedFileSystem, inode: Inode, name: str) -> None:
         self._files, self._inode, self._name = files, inode, name
 
     def read(self, offset: int, length: int) -> bytes:
@@ -73,7 +73,7 @@
 Names = dict[str, Inode]
 
 
-class SimFiles:
+class SimulatedFileSystem:
     """One directory."""
 
     def __init__(self) -> None:
@@ -104,15 +104,15 @@
     def names(self) -> list[str]:
         return sorted(self.seen)
 
-    def open(self, name: str) -> SimFile:
+    def open(self, name: str) -> SimulatedFile:
         if name not in self.seen:
             raise FileNotFoundError(2, "no such file", name)
-        return SimFile(self, self.seen[name], name)
+        return SimulatedFile(self, self.seen[name], name)
 
-    def create(self, name: str) -> SimFile:
+    def create(self, name: str) -> SimulatedFile:
         inode = Inode()
         self._change("create", name, lambda names: names.__setitem__(name, inode))
-        return SimFile(self, inode, name)
+        return SimulatedFile(self, inode, name)
 
     def rename(self, old: str, new: str) -> None:
         inode = self.seen[old]
@@ -141,9 +141,9 @@
             change(self.durable)
         self.changes.clear()
 
-    def after(self, how: str | random.Random) -> SimFiles:
+    def after(self, how: str | random.Random) -> SimulatedFileSystem:
         """The directory after a cut now: of what was not durable `"none"`, `"all"`, or what a random source picks."""
-        restart = SimFiles()
+        restart = SimulatedFileSystem()
         names = dict(self.durable)
         for change in self.changes:
             if _kept(how):
@@ -166,9 +166,9 @@
             restart.durable[name] = restart.seen[name] = copies[id(inode)]
         return restart
 
-    def copy(self) -> SimFiles:
+    def copy(self) -> SimulatedFileSystem:
         """The directory as a restart without a power cut finds it."""
-        restart = SimFiles()
+        restart = SimulatedFileSystem()
         for name, inode in self.seen.items():
             restart.durable[name] = restart.seen[name] = Inode(bytearray(inode.seen), bytearray(inode.seen))
         return restart
--- a/tests/test_assembly.py
+++ b/tests/test_assembly.py
@@ -26,7 +26,7 @@
 from chutepin.store import Store, StoreFullError
 
 from .helper import run_command
-from .powercut import SimFiles
+from .powercut import SimulatedFileSystem
 
 FIVE = [f"n{number}" for number in range(1, 6)]
 EVER = 40.0  # seconds in which anything that must come has come
@@ -246,7 +246,7 @@
 
 def test_a_failed_sync_ends_its_part_and_says_so_and_a_restart_has_what_was_agreed() -> None:
     async def run() -> None:
-        files = SimFiles()
+        files = SimulatedFileSystem()
         store = Store.open("", files=files, segment_bytes=2**16, max_bytes=2**20)
         part = agreement(store)
         part.start()
@@ -279,7 +279,7 @@
 
 def test_a_full_store_ends_its_part_until_there_is_room_and_a_slow_one_holds_up_nothing_else() -> None:
     async def run() -> None:
-        files = SimFiles()
+        files = SimulatedFileSystem()
         store = Store.open("", files=files, segment_bytes=2**14, max_bytes=2**18)
         part = agreement(store)
         part.start()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -20,13 +20,13 @@
     StoreFailedError,
     StoreFullError,
     StoreLockedError,
-    inspect,
+    inspection,
 )
+from chutepin.store.compaction_plan import Limits
 from chutepin.store.engine import Engine
-from chutepin.store.plan import Limits
 
 from .helper import STEPS
-from .powercut import PowerCut, SimFiles
+from .powercut import PowerCut, SimulatedFileSystem
 
 SEGMENT = 1024
 LIMITS = Limits(SEGMENT, 24 * SEGMENT, 2**20)
@@ -39,8 +39,8 @@
     `states` has what a reader would see after each change, from the beginning; `acked` is the index of the one that
     the last flush acknowledged."""
 
-    def __init__(self, files: SimFiles | None = None, limits: Limits = LIMITS) -> None:
-        self.files, self.limits = files or SimFiles(), limits
+    def __init__(self, files: SimulatedFileSystem | None = None, limits: Limits = LIMITS) -> None:
+        self.files, self.limits = files or SimulatedFileSystem(), limits
         self.time = 1000.0
         self.states: list[dict[bytes, tuple[bytes, float]]] = [{}]
         self.acked = 0
@@ -88,7 +88,7 @@
         """What the engine shows is the last state."""
         assert contents(self.open) == self.visible(-1)
 
-    def check_recovered(self, files: SimFiles, note: object = None) -> Engine:
+    def check_recovered(self, files: SimulatedFileSystem, note: object = None) -> Engine:
         """Opening shows the acknowledged state or a later one, whole; nothing lost, doubled or come back."""
         engine = Engine.open(files, self.limits, lambda: self.time, lambda *_, **__: None)
         found = contents(engine)
@@ -221,7 +221,7 @@
     return found
 
 
-def opens_right_or_refuses(world: World, files: SimFiles, note: object) -> bool:
+def opens_right_or_refuses(world: World, files: SimulatedFileSystem, note: object) -> bool:
     """All that was acknowledged, or a clear refusal, at opening or at reading; whether it refused."""
     try:
         engine = world.check_recovered(files, note)
@@ -572,7 +572,7 @@
         self.world.acked = len(self.world.states) - 1
         self._reopen(self.world.files)
 
-    def _reopen(self, files: SimFiles) -> None:
+    def _reopen(self, files: SimulatedFileSystem) -> None:
         world = self.world
         world.files = files
         world.engine = world.check_recovered(files)
@@ -644,18 +644,18 @@
             data[64 + 20] ^= 1  # the first record of each segment
         (damaged / name).write_bytes(data)
     (damaged / "LOCK").touch()
-    with inspect.directory(damaged) as files:
-        checked = inspect.check(files)
+    with inspection.directory(damaged) as files:
+        checked = inspection.check(files)
         assert not checked.sound and len({finding.file for finding in checked.findings if finding.loss}) >= 2
-        salvaged = inspect.repair(files, tmp_path / "new", lambda: world.time, 2**20)
+        salvaged = inspection.repair(files, tmp_path / "new", lambda: world.time, 2**20)
     assert 2 <= salvaged.missing <= len(salvaged.gaps)  # of an open segment it can't be told what came first
     with Store.open(tmp_path / "new", max_bytes=2**20, clock=lambda: world.time) as store:
         found = dict(store.items())
     assert len(found) == salvaged.kept and found
     assert all(value == intact.get(key, value) for key, value in found.items())
     assert 2 <= len(set(intact) - set(found)) <= len(salvaged.gaps)
-    with pytest.raises(StoreError, match="not empty"), inspect.directory(damaged) as files:
-        inspect.repair(files, tmp_path / "new", lambda: world.time, 2**20)
+    with pytest.raises(StoreError, match="not empty"), inspection.directory(damaged) as files:
+        inspection.repair(files, tmp_path / "new", lambda: world.time, 2**20)
 
 
 def test_check_lists_nothing_for_a_sound_store_and_changes_nothing(tmp_path: Any) -> None:
@@ -663,10 +663,10 @@
         for index in range(500):
             store.put(b"%d" % (index % 70), bytes(100), math.inf)
     before = {path.name: path.read_bytes() for path in tmp_path.iterdir()}
-    with inspect.directory(tmp_path) as files:
-        assert inspect.check(files).findings == []
-        assert inspect.stat(files)["keys"] == 70
-        assert len([*inspect.dump(files)]) == 70 < len([*inspect.dump(files, every=True)])
+    with inspection.directory(tmp_path) as files:
+        assert inspection.check(files).findings == []
+        assert inspection.stat(files)["keys"] == 70
+        assert len([*inspection.dump(files)]) == 70 < len([*inspection.dump(files, every=True)])
         with pytest.raises(StoreLockedError):
             Store.open(tmp_path)
     assert {path.name: path.read_bytes() for path in tmp_path.iterdir()} == before
--- a/tests/test_store_threads.py
+++ b/tests/test_store_threads.py
@@ -20,14 +20,14 @@
 
 from chutepin.lab.standins import EXAMPLE, Standins
 from chutepin.store import Store, StoreBusyError, StoreClosedError, StoreError, StoreFailedError, StoreFullError
-from chutepin.store.files import RealFile, RealFiles
+from chutepin.store.file_system import LocalFile, LocalFileSystem
 
 from .helper import ROOT
 from .test_node import on_sockets
 from .test_setup import chutepin
 
 
-class Disk(RealFiles):
+class Disk(LocalFileSystem):
     """The real directory; its syncs wait while `gate` is closed, and fail with `error`."""
 
     def __init__(self, directory: Path) -> None:
@@ -37,7 +37,7 @@
         self.error: OSError | None = None
         self.syncs = 0
 
-    def _gated(self, file: RealFile) -> RealFile:
+    def _gated(self, file: LocalFile) -> LocalFile:
         sync = file.sync
 
         def gated() -> None:
@@ -50,10 +50,10 @@
         file.sync = gated  # type: ignore[method-assign]
         return file
 
-    def open(self, name: str) -> RealFile:
+    def open(self, name: str) -> LocalFile:
         return self._gated(super().open(name))
 
-    def create(self, name: str) -> RealFile:
+    def create(self, name: str) -> LocalFile:
         return self._gated(super().create(name))
 
 
