--- a/benchmarks/operation.py
+++ b/benchmarks/operation.py
@@ -21,7 +21,7 @@
 from contextlib import AsyncExitStack
 from pathlib import Path
 
-from chutepin.handover.frames import Frames, key_frame
+from chutepin.handover.frames import Frames, encode_record
 from chutepin.idempotency import IdempotencyRecord
 from chutepin.lab.known import Known
 from chutepin.lab.standins import EXAMPLE, Balancer, Standins
@@ -130,7 +130,7 @@
     for number in range(count):
         entry = IdempotencyRecord(f"{number:032x}", f"{number:016x}", 1e9, bytes(16), f"{number:016x}")
         start = time.perf_counter()
-        writer.write(key_frame(entry))
+        writer.write(encode_record(entry))
         telling += time.perf_counter() - start
         if writer.transport.get_write_buffer_size():
             await writer.drain()
--- a/chutepin/admin/calls.py
+++ b/chutepin/admin/calls.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Awaitable, Callable, Mapping
 
-from ..lifecycle import Lifecycle, Move
+from ..lifecycle import Lifecycle, Transition
 from ..request_metrics import RequestMetrics
 from .exposition import exposition
 
@@ -79,11 +79,11 @@
         return success() + exposition(self._figures) + "EOT\n"
 
     def _drain(self) -> str:
-        return self._moved(Move.DRAIN, "drained: health checks are bad until resume, what comes is served")
+        return self._moved(Transition.DRAIN, "drained: health checks are bad until resume, what comes is served")
 
     def _resume(self) -> str:
-        return self._moved(Move.RESUME, "serving")
+        return self._moved(Transition.RESUME, "serving")
 
-    def _moved(self, move: Move, text: str) -> str:
+    def _moved(self, transition: Transition, text: str) -> str:
         before = self._lifecycle.state.value
-        return success(text) if self._lifecycle.move(move) else failure(f"not now, {before}")
+        return success(text) if self._lifecycle.apply(transition) else failure(f"not now, {before}")
--- a/chutepin/broker.py
+++ b/chutepin/broker.py
@@ -169,7 +169,7 @@
         self.metrics = RequestMetrics(self._classes)
         self._started = False
         self.began: Callable[[], None] = lambda: None  # told once the executor is up
-        self.twin: PeerProcess = NoPeerProcess()
+        self.peer: PeerProcess = NoPeerProcess()
         self._attempts: dict[str, Attempt] = {}
         self._reports: deque[facade.Report] = deque()
         self._reporting = False
@@ -249,19 +249,19 @@
             self._answer_now(request.cls, caller, Answer(verdict, value=self._value))
             return
         standing = (
-            self.twin.standing(now) if cls.idempotency is Idempotency.KEYED and entry is None else KeyOwnership.OWNS
+            self.peer.standing(now) if cls.idempotency is Idempotency.KEYED and entry is None else KeyOwnership.OWNED
         )
-        if standing is KeyOwnership.CLOSED:  # it may have run in a process that can't be asked
+        if standing is KeyOwnership.IN_DOUBT:  # it may have run in a process that can't be asked
             self._counters.add("keys.closed")
             self._answer_now(request.cls, caller, Answer(Verdict.FAILED, value=self._value))
             return
         # Guards what the module learns from the wait, and the windows of keys, against times that cannot be.
         request.arrived = max(now - cls.deadline, min(now, request.arrived))
         attempt = self._attempts[request.id] = Attempt(request, caller, cls.idempotency)
-        if standing is KeyOwnership.ASKS:
+        if standing is KeyOwnership.ASK_PEER:
             attempt.phase = Phase.ASKING
             self._due_at(request.id, min(request.due, now + ASK_BY))
-            self.twin.ask(request.id, request.key or "", _contents(request), request.arrived + cls.window)
+            self.peer.ask(request.id, request.key or "", _contents(request), request.arrived + cls.window)
             return
         self._offer(attempt, entry)
 
--- a/chutepin/handover/frames.py
+++ b/chutepin/handover/frames.py
@@ -63,7 +63,7 @@
     return line(verb, body=json.dumps(fields, separators=(",", ":")).encode())
 
 
-def key_frame(entry: IdempotencyRecord) -> bytes:
+def encode_record(entry: IdempotencyRecord) -> bytes:
     """An entry as its owner has it. Bytes travel as Latin-1 text."""
     return frame(
         "KEY",
@@ -77,7 +77,7 @@
     )
 
 
-def key_entry(fields: dict[str, Any]) -> IdempotencyRecord:
+def decode_record(fields: dict[str, Any]) -> IdempotencyRecord:
     """The entry of a frame. Raises ProtocolError."""
     try:
         ran, end = fields["ran"], fields["end"]
--- a/chutepin/handover/link.py
+++ b/chutepin/handover/link.py
@@ -15,9 +15,9 @@
 from ..counters import Counters
 from ..logs import Log
 from ..net.lines import ProtocolError
-from .dialogue import Dialogue
 from .frames import VERSION, Frame, Frames, frame
-from .succession import Stage
+from .session import HandoverSession
+from .state_machine import Stage
 
 USE_EVERY = 0.05  # seconds between tellings of what this process uses
 AGAIN_AFTER = 0.3  # seconds between looks at a meeting place whose owner did not hand over
@@ -27,7 +27,7 @@
 MAX_PATH = 100  # bytes of a Unix socket's path; the system takes 107
 
 
-def meeting_place(directory: str, node: str, address: str) -> str:
+def rendezvous_path(directory: str, node: str, address: str) -> str:
     """The path at which the processes of one node meet; no other node's is the same."""
     name = hashlib.blake2b(f"{node} {address}".encode(), digest_size=8).hexdigest()
     return str(Path(directory) / f"chutepin-{name}")
@@ -60,19 +60,19 @@
 
 
 class Handover:
-    """Carries the dialogue over a Unix socket."""
+    """Carries the session over a Unix socket."""
 
     def __init__(
         self,
         path: str,
-        dialogue: Dialogue,
+        session: HandoverSession,
         listeners: Callable[[], list[socket.socket]],
         clock: Clock,
         counters: Counters,
         log: Log,
     ) -> None:
         """`listeners`: the clients' listening sockets, for a successor."""
-        self._path, self.dialogue, self._listeners = path, dialogue, listeners
+        self._path, self.session, self._listeners = path, session, listeners
         self._clock, self._counters, self._log = clock, counters, log
         self.serves: Callable[[], Awaitable[None]]  # has this process accept; may be asked again
         self.expected = answers(path)  # a predecessor lives
@@ -96,10 +96,10 @@
             while True:
                 await asyncio.sleep(USE_EVERY)
                 self._look()
-                if self._stage is Stage.CUT_OFF and self._turn > looked + AGAIN_AFTER:
+                if self._stage is Stage.DISCONNECTED and self._turn > looked + AGAIN_AFTER:
                     looked = self._turn
                     if not answers(self._path):
-                        self.dialogue.gone()
+                        self.session.gone()
                         await self._listen()
         finally:
             self._leaving = True
@@ -109,20 +109,20 @@
 
     @property
     def _stage(self) -> Stage:
-        return self.dialogue.succession.stage
+        return self.session.machine.stage
 
     def _look(self) -> None:
         """What must be done now and then."""
         now = self._turn = self._clock.now()
         if self._writer is None:
             return
-        self._stuck_since = None if self.dialogue.tell_use() else self._stuck_since or now
+        self._stuck_since = None if self.session.tell_use() else self._stuck_since or now
         if self._stuck_since is not None and now > self._stuck_since + STUCK_BY:
             self._counters.add("handover.stuck")
             self._writer.transport.abort()
 
     def _linked(self, writer: asyncio.StreamWriter) -> None:
-        """A link stands: the dialogue may write."""
+        """A link stands: the session may write."""
 
         def send(data: bytes) -> bool | None:
             if not writer.transport.is_closing():
@@ -131,7 +131,7 @@
                 return None
             return writer.transport.get_write_buffer_size() == 0
 
-        self._writer, self.dialogue.send, self._stuck_since = writer, send, None
+        self._writer, self.session.send, self._stuck_since = writer, send, None
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         task = asyncio.get_running_loop().create_task(work)
@@ -182,18 +182,18 @@
         """Meet the predecessor until it has handed over or gone. Apart from it, serve meanwhile."""
         while True:
             await self._meet()
-            if self._stage in (Stage.OWNER, Stage.ALONE):
+            if self._stage in (Stage.TAKEN_OVER, Stage.ALONE):
                 return
-            if self._stage is Stage.APART:
+            if self._stage is Stage.UNCOORDINATED:
                 await self.serves()
             await asyncio.sleep(AGAIN_AFTER)
             if not answers(self._path):
-                self.dialogue.gone()
+                self.session.gone()
                 return
 
     async def _meet(self) -> None:
         """One meeting, from HELLO to YOURS or the end of the link."""
-        loop, succession = asyncio.get_running_loop(), self.dialogue.succession
+        loop, machine = asyncio.get_running_loop(), self.session.machine
         sock = socket.socket(socket.AF_UNIX)
         sock.setblocking(False)
         try:
@@ -203,10 +203,10 @@
         except OSError:
             sock.close()
             return
-        succession.met(self._clock.now())
+        machine.met(self._clock.now())
         frames = Frames()
         try:
-            async with asyncio.timeout_at(loop.time() + succession.by - self._clock.now()):
+            async with asyncio.timeout_at(loop.time() + machine.by - self._clock.now()):
                 data, sockets = await self._first(sock)
             frames.feed(data)
             for old in self.sockets:
@@ -216,14 +216,14 @@
         except (OSError, TimeoutError, ProtocolError) as error:
             sock.close()
             self._log.event("handover.not_met", why=str(error) or "no answer in time")
-            self.dialogue.lost(answers(self._path))
+            self.session.lost(answers(self._path))
             return
         self._linked(writer)
         following = self._spawn(self._follow(reader, frames))  # until the predecessor ends
-        while not following.done() and self._stage is not Stage.OWNER:
+        while not following.done() and self._stage is not Stage.TAKEN_OVER:
             await asyncio.wait([following], timeout=USE_EVERY)
             self._look()
-            if self._clock.now() > succession.by:
+            if self._clock.now() > machine.by:
                 self._log.event("handover.stalled", stage=self._stage.value)
                 writer.transport.abort()
                 await following
@@ -250,9 +250,9 @@
                 while not refused and (message := frames.next()) is not None:
                     if message[0] == "NO":
                         refused = True
-                        self.dialogue.succession.turned_away(self._clock.now(), bool(message[1].get("busy")))
+                        self.session.machine.turned_away(self._clock.now(), bool(message[1].get("busy")))
                     else:
-                        self.dialogue.hear(message)
+                        self.session.hear(message)
                 if not refused:
                     data = await reader.read(65536)
                     if not data:
@@ -265,10 +265,10 @@
                 self._writer.transport.abort()
             self._writer = None
             if refused:
-                self.dialogue.send = None
+                self.session.send = None
                 self._counters.add("handover.refused")
             else:
-                self.dialogue.lost(self._stage is not Stage.OWNER and answers(self._path))
+                self.session.lost(self._stage is not Stage.TAKEN_OVER and answers(self._path))
             self._log.event("handover.predecessor_gone", stage=self._stage.value)
 
     # --- the older process ---
@@ -281,7 +281,7 @@
                 frames.feed(data)
                 while (message := frames.next()) is not None:
                     if mine:
-                        self.dialogue.hear(message)
+                        self.session.hear(message)
                     elif not (mine := self._hello(message, writer)):
                         return
         except (OSError, ProtocolError) as error:
@@ -297,7 +297,7 @@
         if verb != "HELLO" or fields.get("version") != VERSION:
             writer.write(frame("NO", why="another version", version=VERSION))
             return False
-        if not self.dialogue.succession.joined():
+        if not self.session.machine.joined():
             writer.write(frame("NO", why="another successor", busy=True))
             return False
         self._counters.add("handover.successors")
@@ -307,7 +307,7 @@
             with socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())) as link:
                 socket.send_fds(link, [frame("HERE", version=VERSION)], [s.fileno() for s in self._listeners()])
         except OSError:  # it has gone already, as one does that waited in vain for a process that stood still
-            self.dialogue.left(False, 0.0)
+            self.session.left(False, 0.0)
             raise
         self._linked(writer)
         self._spawn(self._tell(writer))
@@ -316,21 +316,21 @@
     async def _tell(self, writer: asyncio.StreamWriter) -> None:
         """Tell a successor all keys, no more at a time than it reads."""
         with contextlib.suppress(OSError):
-            for data in self.dialogue.snapshot():
+            for data in self.session.snapshot():
                 writer.write(data)
                 if writer.transport.get_write_buffer_size():
                     await writer.drain()
             while writer.transport.get_write_buffer_size() and not writer.transport.is_closing():
                 await asyncio.sleep(TAKEN)
             if self._writer is writer:  # not of a successor that came after the one that this was for
-                self.dialogue.synced()
+                self.session.synced()
 
     async def _left(self) -> None:
         """The link to the successor is gone."""
         self._writer = None
         # A process that has yielded still answers there, lest a successor that did not hear of it takes it for dead;
         # who serves in its place has put its own file there.
-        self.dialogue.left(not self._found() and answers(self._path), self._clock.now() - self._turn)
+        self.session.left(not self._found() and answers(self._path), self._clock.now() - self._turn)
         self._log.event("handover.successor_gone", stage=self._stage.value)
         if self._stage is Stage.ALONE and not self._found():
             await self._listen()
--- a/chutepin/handover/dialogue.py
+++ b/chutepin/handover/session.py
@@ -9,8 +9,8 @@
 from ..counters import Counters
 from ..idempotency import IdempotencyRecord, KeyOwnership
 from ..net.lines import ProtocolError
-from .frames import Frame, frame, key_entry, key_frame
-from .succession import OWNING, Stage, Succession
+from .frames import Frame, decode_record, encode_record, frame
+from .state_machine import OWNING, HandoverStateMachine, Stage
 
 
 class Host(Protocol):
@@ -42,12 +42,12 @@
         """The successor has gone: accept again."""
 
 
-class Dialogue:
+class HandoverSession:
     """One process's side. It is the core's `keys.PeerProcess`, and what the table of keys tells."""
 
-    def __init__(self, host: Host, succession: Succession, clock: Clock, counters: Counters) -> None:
+    def __init__(self, host: Host, machine: HandoverStateMachine, clock: Clock, counters: Counters) -> None:
         self._host, self._clock, self._counters = host, clock, counters
-        self.succession = succession
+        self.machine = machine
         # Writes to the other process: true where the kernel has all of it, None where the link has ended and nobody was
         # told yet. None itself without a link.
         self.send: Callable[[bytes], bool | None] | None = None
@@ -58,7 +58,7 @@
 
     def standing(self, now: float) -> KeyOwnership:
         """Who may take a key that is not known here."""
-        return self.succession.standing(now)
+        return self.machine.standing(now)
 
     def ask(self, id: str, key: str, contents: bytes, until: float) -> None:
         """Ask the owner of the keys."""
@@ -69,12 +69,12 @@
         """An entry of this process has changed. True once the other process is sure to hear of it: the bytes are in the
         kernel's hands, or there is no other process."""
         if self.send is None:
-            return self.succession.stage is not Stage.CUT_OFF
-        sure = self.send(frame("DROP", key=key) if entry is None else key_frame(entry))
+            return self.machine.stage is not Stage.DISCONNECTED
+        sure = self.send(frame("DROP", key=key) if entry is None else encode_record(entry))
         if sure is None:  # the owner of the keys goes on alone: the other one runs none without a link
-            return self.succession.stage in OWNING
+            return self.machine.stage in OWNING
         # A successor that was not told all yet takes no key if this process dies now.
-        return sure or (self.succession.stage is Stage.TELLING and not self._whole)
+        return sure or (self.machine.stage is Stage.SENDING_KEYS and not self._whole)
 
     def _say(self, data: bytes) -> bool:
         return self.send is not None and bool(self.send(data))
@@ -89,7 +89,7 @@
     def hear(self, message: Frame) -> None:
         """Take in a frame of the other process. Raises ProtocolError."""
         verb, fields = message
-        self.succession.heard(self._clock.now(), verb)
+        self.machine.heard(self._clock.now(), verb)
         try:
             self._said(verb, fields)
         except (KeyError, TypeError, ValueError) as error:
@@ -98,17 +98,17 @@
     def _said(self, verb: str, fields: dict[str, Any]) -> None:
         match verb:
             case "KEY":
-                self._host.heard(key_entry(fields))
+                self._host.heard(decode_record(fields))
             case "DROP":
                 self._host.unheard(str(fields["key"]))
             case "USE":
                 self._host.elsewhere(int(fields["running"]), float(fields["memory"]), int(fields["descriptors"]))
             case "SYNCED":
-                self.succession.closed_until = float(fields["closed_until"])  # what it does not know, nobody knows
+                self.machine.closed_until = float(fields["closed_until"])  # what it does not know, nobody knows
                 self._take()
             case "LEARNED":
                 self._host.adopt(fields)
-            case "TAKES" if self.succession.taken():
+            case "TAKES" if self.machine.taken():
                 self._counters.add("handover.yielded")
                 self._host.yield_ownership()
                 self._say(frame("LEARNED", **self._host.learned()))
@@ -130,13 +130,13 @@
         self._take()
 
     def _take(self) -> None:
-        if self._welcomed and self.succession.takes(self._clock.now()):
+        if self._welcomed and self.machine.takes(self._clock.now()):
             self._say(frame("TAKES"))
 
     def lost(self, alive: bool) -> None:
         """The link to the predecessor has ended."""
         self._over()
-        self.succession.lost(self._clock.now(), alive)
+        self.machine.lost(self._clock.now(), alive)
         self._host.orphaned()
 
     # --- the older process ---
@@ -146,28 +146,28 @@
         self._whole = False
         for entry in self._host.entries():
             if self._host.current(entry):
-                yield key_frame(entry)
+                yield encode_record(entry)
 
     def synced(self) -> None:
         """All keys were told. To be called once the kernel has taken them: from here on a key runs only if the kernel
         takes its claim at once."""
         self._whole = True
-        self._say(frame("SYNCED", closed_until=max(0.0, self.succession.closed_until)))
+        self._say(frame("SYNCED", closed_until=max(0.0, self.machine.closed_until)))
 
     def left(self, alive: bool, stood: float) -> None:
         """The link to the successor has ended."""
-        yielded = self.succession.stage is Stage.YIELDED
+        yielded = self.machine.stage is Stage.YIELDED
         self._over()
-        self.succession.left(self._clock.now(), yielded and alive, stood)
+        self.machine.left(self._clock.now(), yielded and alive, stood)
         if yielded:
             self._host.orphaned()
-        if yielded and self.succession.stage is Stage.ALONE:
+        if yielded and self.machine.stage is Stage.ALONE:
             self._host.resume_ownership()
 
     def gone(self) -> None:
         """The other process, which lived without a link to this one, has gone."""
-        cut_off = self.succession.stage is Stage.CUT_OFF
-        self.succession.gone(self._clock.now())
+        cut_off = self.machine.stage is Stage.DISCONNECTED
+        self.machine.gone(self._clock.now())
         if cut_off:
             self._host.resume_ownership()
 
--- a/chutepin/handover/succession.py
+++ b/chutepin/handover/state_machine.py
@@ -18,23 +18,23 @@
     ALONE = "alone"
     # the newer one
     WAITING = "waiting"  # a third process is between the two: not serving until it is met or gone
-    MEETING = "meeting"  # HELLO was said
-    LEARNING = "learning"  # keys are being told
+    HELLO_SENT = "hello sent"  # to a predecessor that has not answered
+    RECEIVING_KEYS = "learning"  # keys are being told
     SYNCED = "synced"  # all was told; the executor may not have welcomed yet
-    TAKING = "taking"  # TAKES was said
-    OWNER = "owner"  # serves; the predecessor finishes
-    APART = "apart"  # serves without having met a predecessor that lives
+    TAKEOVER_REQUESTED = "taking"  # TAKES was said
+    TAKEN_OVER = "owner"  # serves; the predecessor finishes
+    UNCOORDINATED = "apart"  # serves without having met a predecessor that lives
     # the older one
-    TELLING = "telling"  # a successor is there and not ready
+    SENDING_KEYS = "telling"  # a successor is there and not ready
     YIELDED = "yielded"  # the successor serves
-    CUT_OFF = "cut off"  # the successor serves, and the link to it is gone
+    DISCONNECTED = "cut off"  # the successor serves, and the link to it is gone
 
 
-SERVING = frozenset({Stage.ALONE, Stage.OWNER, Stage.APART, Stage.TELLING})
-OWNING = frozenset({Stage.ALONE, Stage.OWNER, Stage.TELLING})
+SERVING = frozenset({Stage.ALONE, Stage.TAKEN_OVER, Stage.UNCOORDINATED, Stage.SENDING_KEYS})
+OWNING = frozenset({Stage.ALONE, Stage.TAKEN_OVER, Stage.SENDING_KEYS})
 
 
-class Succession:
+class HandoverStateMachine:
     """The stages of one process."""
 
     def __init__(self, window: float) -> None:
@@ -52,27 +52,27 @@
     def standing(self, now: float) -> KeyOwnership:
         """Who may take a key that this process does not know."""
         if self.stage is Stage.YIELDED:
-            return KeyOwnership.ASKS
-        return KeyOwnership.OWNS if self.stage in OWNING and now >= self.closed_until else KeyOwnership.CLOSED
+            return KeyOwnership.ASK_PEER
+        return KeyOwnership.OWNED if self.stage in OWNING and now >= self.closed_until else KeyOwnership.IN_DOUBT
 
     # --- the newer process ---
 
     def met(self, now: float) -> None:
         """A predecessor was found and HELLO was said."""
-        self.stage, self.by = Stage.MEETING, now + ANSWER_BY
+        self.stage, self.by = Stage.HELLO_SENT, now + ANSWER_BY
 
     def turned_away(self, now: float, busy: bool) -> None:
         """It does not hand over: another successor is at work, or it is of another version."""
-        self.stage, self.by = Stage.WAITING if busy else Stage.APART, math.inf
+        self.stage, self.by = Stage.WAITING if busy else Stage.UNCOORDINATED, math.inf
 
     def heard(self, now: float, verb: str) -> None:
         """It said something."""
-        if verb == "HERE" and self.stage is Stage.MEETING:
-            self.stage = Stage.LEARNING
-        elif verb == "SYNCED" and self.stage is Stage.LEARNING:
+        if verb == "HERE" and self.stage is Stage.HELLO_SENT:
+            self.stage = Stage.RECEIVING_KEYS
+        elif verb == "SYNCED" and self.stage is Stage.RECEIVING_KEYS:
             self.stage, self.by = Stage.SYNCED, math.inf
-        elif verb == "YOURS" and self.stage is Stage.TAKING:
-            self.stage, self.by = Stage.OWNER, math.inf
+        elif verb == "YOURS" and self.stage is Stage.TAKEOVER_REQUESTED:
+            self.stage, self.by = Stage.TAKEN_OVER, math.inf
         if self.by < math.inf:
             self.by = now + WORD_BY
 
@@ -80,15 +80,15 @@
         """The executor has welcomed: whether TAKES is to be said now."""
         if self.stage is not Stage.SYNCED:
             return False
-        self.stage, self.by = Stage.TAKING, now + WORD_BY
+        self.stage, self.by = Stage.TAKEOVER_REQUESTED, now + WORD_BY
         return True
 
     def lost(self, now: float, alive: bool) -> None:
         """The link to the predecessor is gone or given up; `alive`: it still answers at the meeting place."""
-        told = self.stage in (Stage.SYNCED, Stage.TAKING, Stage.OWNER)
-        if alive and self.stage is not Stage.OWNER:
+        told = self.stage in (Stage.SYNCED, Stage.TAKEOVER_REQUESTED, Stage.TAKEN_OVER)
+        if alive and self.stage is not Stage.TAKEN_OVER:
             # It lives and was not heard to yield: it goes on owning the keys.
-            self.stage, self.by = Stage.APART, math.inf
+            self.stage, self.by = Stage.UNCOORDINATED, math.inf
             return
         if not told and self.stage is not Stage.WAITING:
             self.closed_until = now + self._window
@@ -96,7 +96,7 @@
 
     def gone(self, now: float) -> None:
         """Nobody answers at the meeting place any more."""
-        if self.stage in (Stage.APART, Stage.CUT_OFF, Stage.WAITING):
+        if self.stage in (Stage.UNCOORDINATED, Stage.DISCONNECTED, Stage.WAITING):
             self.closed_until = now + self._window
             self.stage, self.by = Stage.ALONE, math.inf
 
@@ -106,12 +106,12 @@
         """A successor says HELLO; false where there is one already or this process does not own the keys."""
         if self.stage is not Stage.ALONE:
             return False
-        self.stage = Stage.TELLING
+        self.stage = Stage.SENDING_KEYS
         return True
 
     def taken(self) -> bool:
         """The successor says TAKES."""
-        if self.stage is not Stage.TELLING:
+        if self.stage is not Stage.SENDING_KEYS:
             return False
         self.stage = Stage.YIELDED
         return True
@@ -120,7 +120,7 @@
         """The link to the successor is gone. `stood`: seconds since the last turn of this process's loop. A successor
         that could not be heard for that long may have gone on by itself."""
         if self.stage is Stage.YIELDED and alive:
-            self.stage = Stage.CUT_OFF
+            self.stage = Stage.DISCONNECTED
             return
         if self.stage is Stage.YIELDED and stood >= STALLED:
             self.closed_until = now + self._window
--- a/chutepin/idempotency/__init__.py
+++ b/chutepin/idempotency/__init__.py
@@ -4,11 +4,11 @@
 an upgrade, `handover` tells each of the other's changes and decides who may claim a key."""
 
 from .peer import KeyOwnership, NoPeerProcess, PeerProcess
-from .table import KEY_GRACE, KEY_SLACK, IdempotencyRecord, IdempotencyTable
+from .table import KEY_GRACE_S, KEY_SLACK_S, IdempotencyRecord, IdempotencyTable
 
 __all__ = [
-    "KEY_GRACE",
-    "KEY_SLACK",
+    "KEY_GRACE_S",
+    "KEY_SLACK_S",
     "IdempotencyRecord",
     "IdempotencyTable",
     "KeyOwnership",
--- a/chutepin/idempotency/peer.py
+++ b/chutepin/idempotency/peer.py
@@ -9,9 +9,9 @@
 class KeyOwnership(Enum):
     """Who may take a key that is not in the table."""
 
-    OWNS = "this process"
-    ASKS = "the other process, which must be asked"
-    CLOSED = "nobody, as it can't be known whether it ran"
+    OWNED = "this process"
+    ASK_PEER = "the other process, which must be asked"
+    IN_DOUBT = "nobody, as it can't be known whether it ran"
 
 
 class PeerProcess(Protocol):
@@ -28,7 +28,7 @@
 
     def standing(self, now: float) -> KeyOwnership:
         """All keys are this process's."""
-        return KeyOwnership.OWNS
+        return KeyOwnership.OWNED
 
     def ask(self, id: str, key: str, contents: bytes, until: float) -> None:
         """Never called: the standing says so."""
--- a/chutepin/idempotency/table.py
+++ b/chutepin/idempotency/table.py
@@ -8,8 +8,8 @@
 from ..facade import End
 
 KEY_BYTES = 1024  # that an entry takes, its result apart
-KEY_SLACK = 0.1  # seconds that a window is stretched by: an entry may outlive its window, never the reverse
-KEY_GRACE = 5.0  # an entry stays this long after its window, for tries that came in time but are read late
+KEY_SLACK_S = 0.1  # seconds that a window is stretched by: an entry may outlive its window, never the reverse
+KEY_GRACE_S = 5.0  # an entry stays this long after its window, for tries that came in time but are read late
 
 
 @dataclass(slots=True)
@@ -56,8 +56,8 @@
         entry = self.entries.get(key)
         if entry is None or (entry.ran is not None and arrived > entry.until):
             self._outlive(entry)
-            entry = self.entries[key] = IdempotencyRecord(key, holder, until + KEY_SLACK, b"")
-        entry.until = max(entry.until, until + KEY_SLACK)
+            entry = self.entries[key] = IdempotencyRecord(key, holder, until + KEY_SLACK_S, b"")
+        entry.until = max(entry.until, until + KEY_SLACK_S)
         if entry.ran is None:
             entry.holder, entry.contents, entry.foreign = holder, contents, False
         self.told(key, entry)
@@ -81,7 +81,7 @@
         entry = self.entries.get(key)
         if entry is None or entry.holder != holder or entry.ran is not None or entry.foreign:
             return False
-        entry.ran, entry.until = holder, max(entry.until, until + KEY_SLACK)
+        entry.ran, entry.until = holder, max(entry.until, until + KEY_SLACK_S)
         if self.told(key, entry):
             return True
         entry.ran = None  # the other process may not hear of it: it must not run
@@ -118,7 +118,7 @@
         def open_here(entry: IdempotencyRecord) -> bool:
             return entry.end is None and alive(entry.ran or entry.holder)
 
-        return [e for e in self.entries.values() if e.until + KEY_GRACE < now and not open_here(e)]
+        return [e for e in self.entries.values() if e.until + KEY_GRACE_S < now and not open_here(e)]
 
     # --- the node's other process ---
 
--- a/chutepin/lifecycle.py
+++ b/chutepin/lifecycle.py
@@ -16,35 +16,35 @@
     LEAVING = "leaving"  # told to end
 
 
-class Move(Enum):
+class Transition(Enum):
     """What may change the state."""
 
     CAN_SERVE = "can serve"
     DRAIN = "drain"
     RESUME = "resume"
-    SUCCEEDED = "succeeded"  # a successor can serve
-    ALONE = "alone"  # the successor has gone
+    SUCCESSOR_READY = "successor ready"  # a successor can serve
+    SUCCESSOR_LOST = "successor lost"  # the successor has gone
     LEAVE = "leave"
 
 
 # Every legal move; what is not here changes nothing and is told to be refused.
-TABLE: dict[State, dict[Move, State]] = {
-    State.STARTING: {Move.CAN_SERVE: State.SERVING, Move.LEAVE: State.LEAVING},
+TRANSITIONS: dict[State, dict[Transition, State]] = {
+    State.STARTING: {Transition.CAN_SERVE: State.SERVING, Transition.LEAVE: State.LEAVING},
     State.SERVING: {
-        Move.CAN_SERVE: State.SERVING,
-        Move.DRAIN: State.DRAINED,
-        Move.RESUME: State.SERVING,
-        Move.SUCCEEDED: State.HANDING_OVER,
-        Move.LEAVE: State.LEAVING,
+        Transition.CAN_SERVE: State.SERVING,
+        Transition.DRAIN: State.DRAINED,
+        Transition.RESUME: State.SERVING,
+        Transition.SUCCESSOR_READY: State.HANDING_OVER,
+        Transition.LEAVE: State.LEAVING,
     },
     State.DRAINED: {
-        Move.DRAIN: State.DRAINED,
-        Move.RESUME: State.SERVING,
-        Move.SUCCEEDED: State.HANDING_OVER,
-        Move.LEAVE: State.LEAVING,
+        Transition.DRAIN: State.DRAINED,
+        Transition.RESUME: State.SERVING,
+        Transition.SUCCESSOR_READY: State.HANDING_OVER,
+        Transition.LEAVE: State.LEAVING,
     },
-    State.HANDING_OVER: {Move.ALONE: State.SERVING, Move.LEAVE: State.LEAVING},
-    State.LEAVING: {Move.LEAVE: State.LEAVING},
+    State.HANDING_OVER: {Transition.SUCCESSOR_LOST: State.SERVING, Transition.LEAVE: State.LEAVING},
+    State.LEAVING: {Transition.LEAVE: State.LEAVING},
 }
 
 
@@ -55,12 +55,12 @@
         self.state = State.STARTING
         self.handed_over = False  # a successor was serving when the process was told to leave
 
-    def move(self, move: Move) -> bool:
+    def apply(self, transition: Transition) -> bool:
         """Make a move; false, and no change, where the present state does not allow it."""
-        after = TABLE[self.state].get(move)
+        after = TRANSITIONS[self.state].get(transition)
         if after is None:
             return False
-        if move is Move.LEAVE and self.state is State.HANDING_OVER:
+        if transition is Transition.LEAVE and self.state is State.HANDING_OVER:
             self.handed_over = True
         self.state = after
         return True
--- a/chutepin/node.py
+++ b/chutepin/node.py
@@ -19,9 +19,9 @@
 from .clock import Clock
 from .config import AdmissionSetup, AmqpConfig, Config, ConfigError, Setup, StoreSetup, load, load_setup
 from .counters import Counters
-from .handover import Dialogue, Handover, Succession, meeting_place
+from .handover import Handover, HandoverSession, HandoverStateMachine, rendezvous_path
 from .idempotency import IdempotencyRecord
-from .lifecycle import Lifecycle, Move
+from .lifecycle import Lifecycle, Transition
 from .logs import Log, LogFormat
 from .net.control import Reporter
 from .net.executor import ExecutorLink, Session
@@ -234,10 +234,10 @@
         """Build the hand-over between two processes of this node, which meet at a socket in this directory."""
         config = self.config
         window = max((cls.window for cls in config.settings.classes), default=0.0)
-        path = meeting_place(directory, config.name, f"{config.listen.host}:{config.listen.port}")
-        dialogue = Dialogue(_HandoverHost(self), Succession(window), self.clock, self.counters)
-        self.broker.twin, self.broker.keys.told = dialogue, dialogue.told
-        handover = Handover(path, dialogue, self._listening_sockets, self.clock, self.counters, self.log)
+        path = rendezvous_path(directory, config.name, f"{config.listen.host}:{config.listen.port}")
+        session = HandoverSession(_HandoverHost(self), HandoverStateMachine(window), self.clock, self.counters)
+        self.broker.peer, self.broker.keys.told = session, session.told
+        handover = Handover(path, session, self._listening_sockets, self.clock, self.counters, self.log)
         handover.serves = self._serve
         return handover
 
@@ -390,9 +390,9 @@
     def _began(self) -> None:
         """The executor is up."""
         if self.handover is not None:
-            self.handover.dialogue.welcomed()
+            self.handover.session.welcomed()
         if self._serving:
-            self.lifecycle.move(Move.CAN_SERVE)
+            self.lifecycle.apply(Transition.CAN_SERVE)
 
     async def _serve(self) -> None:
         """Accept balancers, on the sockets of a predecessor where it passed them. Raises OSError at the start only:
@@ -420,7 +420,7 @@
             for part in self.subsystems:
                 part.start()
         if self.broker.started:
-            self.lifecycle.move(Move.CAN_SERVE)
+            self.lifecycle.apply(Transition.CAN_SERVE)
 
     def _listening_sockets(self) -> list[socket.socket]:
         """The listening sockets that a successor is to have."""
@@ -475,7 +475,7 @@
     async def _leave(self) -> None:
         """Serve through the grace, say goodbye, and go once all is answered and the balancers have closed."""
         self.log.event("leaves")
-        self.lifecycle.move(Move.LEAVE)
+        self.lifecycle.apply(Transition.LEAVE)
         if self.lifecycle.handed_over:
             await self._finish()
             return
@@ -536,14 +536,14 @@
 
     def yield_ownership(self) -> None:
         """A successor serves."""
-        self._node.lifecycle.move(Move.SUCCEEDED)
+        self._node.lifecycle.apply(Transition.SUCCESSOR_READY)
         self._node.front.yield_ownership()
         for part in self._node.subsystems:
             part.yield_ownership()
 
     def resume_ownership(self) -> None:
         """It has gone."""
-        self._node.lifecycle.move(Move.ALONE)
+        self._node.lifecycle.apply(Transition.SUCCESSOR_LOST)
         self._node.front.resume_ownership()
         for part in self._node.subsystems:
             part.resume_ownership()
--- a/tests/data/make_stored_bytes.py
+++ b/tests/data/make_stored_bytes.py
@@ -30,7 +30,7 @@
 from chutepin.consensus.messages import Entry, Kind, Persist, Snapshot, Voters
 from chutepin.consensus.replica import Proposal, Replica, new_id, pack
 from chutepin.facade import End
-from chutepin.handover.frames import frame, key_frame
+from chutepin.handover.frames import encode_record, frame
 from chutepin.idempotency import IdempotencyRecord as KeyEntry
 from chutepin.store.engine import Engine
 from chutepin.store.files import RealFiles
@@ -276,10 +276,10 @@
     yield "HERE", frame("HERE", version=1)
     yield "NO", frame("NO", why="another version", version=1)
     yield "NO, busy", frame("NO", why="another successor", busy=True)
-    yield "KEY", key_frame(entry)
-    yield "KEY, not run", key_frame(KeyEntry("key", "try-2", 0.25, b""))
+    yield "KEY", encode_record(entry)
+    yield "KEY, not run", encode_record(KeyEntry("key", "try-2", 0.25, b""))
     for end in End:
-        yield f"KEY, {end.value}", key_frame(KeyEntry("key", "try-1", 7.5, b"\x01", "try-1", end, b"result"))
+        yield f"KEY, {end.value}", encode_record(KeyEntry("key", "try-1", 7.5, b"\x01", "try-1", end, b"result"))
     yield "DROP", frame("DROP", key="tenant key \u00e9")
     yield "LEARNED", frame("LEARNED", **learned())
     yield "SYNCED", frame("SYNCED", closed_until=99.75)
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -11,7 +11,7 @@
 
 from chutepin import broker
 from chutepin.facade import End
-from chutepin.idempotency import KEY_GRACE
+from chutepin.idempotency import KEY_GRACE_S
 
 from .helper import STEPS, WINDOW, Core
 
@@ -94,7 +94,7 @@
     assert 45 <= taken.index("refused") <= 50
     core.pick("again", "work-order", key="k0")
     assert core.words("again") == ["served"]  # what ran is never turned away
-    core.pass_time(WINDOW + KEY_GRACE + 2.0)
+    core.pass_time(WINDOW + KEY_GRACE_S + 2.0)
     assert not core.broker.keys.entries and not core.broker.keys.results
     core.pick("new", "work-order", key="new")
     assert core.ports.ids("exec")[-1] == "new"
--- a/tests/test_frame_bytes.py
+++ b/tests/test_frame_bytes.py
@@ -149,7 +149,7 @@
 def test_a_kept_entry_of_a_key_is_read_and_written_the_same(name: str) -> None:
     data = kept("hand-over")[name]
     ((_, fields),) = read(data)
-    assert handover.key_frame(handover.key_entry(fields)) == data
+    assert handover.encode_record(handover.decode_record(fields)) == data
 
 
 def test_no_end_of_a_run_is_forgotten() -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -21,8 +21,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from chutepin.facade import End
-from chutepin.handover import Dialogue, Stage, Succession, meeting_place
-from chutepin.handover.frames import Frames, frame, key_entry, key_frame
+from chutepin.handover import HandoverSession, HandoverStateMachine, Stage, rendezvous_path
+from chutepin.handover.frames import Frames, decode_record, encode_record, frame
 from chutepin.handover.link import answers
 from chutepin.idempotency import IdempotencyRecord, KeyOwnership
 from chutepin.lab.standins import PATIENCE, Balancer, eventually, free_port
@@ -36,69 +36,73 @@
 
 def test_frames_in_any_pieces_and_what_no_peer_says() -> None:
     entry = IdempotencyRecord("k", "id", 7.25, b"\x00\xff", "id", End.OK, bytes(range(256)))
-    data = key_frame(entry) + frame("SYNCED", closed_until=0)
+    data = encode_record(entry) + frame("SYNCED", closed_until=0)
     frames, got = Frames(), []
     for byte in data:
         frames.feed(bytes([byte]))
         while (message := frames.next()) is not None:
             got.append(message)
-    assert [verb for verb, _ in got] == ["KEY", "SYNCED"] and key_entry(got[0][1]) == entry
+    assert [verb for verb, _ in got] == ["KEY", "SYNCED"] and decode_record(got[0][1]) == entry
     for bad in (b"WHAT 2\r\n{}\r\n", b"KEY 1\r\n{\r\n", b"KEY 2\r\n[]\r\n", b"KEY 999999999\r\n", b"x" * 600):
         frames = Frames()
         frames.feed(bad)
         with pytest.raises(ProtocolError):
             frames.next()
     with pytest.raises(ProtocolError):
-        key_entry({"key": "k"})
+        decode_record({"key": "k"})
 
 
-def at(stage: Stage) -> Succession:
-    succession = Succession(44.0)
-    succession.stage = stage
-    return succession
+def at(stage: Stage) -> HandoverStateMachine:
+    machine = HandoverStateMachine(44.0)
+    machine.stage = stage
+    return machine
 
 
 def test_who_owns_the_keys_at_every_stage() -> None:
     owning = {stage: at(stage).standing(0.0) for stage in Stage}
-    assert {s for s, o in owning.items() if o is KeyOwnership.OWNS} == {Stage.ALONE, Stage.OWNER, Stage.TELLING}
-    assert [s for s, o in owning.items() if o is KeyOwnership.ASKS] == [Stage.YIELDED]
+    assert {s for s, o in owning.items() if o is KeyOwnership.OWNED} == {
+        Stage.ALONE,
+        Stage.TAKEN_OVER,
+        Stage.SENDING_KEYS,
+    }
+    assert [s for s, o in owning.items() if o is KeyOwnership.ASK_PEER] == [Stage.YIELDED]
 
 
 @pytest.mark.parametrize(
     "stage,alive,after,closed",
     [
-        (Stage.MEETING, True, Stage.APART, False),
-        (Stage.MEETING, False, Stage.ALONE, True),
-        (Stage.LEARNING, False, Stage.ALONE, True),
+        (Stage.HELLO_SENT, True, Stage.UNCOORDINATED, False),
+        (Stage.HELLO_SENT, False, Stage.ALONE, True),
+        (Stage.RECEIVING_KEYS, False, Stage.ALONE, True),
         (Stage.SYNCED, False, Stage.ALONE, False),
-        (Stage.TAKING, True, Stage.APART, False),
-        (Stage.TAKING, False, Stage.ALONE, False),
-        (Stage.OWNER, True, Stage.ALONE, False),
-        (Stage.OWNER, False, Stage.ALONE, False),
+        (Stage.TAKEOVER_REQUESTED, True, Stage.UNCOORDINATED, False),
+        (Stage.TAKEOVER_REQUESTED, False, Stage.ALONE, False),
+        (Stage.TAKEN_OVER, True, Stage.ALONE, False),
+        (Stage.TAKEN_OVER, False, Stage.ALONE, False),
     ],
 )
 def test_a_predecessor_that_is_lost(stage: Stage, alive: bool, after: Stage, closed: bool) -> None:
-    succession = at(stage)
-    succession.lost(100.0, alive)
-    assert succession.stage is after and (succession.closed_until == 144.0) is closed
+    machine = at(stage)
+    machine.lost(100.0, alive)
+    assert machine.stage is after and (machine.closed_until == 144.0) is closed
 
 
 @pytest.mark.parametrize(
     "stage,alive,stood,after,closed",
     [
-        (Stage.TELLING, False, 9.0, Stage.ALONE, False),
-        (Stage.YIELDED, True, 0.0, Stage.CUT_OFF, False),
+        (Stage.SENDING_KEYS, False, 9.0, Stage.ALONE, False),
+        (Stage.YIELDED, True, 0.0, Stage.DISCONNECTED, False),
         (Stage.YIELDED, False, 0.0, Stage.ALONE, False),
         (Stage.YIELDED, False, 9.0, Stage.ALONE, True),
     ],
 )
 def test_a_successor_that_is_lost(stage: Stage, alive: bool, stood: float, after: Stage, closed: bool) -> None:
-    succession = at(stage)
-    succession.left(100.0, alive, stood)
-    assert succession.stage is after and (succession.closed_until == 144.0) is closed
-    if after is Stage.CUT_OFF:
-        succession.gone(110.0)
-        assert succession.standing(120.0) is KeyOwnership.CLOSED and succession.standing(155.0) is KeyOwnership.OWNS
+    machine = at(stage)
+    machine.left(100.0, alive, stood)
+    assert machine.stage is after and (machine.closed_until == 144.0) is closed
+    if after is Stage.DISCONNECTED:
+        machine.gone(110.0)
+        assert machine.standing(120.0) is KeyOwnership.IN_DOUBT and machine.standing(155.0) is KeyOwnership.OWNED
 
 
 class Process:
@@ -113,8 +117,10 @@
         self.heard, self.unheard, self.asked = broker.heard, broker.unheard, broker.asked
         self.granted, self.orphaned = broker.granted, broker.orphaned
         self.learned, self.adopt = broker.learned, broker.adopt
-        self.dialogue = Dialogue(self, Succession(WINDOW + 1.0), self.core.hand.clock, self.core.counters)
-        broker.twin, broker.keys.told = self.dialogue, self.dialogue.told
+        self.session = HandoverSession(
+            self, HandoverStateMachine(WINDOW + 1.0), self.core.hand.clock, self.core.counters
+        )
+        broker.peer, broker.keys.told = self.session, self.session.told
 
     def entries(self) -> list[IdempotencyRecord]:
         return list(self.core.broker.keys.entries.values())
@@ -181,13 +187,13 @@
     @precondition(lambda self: not self.told)
     @rule()
     def upgrade(self) -> None:
-        assert self.old.dialogue.succession.joined()
+        assert self.old.session.machine.joined()
         self.linked = self.told = True
-        self.new.dialogue.succession.met(self.old.core.hand.time)
-        self.old.dialogue.send, self.new.dialogue.send = self.old.send, self.new.send
+        self.new.session.machine.met(self.old.core.hand.time)
+        self.old.session.send, self.new.session.send = self.old.send, self.new.send
         self.old.send(frame("HERE", version=1))
-        self.snapshot = self.old.dialogue.snapshot()
-        self.new.dialogue.welcomed()
+        self.snapshot = self.old.session.snapshot()
+        self.new.session.welcomed()
 
     @precondition(lambda self: self.linked)
     @rule(all=st.booleans(), count=st.integers(1, 4))
@@ -198,11 +204,11 @@
                 self.old.send(data)
             elif self.old.alive and not self.old.own and not self.synced:
                 self.synced = True
-                self.old.dialogue.synced()
+                self.old.session.synced()
             for reader, writer in ((self.new, self.old), (self.old, self.new)):
                 if reader.alive and writer.kernel:
-                    reader.dialogue.hear(_one(writer.kernel.popleft()))
-                    self.new.accepts |= self.new.dialogue.succession.stage is Stage.OWNER
+                    reader.session.hear(_one(writer.kernel.popleft()))
+                    self.new.accepts |= self.new.session.machine.stage is Stage.TAKEN_OVER
                 if writer.alive:
                     writer.flush()
 
@@ -211,7 +217,7 @@
     def stalls(self, at: int) -> None:
         """One does not read for long: the kernel's buffer towards it fills up."""
         writer = self.processes[1 - at]
-        while writer.alive and writer.dialogue.tell_use():
+        while writer.alive and writer.session.tell_use():
             pass
 
     @rule(first=st.integers(0, 1), key=st.integers(3, 20))
@@ -251,12 +257,12 @@
         dead.alive, self.linked = False, False
         dead.own.clear()
         while dead.kernel:
-            other.dialogue.hear(_one(dead.kernel.popleft()))
+            other.session.hear(_one(dead.kernel.popleft()))
         if other is self.new:
-            other.dialogue.lost(alive=False)
+            other.session.lost(alive=False)
             other.accepts = True
         else:
-            other.dialogue.left(alive=False, stood=0.0)
+            other.session.left(alive=False, stood=0.0)
         self.comes(1 - at, key, 2.0)
 
     @rule(seconds=st.floats(0.01, 2.0))
@@ -313,7 +319,7 @@
         old.end("0")
         pair.flows(True, 1)
     else:
-        pair.new.dialogue.lost(alive=False)
+        pair.new.session.lost(alive=False)
     assert new.words("1") == ["served" if how == "ends" else "failed"] and not new.broker.keys._outlived
 
 
@@ -324,20 +330,20 @@
 @pytest.mark.parametrize(
     "stage,sent,runs",
     [
-        (Stage.OWNER, True, True),
-        (Stage.OWNER, False, False),
-        (Stage.OWNER, None, True),
-        (Stage.TELLING, None, True),
+        (Stage.TAKEN_OVER, True, True),
+        (Stage.TAKEN_OVER, False, False),
+        (Stage.TAKEN_OVER, None, True),
+        (Stage.SENDING_KEYS, None, True),
         (Stage.YIELDED, None, False),
     ],
 )
 def test_a_key_runs_only_where_the_other_hears_of_it_or_runs_none(stage: Stage, sent: bool | None, runs: bool) -> None:
     """`sent` None: the link has just ended, and the process is not told yet."""
     process = Process()
-    process.dialogue.succession.stage, process.dialogue.send = Stage.OWNER, lambda data: True
+    process.session.machine.stage, process.session.send = Stage.TAKEN_OVER, lambda data: True
     process.core.broker.elsewhere(10**6, 0.0)  # held for want of room
     process.core.pick("a", "work-order", key="k", wait=5.0)
-    process.dialogue.succession.stage, process.dialogue.send = stage, lambda data: sent
+    process.session.machine.stage, process.session.send = stage, lambda data: sent
     process.core.broker.elsewhere(0, 0.0)
     process.core.pass_time(0.2)
     assert process.core.ports.ids("exec") == ["a"] * runs and process.core.words("a") == ["refused"] * (not runs)
@@ -345,7 +351,7 @@
 
 def test_a_granted_key_has_all_its_time() -> None:
     process = Process()
-    process.dialogue.succession.stage, process.dialogue.send = Stage.YIELDED, lambda data: True
+    process.session.machine.stage, process.session.send = Stage.YIELDED, lambda data: True
     process.core.pick("a", "work-order", key="k", wait=5.0)
     assert not process.core.ports.ids("exec")
     process.granted("a", "k", True)
@@ -558,7 +564,7 @@
 
 def test_a_stale_place_and_another_version_and_a_second_successor() -> None:
     with tempfile.TemporaryDirectory() as directory:
-        path = meeting_place(directory, "n3", "127.0.0.1:1")
+        path = rendezvous_path(directory, "n3", "127.0.0.1:1")
         assert not answers(path)
         with socket.socket(socket.AF_UNIX) as sock:
             sock.bind(path)
@@ -567,7 +573,7 @@
         assert os.path.exists(path) and not answers(path)
 
     async def test(old: Standins, new: Standins, stack: AsyncExitStack) -> None:
-        path = meeting_place(old.environ["TMPDIR"], "n3", f"127.0.0.1:{old.port}")
+        path = rendezvous_path(old.environ["TMPDIR"], "n3", f"127.0.0.1:{old.port}")
 
         async def hello(version: int) -> bytes:
             reader, writer = await asyncio.open_unix_connection(path)
@@ -620,7 +626,7 @@
             world = Standins()
             world.environ = {"TMPDIR": stack.enter_context(tempfile.TemporaryDirectory())}
             world.listen_port = await free_port()
-            path = meeting_place(world.environ["TMPDIR"], "n3", f"127.0.0.1:{world.listen_port}")
+            path = rendezvous_path(world.environ["TMPDIR"], "n3", f"127.0.0.1:{world.listen_port}")
 
             async def refuse(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 if await reader.read(100):
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -14,7 +14,7 @@
 from chutepin.admin.exposition import exposition
 from chutepin.admin.lines import MAX_LINE, LineError, LineReader
 from chutepin.lab.standins import eventually
-from chutepin.lifecycle import TABLE, Lifecycle, Move, State
+from chutepin.lifecycle import TRANSITIONS, Lifecycle, State, Transition
 from chutepin.net.control import EVERY, SPREAD
 from chutepin.net.resp import array
 from chutepin.request_metrics import RequestMetrics
@@ -77,13 +77,18 @@
 
 def test_a_drain_shows_until_resume_and_nothing_brings_a_leaving_process_back() -> None:
     lifecycle = Lifecycle()
-    for move, healthy in ((Move.CAN_SERVE, True), (Move.DRAIN, False), (Move.DRAIN, False), (Move.RESUME, True)):
-        assert lifecycle.move(move) and lifecycle.healthy is healthy and lifecycle.can_serve
-    assert lifecycle.move(Move.LEAVE) and not lifecycle.handed_over
-    assert not any(lifecycle.move(move) for move in Move if move is not Move.LEAVE)
-    assert set(TABLE) == set(State)
+    for move, healthy in (
+        (Transition.CAN_SERVE, True),
+        (Transition.DRAIN, False),
+        (Transition.DRAIN, False),
+        (Transition.RESUME, True),
+    ):
+        assert lifecycle.apply(move) and lifecycle.healthy is healthy and lifecycle.can_serve
+    assert lifecycle.apply(Transition.LEAVE) and not lifecycle.handed_over
+    assert not any(lifecycle.apply(other) for other in Transition if other is not Transition.LEAVE)
+    assert set(TRANSITIONS) == set(State)
     old = Lifecycle()
-    assert all(old.move(move) for move in (Move.CAN_SERVE, Move.SUCCEEDED, Move.LEAVE))
+    assert all(old.apply(step) for step in (Transition.CAN_SERVE, Transition.SUCCESSOR_READY, Transition.LEAVE))
     assert old.handed_over and old.healthy
 
 
