--- a/tests/data/make_stored_bytes.py
+++ b/tests/data/make_stored_bytes.py
@@ -30,7 +30,7 @@
 from chutepin.consensus.messages import Entry, EntryKind, Membership, Persist, Snapshot
 from chutepin.consensus.replica import Proposal, Replica, new_proposal_id, pack_proposal
 from chutepin.facade import End
-from chutepin.handover.frames import frame, key_frame
+from chutepin.handover.frames import encode_record, frame
 from chutepin.idempotency import IdempotencyRecord as KeyEntry
 from chutepin.store.compaction_plan import Limits
 from chutepin.store.engine import Engine
@@ -281,10 +281,10 @@
     yield "HERE", frame("HERE", version=1)
     yield "NO", frame("NO", why="another version", version=1)
     yield "NO, busy", frame("NO", why="another successor", busy=True)
-    yield "KEY", key_frame(entry)
-    yield "KEY, not run", key_frame(KeyEntry("key", "try-2", 0.25, b""))
+    yield "KEY", encode_record(entry)
+    yield "KEY, not run", encode_record(KeyEntry("key", "try-2", 0.25, b""))
     for end in End:
-        yield f"KEY, {end.value}", key_frame(KeyEntry("key", "try-1", 7.5, b"\x01", "try-1", end, b"result"))
+        yield f"KEY, {end.value}", encode_record(KeyEntry("key", "try-1", 7.5, b"\x01", "try-1", end, b"result"))
     yield "DROP", frame("DROP", key="tenant key \u00e9")
     yield "LEARNED", frame("LEARNED", **learned())
     yield "SYNCED", frame("SYNCED", closed_until=99.75)
