--- a/chutepin/net/control.py
+++ b/chutepin/net/control.py
@@ -13,26 +13,28 @@
 from ..config import Address
 from ..counters import Counters
 
-EVERY = 1.0  # seconds at most; a node is dropped 3 s after its last report
-SPREAD = 0.2  # part of it by which a report may come sooner, so that nodes which lost the service together spread
-ANSWER_BY = 1.0  # seconds after its start at which a report is given up
-MAX_ANSWER = 16 * 1024
+REPORT_INTERVAL_S = 1.0  # at most; a node is dropped 3 s after its last report
+JITTER_SHARE = 0.2  # of the interval: nodes that lost the service together spread their reports
+REPORT_TIMEOUT_S = 1.0
+MAX_ANSWER_BYTES = 16 * 1024
+READ_BYTES = 4096
+NO_CONTENT = 204  # the status of an accepted report
 
 
 class Reporter:
-    """Keeps the node listed: `Ready` while it is well and takes requests."""
+    """Keeps the node listed: reports `Ready` while it is healthy and accepts requests."""
 
     def __init__(
         self, address: Address | None, name: str, ready: Callable[[], bool], counters: Counters, seed: int = 0
     ) -> None:
-        self._chance = random.Random(seed)
+        self._random = random.Random(seed)
         self._address, self._name, self._ready, self._counters = address, name, ready, counters
         self._streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
         self._http = h11.Connection(h11.CLIENT)
         self._stale = False  # the connection is to an address that is no longer the control plane's
 
     def move(self, address: Address | None) -> None:
-        """From the next report on the control plane is met at this address."""
+        """Send to this address from the next report on."""
         self._stale = self._stale or address != self._address
         self._address = address
 
@@ -40,23 +42,23 @@
         """Report until cancelled. No answer or a wrong one costs only this report."""
         loop = asyncio.get_running_loop()
         while True:
-            began = loop.time()
+            started_at = loop.time()
             try:
-                async with asyncio.timeout_at(began + ANSWER_BY):
+                async with asyncio.timeout_at(started_at + REPORT_TIMEOUT_S):
                     if self._stale:
                         self._stale = False
                         self._close()
-                    status = await self._report(self._address) if self._address is not None else 204
-                self._counters.add("control.reports" if status == 204 else "control.rejected")
+                    status = await self._report(self._address) if self._address is not None else NO_CONTENT
+                self._counters.add("control.reports" if status == NO_CONTENT else "control.rejected")
             except (OSError, TimeoutError, h11.ProtocolError, EOFError):
                 self._counters.add("control.failed")
                 self._close()
-            wait = EVERY * (1 - SPREAD * self._chance.random())
-            await asyncio.sleep(max(0.0, began + wait - loop.time()))
+            wait_s = REPORT_INTERVAL_S * (1 - JITTER_SHARE * self._random.random())
+            await asyncio.sleep(max(0.0, started_at + wait_s - loop.time()))
 
     async def _report(self, address: Address) -> int:
         if self._streams is None:
-            self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_ANSWER)
+            self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_ANSWER_BYTES)
             self._streams = await asyncio.open_connection(address.host, address.port)
         reader, writer = self._streams
         body = json.dumps({"condition": "Ready" if self._ready() else "NotReady"}).encode()
@@ -76,9 +78,9 @@
         while True:
             answer = self._http.next_event()
             if answer is h11.NEED_DATA:
-                data = await reader.read(4096)
+                data = await reader.read(READ_BYTES)
                 size += len(data)
-                if size > MAX_ANSWER:
+                if size > MAX_ANSWER_BYTES:
                     raise h11.RemoteProtocolError("the answer is too long")
                 self._http.receive_data(data)
             elif isinstance(answer, h11.Response):
--- a/chutepin/net/records.py
+++ b/chutepin/net/records.py
@@ -14,18 +14,19 @@
 from ..logs import Log
 from .lines import LineParser, ProtocolError, line
 
-MAX_BODY = 64 * 1024
-MAX_CALLS = 256  # on one connection, after which it is closed; bounds the ids that it remembers
-YOUNG = 0.1  # seconds after a reply in which a connection cannot have been forgotten by the service
-MAX_BACKLOG = 2 * 2**20
-IDLE = 8.0  # seconds; the service closes at 10, and a call that crosses the close would end unknown
-CONNECT_BY = 2.0  # seconds in which a connection must stand; until then its calls have not run
-GRACE = 0.03  # seconds after a call's deadline in which the service's own PAST is awaited
+MAX_BODY_BYTES = 64 * 1024
+MAX_CALLS_PER_CONNECTION = 256  # after which it is closed; bounds the ids that it remembers
+FRESH_S = 0.1  # after a reply in which the service cannot have forgotten the connection
+MAX_UNSENT_BYTES = 2 * 2**20
+IDLE_TIMEOUT_S = 8.0  # the service closes at 10, and a call that crosses the close would end unknown
+CONNECT_TIMEOUT_S = 2.0  # until a connection stands its calls have not run
+DEADLINE_GRACE_S = 0.03  # after a call's deadline in which the service's own PAST is awaited
+READ_BYTES = 65536
 _ENDS = {"DONE": End.OK, "WAIT": End.REFUSED, "ERROR": End.ERROR, "PAST": End.LATE, "EMPTY": End.UNREACHABLE}
 
 
-class Called(Protocol):
-    """Who hears how calls ended."""
+class CallHandler(Protocol):
+    """Handles the ends of calls."""
 
     def called(self, id: str, end: End, reply: bytes) -> None: ...
 
@@ -35,16 +36,16 @@
     """One connection, its open calls, and the ids of earlier ones, whose replies may come late or twice."""
 
     calls: dict[str, Call] = field(default_factory=dict)
-    past: set[str] = field(default_factory=set)
+    finished_ids: set[str] = field(default_factory=set)
     writer: asyncio.StreamWriter | None = None
-    last_used: float = 0.0
+    last_used_at: float = 0.0
     retired: bool = False  # takes no further call and ends with its last one
 
-    def takes(self, call: Call, now: float) -> bool:
+    def can_carry(self, call: Call, now: float) -> bool:
         """Guards a call against the replies to earlier ones for its id, and one that may not be repeated
         against a connection that the service may have forgotten: a reset there proves nothing."""
-        fresh = not self.past or now - self.last_used < YOUNG or call.repeatable
-        return not self.retired and call.id not in self.past and fresh
+        fresh = not self.finished_ids or now - self.last_used_at < FRESH_S or call.repeatable
+        return not self.retired and call.id not in self.finished_ids and fresh
 
 
 @dataclass(slots=True)
@@ -56,14 +57,19 @@
     body: bytes
     repeatable: bool
     written: bool = False
-    heard: bool = True  # something came on its connection after it was written, or nothing had come before
+    connection_proven: bool = True  # its connection was new, or received something after it was written
 
 
 def _has_body(words: list[str]) -> bool:
     return len(words) > 2 or words[1:2] == ["DONE"]
 
 
-PART = "records"  # in the descriptors of descriptors
+DESCRIPTOR_PART = "records"  # the name in the descriptor budget
+
+
+def _default_budget(max_connections: int) -> DescriptorBudget:
+    """A budget for connections alone; old ones stand beside those that take their places until they have closed."""
+    return DescriptorBudget(2 * max_connections + 8, {DESCRIPTOR_PART: (0, 2 * max_connections)})
 
 
 class RecordsService:
@@ -77,14 +83,13 @@
         clock: Clock,
         counters: Counters,
         log: Log,
-        most: int,
+        max_connections: int,
         descriptors: DescriptorBudget | None = None,
     ) -> None:
         self._address, self._clock, self._counters, self._log = address, clock, counters, log
-        self._most = most  # connections
-        # Old connections stand beside those that take their places until they have gone.
-        self._descriptors = descriptors or DescriptorBudget(2 * most + 8, {PART: (0, 2 * most)})
-        self.listener: Called | None = None
+        self._max_connections = max_connections
+        self._descriptors = descriptors or _default_budget(max_connections)
+        self.listener: CallHandler | None = None
         self._connections: list[Connection] = []  # the last used one last
         self._timers: dict[str, asyncio.TimerHandle] = {}
         self._tasks: set[asyncio.Task[None]] = set()
@@ -92,11 +97,13 @@
     def call(self, id: str, deadline: float, body: bytes, repeatable: bool) -> None:
         """Make a call for a request; it ends in one `called`, at the latest just after its deadline."""
         loop = asyncio.get_running_loop()
-        self._timers[id] = loop.call_at(loop.time() + deadline + GRACE - self._clock.now(), self._late, id)
-        self._place(Call(id, deadline, body, repeatable))
+        self._timers[id] = loop.call_at(
+            loop.time() + deadline + DEADLINE_GRACE_S - self._clock.now(), self._time_out, id
+        )
+        self._assign(Call(id, deadline, body, repeatable))
 
-    def _place(self, call: Call) -> None:
-        connection = self._connection(call)
+    def _assign(self, call: Call) -> None:
+        connection = self._connection_for(call)
         if connection is None:
             asyncio.get_running_loop().call_soon(self._end, call.id, End.UNREACHABLE)
             return
@@ -122,31 +129,31 @@
             call = connection.calls.pop(id, None)
             if call is None or not call.written or connection.writer is None:
                 continue
-            connection.past.add(id)
+            connection.finished_ids.add(id)
             if connection.calls:
                 connection.writer.write(line("UNOP", id))
             else:
                 connection.retired = True
                 connection.writer.transport.abort()
 
-    def _late(self, id: str) -> None:
+    def _time_out(self, id: str) -> None:
         """Guards against a connection that has gone silent: it gets no further calls."""
         for connection in self._connections:
             connection.retired = connection.retired or id in connection.calls
         self.give_up(id)
         self._end(id, End.LATE)
 
-    def _connection(self, call: Call) -> Connection | None:
+    def _connection_for(self, call: Call) -> Connection | None:
         """The idle connection that was used last, else a new one, else that with the fewest calls.
 
         An idle one that does not take the call gives its place to a new one: else calls shared a connection, or ended
-        unreachable, while places stood idle."""
+        unreachable, while places were idle."""
         now = self._clock.now()
-        fit = [connection for connection in self._connections if connection.takes(call, now)]
+        fit = [connection for connection in self._connections if connection.can_carry(call, now)]
         idle = [connection for connection in fit if not connection.calls]
         if idle:
             return idle[-1]
-        if sum(not c.retired for c in self._connections) >= self._most:
+        if sum(not c.retired for c in self._connections) >= self._max_connections:
             unfit = next((c for c in self._connections if not (c.calls or c.retired) and c.writer is not None), None)
             if unfit is not None:
                 self._close(unfit)
@@ -154,10 +161,10 @@
                 return min(fit, key=lambda connection: len(connection.calls), default=None)
         if self._address is None:
             return None
-        if not self._descriptors.acquire(PART):  # shared, or ended unreachable: it has not run then
+        if not self._descriptors.acquire(DESCRIPTOR_PART):  # shared, or ended unreachable: it has not run then
             self._counters.add("records.no_descriptor")
             return min(fit, key=lambda connection: len(connection.calls), default=None)
-        connection = Connection(last_used=now)
+        connection = Connection(last_used_at=now)
         self._connections.append(connection)
         task = asyncio.get_running_loop().create_task(self._serve(connection, self._address))
         self._tasks.add(task)
@@ -167,44 +174,44 @@
     def _write(self, connection: Connection, call: Call) -> None:
         assert connection.writer is not None
         wait = max(1, round((call.deadline - self._clock.now()) * 1000))
-        call.written, call.heard = True, not connection.past
+        call.written, call.connection_proven = True, not connection.finished_ids
         connection.writer.write(line("OP", call.id, wait, body=call.body))
-        if connection.writer.transport.get_write_buffer_size() > MAX_BACKLOG:
+        if connection.writer.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             self._counters.add("records.stuck")
             connection.retired = True
             connection.writer.transport.abort()
 
     async def _serve(self, connection: Connection, address: Address) -> None:
-        stood = False  # until a connection stands no call can have run
+        connected = False  # until then no call can have run
         try:
-            async with asyncio.timeout_at(asyncio.get_running_loop().time() + CONNECT_BY):
+            async with asyncio.timeout_at(asyncio.get_running_loop().time() + CONNECT_TIMEOUT_S):
                 reader, connection.writer = await asyncio.open_connection(address.host, address.port)
-            stood = True
+            connected = True
             self._counters.add("records.connections")
             for call in connection.calls.values():
                 self._write(connection, call)
-            parser = LineParser(_has_body, MAX_BODY)
-            while data := await reader.read(65536):
+            parser = LineParser(_has_body, MAX_BODY_BYTES)
+            while data := await reader.read(READ_BYTES):
                 for call in connection.calls.values():
-                    call.heard = True
+                    call.connection_proven = True
                 parser.feed(data)
                 while (message := parser.next()) is not None:
                     self._reply(connection, *message)
         except OSError:
-            self._counters.add("records.lost" if stood else "records.refused")
+            self._counters.add("records.lost" if connected else "records.refused")
         except ProtocolError as error:
             self._counters.add("records.malformed")
             self._log.event("records.malformed", why=str(error))
         finally:
             self._connections.remove(connection)
-            self._descriptors.release(PART)
+            self._descriptors.release(DESCRIPTOR_PART)
             if connection.writer is not None:
                 connection.writer.transport.abort()
         for call in connection.calls.values():
-            if not call.heard and call.repeatable:
+            if not call.connection_proven and call.repeatable:
                 # The service had forgotten the idle connection; and should the call have run, it may again.
                 self._counters.add("records.again")
-                self._place(call)
+                self._assign(call)
             else:  # what was never written has not run; of what was, nothing is proved
                 self._end(call.id, End.BROKEN if call.written else End.UNREACHABLE)
 
@@ -216,11 +223,11 @@
         if connection.calls.pop(id, None) is None:
             self._counters.add("records.unasked")
         else:
-            connection.past.add(id)
-            connection.last_used = self._clock.now()
+            connection.finished_ids.add(id)
+            connection.last_used_at = self._clock.now()
             self._connections.remove(connection)
             self._connections.append(connection)
-            connection.retired = connection.retired or len(connection.past) >= MAX_CALLS
+            connection.retired = connection.retired or len(connection.finished_ids) >= MAX_CALLS_PER_CONNECTION
             self._end(id, end, body)
         if connection.retired:
             self.close_idle()
@@ -235,7 +242,7 @@
         """Close connections that carried nothing of late, before the service does, and retired ones."""
         now = self._clock.now()
         for connection in list(self._connections):
-            idle = not connection.calls and (connection.retired or now - connection.last_used > IDLE)
+            idle = not connection.calls and (connection.retired or now - connection.last_used_at > IDLE_TIMEOUT_S)
             if idle:
                 self._close(connection)
 
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -20,7 +20,7 @@
 from chutepin.lab.dependency import ColdDependency, ColdServer, RecordsProxy, WarmUp
 from chutepin.lab.flood import Flood
 from chutepin.lab.standins import Balancer, eventually
-from chutepin.net.control import ANSWER_BY, EVERY
+from chutepin.net.control import REPORT_INTERVAL_S, REPORT_TIMEOUT_S
 from chutepin.net.resp import array
 
 from .helper import ENV, ROOT, Standins
@@ -157,7 +157,7 @@
 IDLE_CALLERS = 200
 AWAY = 3.2  # seconds that it is away: pauses that double would have grown past what is allowed by then
 FILLED = 3 * FEW_DESCRIPTORS  # connections of idle callers, those that were turned away included
-REPORT_BY = EVERY + ANSWER_BY + 0.5  # seconds after its return: a report under way is given up first
+REPORT_BY = REPORT_INTERVAL_S + REPORT_TIMEOUT_S + 0.5  # seconds after its return: a report under way is given up first
 LINK_BY = 3.0  # seconds in which the executor is met again
 
 
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -108,7 +108,7 @@
     async def run() -> None:
         hand, listener = Hand(), Listener()
         listener.ends = []
-        service = RecordsService(Address("127.0.0.1", 9), hand.clock, Counters(), Log(hand.clock), most=3)
+        service = RecordsService(Address("127.0.0.1", 9), hand.clock, Counters(), Log(hand.clock), max_connections=3)
         service.listener = listener
         monkeypatch.setattr(asyncio, "open_connection", none_left)
         for number in range(5):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -174,7 +174,7 @@
         """A link that is left once all that it carried is read leaves nothing in doubt."""
         if self.up:
             left = list[bool]()
-            self.session.quiet = lambda: left.append(True)
+            self.session.on_quiesced = lambda: left.append(True)
             self.session.quiesce()
             self.execute(True)
             for _ in range(2):
@@ -303,7 +303,7 @@
     @initialize()
     def begin(self) -> None:
         self.loop, hand = asyncio.new_event_loop(), Hand()
-        self.service = RecordsService(Address("h", 1), hand.clock, Counters(), Log(hand.clock), most=3)
+        self.service = RecordsService(Address("h", 1), hand.clock, Counters(), Log(hand.clock), max_connections=3)
         self.service.listener = self
         self.hand, self.wires, self.refuse = hand, list[Wire](), False
         self.serial = 0
@@ -561,7 +561,7 @@
         clock = Clock()
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         at = Address("127.0.0.1", server.sockets[0].getsockname()[1])
-        service = RecordsService(at, clock, Counters(), Log(clock), most=3)
+        service = RecordsService(at, clock, Counters(), Log(clock), max_connections=3)
         service.listener = cast(Any, Listener())
         for id in "ab":
             service.call(id, clock.now() + 30, b"body", repeatable)
@@ -581,7 +581,7 @@
             ends.append((id, end))
 
     async def run() -> None:
-        service = RecordsService(None, hand.clock, Counters(), Log(hand.clock), most=3)
+        service = RecordsService(None, hand.clock, Counters(), Log(hand.clock), max_connections=3)
         service.listener = cast(Any, Listener())
         service.call("a", hand.time + 1, b"", False)
         await asyncio.sleep(0)
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -15,7 +15,7 @@
 from chutepin.admin.lines import MAX_LINE, LineError, LineReader
 from chutepin.lab.standins import eventually
 from chutepin.lifecycle import TRANSITIONS, Lifecycle, State, Transition
-from chutepin.net.control import EVERY, SPREAD
+from chutepin.net.control import JITTER_SHARE, REPORT_INTERVAL_S
 from chutepin.net.resp import array
 from chutepin.request_metrics import RequestMetrics
 
@@ -232,7 +232,7 @@
         log = await world.leave()
         failed = int(log.split("control.failed=")[1].split()[0])
         lasted = asyncio.get_running_loop().time() - tried
-        assert 2 <= failed - len(silent) + 1 <= lasted / (EVERY * (1 - SPREAD)) + 2
+        assert 2 <= failed - len(silent) + 1 <= lasted / (REPORT_INTERVAL_S * (1 - JITTER_SHARE)) + 2
         up.close()
         await balancer.close()
 
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -320,7 +320,7 @@
 
 
 def test_an_executor_that_does_not_answer_is_left_for_where_it_has_moved(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(executor, "CONNECT_BY", 0.2)
+    monkeypatch.setattr(executor, "CONNECT_TIMEOUT_S", 0.2)
 
     async def test(stack: AsyncExitStack) -> None:
         new = Listening()
@@ -335,7 +335,7 @@
 
 
 def test_a_records_service_that_takes_no_connection_holds_no_descriptor(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(records, "CONNECT_BY", 0.2)
+    monkeypatch.setattr(records, "CONNECT_TIMEOUT_S", 0.2)
 
     async def test(stack: AsyncExitStack) -> None:
         listening, clock, descriptors = Listening(), Clock(), DescriptorBudget(64, {"records": (0, 8)})
