--- a/chutepin/cluster/anti_entropy.py
+++ b/chutepin/cluster/anti_entropy.py
@@ -104,11 +104,11 @@
         self._pause = min(self._pause, self._every)
         self.due = min(self.due, now + self._every)
 
-    def began(self, now: float, drawn: float) -> None:
+    def begin(self, now: float, drawn: float) -> None:
         """A repair begins; `drawn`, between 0 and 1, keeps members from repairing in step."""
         self.due = now + self._pause * (0.5 + drawn)
 
-    def found(self, now: float, differences: int, drawn: float) -> None:
+    def finish(self, now: float, differences: int, drawn: float) -> None:
         """A repair found so many differences that dissemination should have mended."""
         if differences >= MANY_DIFFERENCES:
             self._pause = self._every * MIN_PAUSE_FACTOR
--- a/chutepin/cluster/link_checks.py
+++ b/chutepin/cluster/link_checks.py
@@ -1,92 +1,132 @@
-"""Looks at single links: does a member that only helpers can reach hear this one, and does this one hear it? Pure."""
+"""Link checks: does a member that only helpers can reach hear this one, and does this one hear it? Pure."""
 
 from __future__ import annotations
 
-import random
+import math
 
-from ..config.cluster import ClusterSetup
-from .messages import PingReq
+from .context import MemberContext
+from .messages import PingReq, ProbeResult
 from .probe_state import LINK_RECHECK_PINGS, MAX_LINK_CHECKS, LinkCheck
-from .state_exchange import StateExchange
+from .send_queue import SendQueue
 
 
-class LinkWatch(StateExchange):
-    """One member as it watches its links."""
+class LinkChecks:
+    """The checks that one member makes of its own links."""
 
-    def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
-        super().__init__(setup, name, incarnation, now, rng)
-        self._looks: dict[str, LinkCheck] = {}
-        self._look_nonces: dict[int, str] = {}
-        self._look_again: dict[str, float] = {}
+    def __init__(self, context: MemberContext, send_queue: SendQueue) -> None:
+        self._context = context
+        self._send_queue = send_queue
+        self._by_subject: dict[str, LinkCheck] = {}
+        self._subject_by_nonce: dict[int, str] = {}
+        self._recheck_at: dict[str, float] = {}
 
-    def _helpers(self, subject: str) -> list[str]:
-        """Whom to ask about a member: nobody over a link that is known to be bad, as long as there are others."""
-        live, bad = self.view.table.live(), self.view.links.own
-        if bad:
-            cut = {name for link in bad for name in link}
-            others = [name for name in live if name != subject and name not in cut]
-        else:
-            others = [name for name in live if name != subject]
+    def helpers(self, subject: str) -> list[str]:
+        """Draw helpers for an indirect probe: none over a link that is known to be bad, if there are others."""
+        view = self._context.view
+        live = view.table.live()
+        unreliable = {name for link in view.links.own for name in link}
+        others = [name for name in live if name != subject and name not in unreliable]
         if not others:
             others = [name for name in live if name != subject]
-        return self._rng.sample(others, min(self._setup.helpers, len(others)))
+        return self._context.rng.sample(others, min(self._context.settings.helpers, len(others)))
+
+    def is_bad(self, subject: str) -> bool:
+        """Whether a link with this member is known to be bad."""
+        return any(subject in link for link in self._context.view.links.own)
 
-    def _look(self, now: float, subject: str, pings: int) -> None:
-        """Begin to look at a link, unless that is under way."""
-        if subject in self._looks or len(self._looks) >= MAX_LINK_CHECKS:
+    def start(self, now: float, subject: str, pings: int) -> None:
+        """Begin to check a link with so many direct pings, unless a check is under way."""
+        if subject in self._by_subject or len(self._by_subject) >= MAX_LINK_CHECKS:
             return
-        self._looks[subject] = LinkCheck(subject, now, now, pings)
+        self._by_subject[subject] = LinkCheck(subject, now, now, pings)
 
-    def _look_on(self, now: float, look: LinkCheck) -> None:
-        """One more direct ping; then the helpers are asked what the other side has heard; then it is judged."""
-        if not self.view.table.is_live(look.subject) or look.asking:
-            self._judge_link(now, look)
+    def due(self, now: float) -> list[LinkCheck]:
+        """Return the checks whose next step is due."""
+        return [check for check in self._by_subject.values() if now >= check.next_step_at]
+
+    def advance(self, now: float, check: LinkCheck) -> None:
+        """Send one more direct ping; then ask helpers what the other side has heard; then conclude."""
+        context = self._context
+        if not context.view.table.is_live(check.subject) or check.helpers_asked:
+            self._conclude(now, check)
             return
-        nonce = self._number_anew()
-        look.nonces.append(nonce)
-        self._look_nonces[nonce] = look.subject
-        if look.left > 0:
-            look.left -= 1
-            look.next = now + self._setup.probe_timeout * self.health.timeout_multiplier
-            self._ping(now, look.subject, nonce)
+        nonce = self._send_queue.next_nonce()
+        check.nonces.append(nonce)
+        self._subject_by_nonce[nonce] = check.subject
+        if check.pings_left > 0:
+            check.pings_left -= 1
+            check.next_step_at = now + context.scaled(context.settings.probe_timeout)
+            self._send_queue.ping(check.subject, nonce)
             return
-        look.asking = True
-        look.next = now + self._setup.probe_every * self.health.timeout_multiplier
-        for helper in self._helpers(look.subject):
-            self._send(helper, PingReq(nonce, look.subject))
-
-    def _judge_link(self, now: float, look: LinkCheck) -> None:
-        """Nothing is told without evidence: what the other side has heard, or that it was heard here."""
-        del self._looks[look.subject]
-        for nonce in look.nonces:
-            self._look_nonces.pop(nonce, None)
-        member = self.view.table.members.get(look.subject)
+        check.helpers_asked = True
+        check.next_step_at = now + context.scaled(context.settings.probe_every)
+        for helper in self.helpers(check.subject):
+            self._send_queue.send(helper, PingReq(nonce, check.subject))
+
+    def handle_ack(self, now: float, nonce: int, subject: str) -> None:
+        """Take in a direct ack, if it is one to a ping of a check."""
+        if self._subject_by_nonce.get(nonce) == subject and subject in self._by_subject:
+            check = self._by_subject[subject]
+            check.acked = True
+            self._conclude(now, check)
+
+    def handle_result(self, now: float, result: ProbeResult) -> bool:
+        """Take in what a helper found; false if no check had asked for it."""
+        check = self._by_subject.get(result.subject)
+        if check is None or result.nonce not in check.nonces:
+            return False
+        if result.answered:
+            check.last_heard_ms = result.last_heard_ms
+            self._conclude(now, check)
+        return True
+
+    def _conclude(self, now: float, check: LinkCheck) -> None:
+        """End a check and record what is proven: what the other side has heard, or that it was heard here."""
+        del self._by_subject[check.subject]
+        for nonce in check.nonces:
+            self._subject_by_nonce.pop(nonce, None)
+        member = self._context.view.table.members.get(check.subject)
         if member is None or not member.record.live:
             return
-        if look.direct:
-            self._links(now, look.subject, True, True)
-        elif look.last_heard_ms is not None:
-            reaches = 0 <= look.last_heard_ms <= 1000 * (now - look.began)
-            hears = member.last_heard >= look.began
-            # Where the own pings do not arrive there was nothing to be heard: no evidence but for what came.
-            self._links(now, look.subject, reaches, hears if reaches or hears else None)
-
-    def _links(self, now: float, subject: str, reaches: bool, hears: bool | None) -> None:
-        """What was found out about the link to a member and that from it."""
-        view, me = self.view, self.me.name
-        view.record_link(now, me, subject, not reaches)
-        if hears is not None:
-            view.record_link(now, subject, me, not hears)
-        if any(subject in link for link in view.links.own):
-            self._look_again[subject] = now + self._setup.link_every
+        if check.acked:
+            self.record(now, check.subject, True, True)
+        elif check.last_heard_ms is not None:
+            reaches = 0 <= check.last_heard_ms <= 1000 * (now - check.started_at)
+            heard = member.last_heard >= check.started_at
+            # Where the own pings do not arrive no answer was to be expected, so silence proves nothing.
+            self.record(now, check.subject, reaches, heard if reaches or heard else None)
+
+    def record(self, now: float, subject: str, reaches: bool, heard: bool | None) -> None:
+        """Record the state of the link to a member (`reaches`) and of that from it (`heard`; None: not known)."""
+        view = self._context.view
+        view.record_link(now, view.me.name, subject, not reaches)
+        if heard is not None:
+            view.record_link(now, subject, view.me.name, not heard)
+        if self.is_bad(subject):
+            self._recheck_at[subject] = now + self._context.settings.link_every
         else:
-            self._look_again.pop(subject, None)
+            self._recheck_at.pop(subject, None)
 
-    def _look_at_bad_links(self, now: float) -> None:
-        """Look again at links that are known to be bad, when it is time for that."""
-        for subject, at in list(self._look_again.items()):
-            if not self.view.table.is_live(subject):
-                del self._look_again[subject]
+    def recheck_bad_links(self, now: float) -> None:
+        """Begin the checks that are due of links known to be bad."""
+        for subject, at in list(self._recheck_at.items()):
+            if not self._context.view.table.is_live(subject):
+                del self._recheck_at[subject]
             elif now >= at:
-                self._look_again[subject] = now + self._setup.link_every
-                self._look(now, subject, LINK_RECHECK_PINGS)
+                self._recheck_at[subject] = now + self._context.settings.link_every
+                self.start(now, subject, LINK_RECHECK_PINGS)
+
+    def next_due(self) -> float:
+        """When the next step of a check is due."""
+        return min((check.next_step_at for check in self._by_subject.values()), default=math.inf)
+
+    def postpone(self, seconds: float) -> None:
+        """Shift all deadlines."""
+        for check in self._by_subject.values():
+            check.started_at += seconds
+            check.next_step_at += seconds
+
+    def clear(self) -> None:
+        """Drop all checks under way."""
+        self._by_subject.clear()
+        self._subject_by_nonce.clear()
--- a/chutepin/cluster/membership_view.py
+++ b/chutepin/cluster/membership_view.py
@@ -209,7 +209,7 @@
         self.queue.add(self.me)
         self.events.append(PersistIncarnation(self.me.incarnation))
 
-    def set_process_incarnation(self, above: int) -> None:
+    def start_process_incarnation(self, above: int) -> None:
         """Others know a later process of this name: be later than that."""
         self.raise_incarnation_above(max(above, self.process_incarnation))
         self.process_incarnation = self.me.incarnation
--- a/chutepin/cluster/messages.py
+++ b/chutepin/cluster/messages.py
@@ -125,3 +125,9 @@
     digest: int
     body: Body
     updates: tuple[Update, ...] = ()
+
+    @property
+    def expects_answer(self) -> bool:
+        """Whether it is a request, which the receiver answers over the same TCP connection."""
+        body = self.body
+        return isinstance(body, (BucketDigests, RecordRequest)) or (isinstance(body, Sync) and body.reply_requested)
--- a/chutepin/cluster/probe_state.py
+++ b/chutepin/cluster/probe_state.py
@@ -1,4 +1,4 @@
-"""What is under way to find out about a member: probes, accusations, looks at a link. Pure data and their times."""
+"""The state of probes, suspicions and link checks under way, and the time-out of a suspicion. Pure data."""
 
 from __future__ import annotations
 
@@ -6,86 +6,86 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-WITNESS_COUNT = 3  # how many are called by an accusation, and how many others shorten it fully
-LINK_CHECK_PINGS = 8  # direct pings of a first look at a link: at 30% loss all are lost once in 15,000 looks
-LINK_RECHECK_PINGS = 3  # of a look at one that is known to be bad
-MAX_LINK_CHECKS = 16  # under way at once
-MAX_RELAYED_PROBES = 256  # pings for others that are under way at once
+WITNESS_COUNT = 3  # members that verify a suspicion at once; so many confirmations shorten its time-out fully
+LINK_CHECK_PINGS = 8  # of a first check of a link: at 30% loss all are lost once in 15,000 checks
+LINK_RECHECK_PINGS = 3  # of a check of a link that is known to be bad
+MAX_LINK_CHECKS = 16  # under way at the same time
+MAX_RELAYED_PROBES = 256  # under way at the same time
 
 
-def suspicion_time(least: float, most_times: int, members: int, others: int) -> float:
-    """Seconds that an accused has, when so many others accuse it as well.
+def suspicion_timeout(min_timeout: float, max_factor: int, members: int, confirmations: int) -> float:
+    """Seconds for which a suspect may refute, with so many confirmations by other members.
 
-    It shrinks from `most_times` to one time the least with the logarithm of the confirmations (Lifeguard). The least
-    one grows with the logarithm of the number of members, as news takes that long."""
-    least *= max(1.0, math.log10(members))
-    wanted = min(WITNESS_COUNT, members - 2)
-    if wanted < 1:
-        return least
-    most = least * most_times
-    return max(least, most - (most - least) * math.log(others + 1) / math.log(wanted + 1))
+    Shrinks from `max_factor` times to one time the minimum with the logarithm of the confirmations (Lifeguard). The
+    minimum itself grows with the logarithm of the number of members, as dissemination takes that long."""
+    shortest = min_timeout * max(1.0, math.log10(members))
+    expected = min(WITNESS_COUNT, members - 2)
+    if expected < 1:
+        return shortest
+    longest = shortest * max_factor
+    return max(shortest, longest - (longest - shortest) * math.log(confirmations + 1) / math.log(expected + 1))
 
 
 class ProbeReason(Enum):
-    """What a probe is for."""
+    """Why a member is probed."""
 
-    SCHEDULED = 1  # its turn has come, or somebody accuses it
-    VERIFICATION = 2  # it stands accused by this member
-    RECONNECT = 3  # it is held for dead: does it answer again?
+    SCHEDULED = 1  # its turn in the round, or another member suspects it
+    VERIFICATION = 2  # this member suspects it
+    RECONNECT = 3  # it is dead here: does it answer again?
 
 
 @dataclass(slots=True)
 class Probe:
-    """One member is asked, directly and, if it does not answer, through helpers."""
+    """A probe of one member: a direct ping and, without an ack, indirect probes through helpers."""
 
     nonce: int
     subject: str
     reason: ProbeReason
-    helpers_at: float  # when helpers are asked
-    end: float
-    indirect: bool = False
-    helpers: int = 0
-    nacks: int = 0
-    direct: bool = False  # it answered itself
-    found: bool = False  # a helper says that it answered
+    indirect_at: float  # when helpers are asked
+    deadline: float
+    indirect_started: bool = False
+    helper_count: int = 0
+    nack_count: int = 0
+    acked: bool = False  # by the subject itself
+    acked_indirectly: bool = False  # as a helper reports
 
     @property
     def answered(self) -> bool:
-        """There was a round trip."""
-        return self.direct or self.found
+        """Whether there was a round trip."""
+        return self.acked or self.acked_indirectly
 
 
 @dataclass(slots=True)
 class RelayedProbe:
-    """This member asks somebody for another one."""
+    """An indirect probe: this member pings the subject for another one."""
 
     requester: str
-    requester_nonce: int  # the asker's nonce
+    requester_nonce: int
     subject: str
-    end: float
+    deadline: float
 
 
 @dataclass(slots=True)
 class Suspicion:
-    """This member's own, after its own probe has failed."""
+    """This member's own suspicion, after its own probe has failed."""
 
     subject: str
     incarnation: int
-    began: float
+    started_at: float
     verify_at: float
-    next: float  # look at it
-    verified: int = 0  # tests begun since
+    next_check_at: float
+    verifications: int = 0  # probes begun since
 
 
 @dataclass(slots=True)
 class LinkCheck:
-    """A look at the link between this member and another one that answers through helpers only."""
+    """A check of the link to a member that answers through helpers only."""
 
     subject: str
-    began: float
-    next: float
-    left: int  # direct pings yet to be sent
+    started_at: float
+    next_step_at: float
+    pings_left: int
     nonces: list[int] = field(default_factory=list)
-    asking: bool = False  # helpers were asked what the subject has heard
-    direct: bool = False
+    helpers_asked: bool = False
+    acked: bool = False  # by the subject itself
     last_heard_ms: int | None = None  # since the subject heard this member; -1: not lately; None: not known
--- a/chutepin/cluster/subsystem.py
+++ b/chutepin/cluster/subsystem.py
@@ -135,7 +135,7 @@
     def resume_ownership(self) -> None:
         """Speak again, in a life after the successor's."""
         if not self._left:
-            self._detector.begin_anew(time.monotonic(), time.time_ns() // 1_000_000)
+            self._detector.restart(time.monotonic(), time.time_ns() // 1_000_000)
             self._yielded.clear()
             self._wanted.set()
 
--- a/chutepin/lab/baseline.py
+++ b/chutepin/lab/baseline.py
@@ -38,7 +38,7 @@
         """Tell all, and look whom nobody has heard."""
         self._next = now + EVERY
         for name, member in self.view.table.members.items():
-            self._send(name, Gossip())
+            self.send_queue.send(name, Gossip())
             if member.record.live and now - max(member.last_heard, 0.0) > DEAD_AFTER:
                 self.view.merge(now, member.record._replace(status=Status.DEAD, by=self.me.name))
         for name in list(self.view.table.members):
--- a/chutepin/lab/scale/virtual.py
+++ b/chutepin/lab/scale/virtual.py
@@ -66,7 +66,7 @@
         views = [
             host.detector.view
             for host in self.hosts.values()
-            if host.detector is not None and not host.detector.leaving
+            if host.detector is not None and not host.detector.context.leaving
         ]
         return len({view.digest for view in views}) <= 1 and all(view.live_count == len(views) for view in views)
 
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -7,6 +7,7 @@
 from chutepin.cluster import Detector, Record, Status
 from chutepin.cluster.anti_entropy import RepairPace
 from chutepin.cluster.budget import ByteBudget
+from chutepin.cluster.joining import Joining
 from chutepin.cluster.local_health import LocalHealth
 from chutepin.cluster.member_table import MemberTable
 from chutepin.cluster.membership_view import MembershipView
@@ -34,8 +35,9 @@
 class NoHelpers(Detector):
     """It asks directly only."""
 
-    def _helpers(self, subject: str) -> list[str]:
-        return []
+    def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
+        super().__init__(setup, name, incarnation, now, rng)
+        self.link_checks.helpers = lambda subject: []  # type: ignore[method-assign]
 
 
 class _Sure(LocalHealth):
@@ -48,9 +50,9 @@
 
     def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
         super().__init__(setup, name, incarnation, now, rng)
-        self.health = _Sure()
+        self.context.health = _Sure()
 
-    def _catch_up(self, now: float) -> None:
+    def _absorb_delay(self, now: float) -> None:
         pass
 
 
@@ -64,40 +66,56 @@
 
     def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
         super().__init__(setup, name, incarnation, now, rng)
-        self.view = _Chatterbox(self.view.me, setup.members, setup.remember)
+        self.context.view = _Chatterbox(self.view.me, setup.members, setup.remember)
 
 
 class NoTimeToRefute(Detector):
     """The first accusation is a verdict."""
 
-    def _deadline(self, accusation: Suspicion) -> float:
-        accusation.verified = 2
-        return accusation.began
+    def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
+        super().__init__(setup, name, incarnation, now, rng)
+        self.suspicions.deadline = self._decide_at_once  # type: ignore[method-assign]
+
+    @staticmethod
+    def _decide_at_once(suspicion: Suspicion) -> float:
+        suspicion.verifications = 2
+        return suspicion.started_at
+
+
+class _NoReconnect(Joining):
+    def dead_count(self) -> int:
+        return 0
+
+    def _contact_seed(self, now: float) -> None:
+        if not self._context.view.joined:
+            super()._contact_seed(now)
 
 
 class ForgetsTheDead(Detector):
     """It never asks the dead again."""
 
-    def _wants_back(self) -> bool:
-        return False
-
-    def _join(self, now: float) -> None:
-        if not self.view.joined:
-            super()._join(now)
+    def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
+        super().__init__(setup, name, incarnation, now, rng)
+        self.joining = _NoReconnect(self.context, self.send_queue, self.state_exchange, self.probing, now)
 
 
 class EveryLinkIsWell(Detector):
     """It keeps to itself which links are bad."""
 
-    def _links(self, now: float, subject: str, reaches: bool, hears: bool | None) -> None:
-        pass
+    def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
+        super().__init__(setup, name, incarnation, now, rng)
+        self.link_checks.record = lambda now, subject, reaches, heard: None  # type: ignore[method-assign]
 
 
 class SlowToAccuse(Detector):
     """It leaves an accused ten times as long."""
 
-    def _deadline(self, accusation: Suspicion) -> float:
-        return accusation.began + 10 * (super()._deadline(accusation) - accusation.began)
+    def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
+        super().__init__(setup, name, incarnation, now, rng)
+        deadline = self.suspicions.deadline
+        self.suspicions.deadline = lambda suspicion: (  # type: ignore[method-assign]
+            suspicion.started_at + 10 * (deadline(suspicion) - suspicion.started_at)
+        )
 
 
 class _Gullible(MemberTable):
@@ -121,15 +139,20 @@
 class RepairsMoveWholeTables(Detector):
     """Its digests of buckets differ from everybody's, so that all records are moved."""
 
-    def _digests(self, count: int) -> bytes:
-        return bytes(self._rng.randrange(256) for _ in super()._digests(count))
+    def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
+        super().__init__(setup, name, incarnation, now, rng)
+        digests = self.state_exchange.digests
+        self.state_exchange.digests = lambda count: bytes(  # type: ignore[method-assign]
+            rng.randrange(256) for _ in digests(count)
+        )
 
 
 class NoRepair(Detector):
     """It sees that views differ and does nothing."""
 
-    def _compare(self, now: float, sender: str, digest: int) -> None:
-        pass
+    def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
+        super().__init__(setup, name, incarnation, now, rng)
+        self.state_exchange.compare_digest = lambda now, sender, digest: None  # type: ignore[method-assign]
 
 
 class _Restless(RepairPace):
@@ -142,7 +165,7 @@
 
     def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
         super().__init__(setup, name, incarnation, now, rng)
-        self._pace = _Restless(now, setup.sync_every)
+        self.state_exchange.pace = _Restless(now, setup.sync_every)
 
 
 class _Spendthrift(ByteBudget):
@@ -160,8 +183,8 @@
 
     def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
         super().__init__(setup, name, incarnation, now, rng)
-        self.view = _Unpressed(self.view.me, setup.members, setup.remember)
-        self._budget = _Spendthrift(now)
+        self.context.view = _Unpressed(self.view.me, setup.members, setup.remember)
+        self.context.budget = _Spendthrift(now)
 
 
 class NeverForgets(Detector):
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -41,7 +41,7 @@
     StaleProcess,
     Sync,
 )
-from chutepin.cluster.probe_state import suspicion_time
+from chutepin.cluster.probe_state import suspicion_timeout
 from chutepin.cluster.records import BadLink, LinkReport, MergeResult, ShortRecord, compare_records
 from chutepin.config import Address, ConfigError, load_setup
 from chutepin.config.cluster import ClusterSetup
@@ -128,9 +128,9 @@
 
 def test_times_of_suspicion_shrink_with_witnesses_and_grow_with_the_logarithm() -> None:
     for members in (3, 12, 1000):
-        times = [suspicion_time(1.2, 6, members, others) for others in range(6)]
-        assert times == sorted(times, reverse=True) and times[-1] == suspicion_time(1.2, 6, members, 99)
-    assert suspicion_time(1.2, 6, 1000, 3) == pytest.approx(3 * suspicion_time(1.2, 6, 10, 3))
+        times = [suspicion_timeout(1.2, 6, members, others) for others in range(6)]
+        assert times == sorted(times, reverse=True) and times[-1] == suspicion_timeout(1.2, 6, members, 99)
+    assert suspicion_timeout(1.2, 6, 1000, 3) == pytest.approx(3 * suspicion_timeout(1.2, 6, 10, 3))
     assert repeats(1000) == 16 and repeats(9) == 4
 
 
@@ -497,14 +497,14 @@
     simulator = Simulator(calm(10.3, Fault(9.0, "cut", ("n1", *NAMES[1:]))), 1)
     simulator.run()
     detector = simulator.hosts["n1"].detector
-    assert detector is not None and detector._probes
+    assert detector is not None and detector.probing.probes
     for name in list(detector.view.table.members):
         detector.view.table.remove(name)
     for step in range(100):
         detector.tick(10.3 + step / 10)
         detector.drain_effects()
         assert detector.wake_at() > 9.0
-    assert not detector._probes
+    assert not detector.probing.probes
 
 
 @pytest.mark.parametrize("address", ["example.org:7301", "127.0.0.1", "127.0.0.1:x", ":7301"])
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -69,7 +69,7 @@
     for number, update in enumerate((record(9), record(3, 8, zone="b"))):
         member.receive(1.0, Packet("n2", shorten(record(1)), 1, number, 0, Gossip(), (shorten(update),)))
     assert "n9" not in member.view.table.members and member.view.table.members["n3"].record == record(3)
-    assert member.view.counts["unknown"] == 2
+    assert member.view.counts["unknown_updates"] == 2
     member.receive(1.0, Packet("n2", shorten(record(8)), 1, 2, 0, Gossip()))
     assert member.view.counts["drop.unknown"] == 1
 
@@ -91,7 +91,7 @@
     other.view.table.put(1.0, record(301))
     other.view.table.put(1.0, record(13, 9, zone="c"))
     one.view.joined = other.view.joined = True
-    one._repair(60.0, "n2", "10.0.0.2:7301")
+    one.state_exchange.repair(60.0, "n2", "10.0.0.2:7301")
     _exchange(one, other, 60.0)
     assert one.view.digest == other.view.digest
     assert one.view.table.members["n13"].record.zone == "c" and "n300" in other.view.table.members
@@ -104,7 +104,7 @@
     for number in (20, 21):
         other.view.table.put(1.0, record(number, 1, Status.DEAD))
     for now in (60.0, 60.0 + ACCEPT_DEATH_AFTER_S):
-        one._repair(now, "n2", "10.0.0.2:7301")
+        one.state_exchange.repair(now, "n2", "10.0.0.2:7301")
         _exchange(one, other, now)
         told = [one.view.table.members[name].record.status for name in ("n20", "n21")]
         assert told == [Status.DEAD, Status.SUSPECT if now == 60.0 else Status.DEAD]
@@ -153,18 +153,18 @@
     assert not pace.compare(0.0, 1, 2, 3.0) and not pace.compare(2.9, 1, 3, 3.0) and pace.compare(3.0, 1, 4, 3.0)
     dues = []
     for found in (0, 0, 0, 0, 1, 99):
-        pace.found(100.0, found, 0.5)
+        pace.finish(100.0, found, 0.5)
         dues.append(pace.due - 100.0)
     assert dues == [10.0, 20.0, 40.0, 40.0, 20.0, 2.5]
     assert not pace.compare(101.0, 7, 7, 0.0)  # equal: it begins anew
-    pace.found(200.0, 0, 0.5)
+    pace.finish(200.0, 0, 0.5)
     assert pace.due == 210.0
 
 
 def test_who_alone_differs_repairs_soon() -> None:
     pace = RepairPace(0.0, 5.0)
     for _ in range(4):
-        pace.found(0.0, 0, 0.5)
+        pace.finish(0.0, 0, 0.5)
     assert [pace.compare(10.0 + at, 1, 2, 3.0) for at in range(4)] == [False] * 4
     assert pace.due == 18.0 and pace.compare(18.0, 1, 2, 3.0)
 
