--- a/benchmarks/operation.py
+++ b/benchmarks/operation.py
@@ -21,7 +21,7 @@
 from contextlib import AsyncExitStack
 from pathlib import Path
 
-from chutepin.handover.frames import Frames, encode_record
+from chutepin.handover.frames import FrameReader, encode_record
 from chutepin.idempotency import IdempotencyRecord
 from chutepin.lab.known import Known
 from chutepin.lab.standins import EXAMPLE, Balancer, Standins
@@ -111,13 +111,13 @@
 
 
 async def link(stack: AsyncExitStack) -> None:
-    """Frames of keys through a Unix socket between two streams of one loop, written as the dialogue writes."""
+    """Frames of keys through a Unix socket between two streams of one loop, written as a session writes."""
     count, got = 20_000, 0
     path = stack.enter_context(tempfile.TemporaryDirectory()) + "/link"
 
     async def hear(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         nonlocal got
-        frames = Frames()
+        frames = FrameReader()
         while data := await reader.read(65536):
             frames.feed(data)
             while frames.next() is not None:
@@ -248,7 +248,7 @@
             words, twice, _, log = await succession(inner, 1, kill, chance)
         total += words
         # Killed before the two had met it is a crash like any other: nobody knows what had run.
-        knew = "handover.predecessor_gone" in log or "handover.not_met" in log
+        knew = "handover.predecessor_lost" in log or "handover.connect_failed" in log
         met, doubled, crashed = met + knew, doubled + twice * knew, crashed + twice * (not knew)
     print(
         f"{KILLS} kills, {met} after the two had met: {dict(total)}, keys run twice {doubled}; "
--- a/chutepin/broker.py
+++ b/chutepin/broker.py
@@ -20,7 +20,7 @@
 from .counters import Counters
 from .decision import Idempotency
 from .facade import CallEnded, CallWanted, Drain, End, Facade, Left, Offer, RunEnded
-from .idempotency import IdempotencyRecord, IdempotencyTable, KeyOwnership, NoPeerProcess, PeerProcess
+from .idempotency import IdempotencyRecord, IdempotencyTable, KeyOwnership, KeyRequest, NoPeerProcess, PeerProcess
 from .logs import Log
 from .request_metrics import RequestMetrics
 
@@ -105,7 +105,7 @@
     remembered: float = 0.0  # seconds that a key is remembered at least, from the arrival
 
 
-def _contents(request: Request) -> bytes:
+def _fingerprint(request: Request) -> bytes:
     """Tells whether two tries of one key carry the same."""
     head = f"{request.cls} {request.tenant} ".encode("utf-8", "surrogateescape")
     return hashlib.blake2b(head + request.body, digest_size=16).digest()
@@ -120,10 +120,10 @@
     AT_CALL = "at call"
     CALLING = "calling"
     SHARING = "sharing"
-    ASKING = "asking"  # the node's other process is asked for its key; the module does not know of it yet
+    REQUESTING_KEY = "requesting key"  # from the node's other process; the module does not know of it yet
 
 
-_NOT_BEGUN = (Phase.HELD, Phase.SHARING, Phase.ASKING)  # nothing runs: over once nobody is owed an answer
+_NOT_BEGUN = (Phase.HELD, Phase.SHARING, Phase.REQUESTING_KEY)  # nothing runs: over once nobody is owed an answer
 
 
 @dataclass(slots=True)
@@ -232,14 +232,14 @@
             self._counters.add("requests.malformed")
             self._answer_now(request.cls, caller, Answer(Verdict.FAILED, value=self._value))
             return
-        entry = self.keys.find(request.key, request.arrived) if cls.idempotency is Idempotency.KEYED else None
-        if entry is not None and entry.contents != _contents(request):
+        record = self.keys.find(request.key, request.arrived) if cls.idempotency is Idempotency.KEYED else None
+        if record is not None and record.fingerprint != _fingerprint(request):
             # Another request under a key that is taken: it must not get a result that no run made for it.
             self._counters.add("requests.malformed")
             self._answer_now(request.cls, caller, Answer(Verdict.FAILED, value=self._value))
             return
         full = len(self._attempts) >= MAX_REQUESTS or (
-            cls.idempotency is Idempotency.KEYED and entry is None and self.keys.full
+            cls.idempotency is Idempotency.KEYED and record is None and self.keys.is_full
         )
         if not self._started or full or (cls.idempotency is Idempotency.KEYED and request.key is None):
             # Before the executor is up nothing can run; a full table could not keep a run from being
@@ -248,24 +248,26 @@
             verdict = Verdict.FAILED if self._key_ran(request) else Verdict.REFUSED
             self._answer_now(request.cls, caller, Answer(verdict, value=self._value))
             return
-        standing = (
-            self.peer.standing(now) if cls.idempotency is Idempotency.KEYED and entry is None else KeyOwnership.OWNED
+        ownership = (
+            self.peer.ownership(now) if cls.idempotency is Idempotency.KEYED and record is None else KeyOwnership.OWNED
         )
-        if standing is KeyOwnership.IN_DOUBT:  # it may have run in a process that can't be asked
-            self._counters.add("keys.closed")
+        if ownership is KeyOwnership.IN_DOUBT:  # it may have run in a process that can't be asked
+            self._counters.add("keys.in_doubt")
             self._answer_now(request.cls, caller, Answer(Verdict.FAILED, value=self._value))
             return
         # Guards what the module learns from the wait, and the windows of keys, against times that cannot be.
         request.arrived = max(now - cls.deadline, min(now, request.arrived))
         attempt = self._attempts[request.id] = Attempt(request, caller, cls.idempotency)
-        if standing is KeyOwnership.ASK_PEER:
-            attempt.phase = Phase.ASKING
+        if ownership is KeyOwnership.ASK_PEER:
+            attempt.phase = Phase.REQUESTING_KEY
             self._due_at(request.id, min(request.due, now + ASK_BY))
-            self.peer.ask(request.id, request.key or "", _contents(request), request.arrived + cls.window)
+            self.peer.request_key(
+                KeyRequest(request.id, request.key or "", _fingerprint(request), request.arrived + cls.window)
+            )
             return
-        self._offer(attempt, entry)
+        self._offer(attempt, record)
 
-    def _offer(self, attempt: Attempt, entry: IdempotencyRecord | None) -> None:
+    def _offer(self, attempt: Attempt, record: IdempotencyRecord | None) -> None:
         """Let the module decide about a request."""
         request, now = attempt.request, self._clock.now()
         offer = Offer(
@@ -279,7 +281,7 @@
             request.rank,
             request.caller,
             request.is_retry,
-            (entry.ran or entry.holder) if entry else None,
+            (record.run_id or record.holder_id) if record else None,
         )
         self._settle(lambda: self._facade.pick(now, offer))
         if request.id in self._attempts:
@@ -327,11 +329,11 @@
     # --- for the node's other process ---
 
     @property
-    def use(self) -> tuple[int, float]:
+    def usage(self) -> tuple[int, float]:
         """Runs that are, or may at once be, on the cores; memory of all requests in KB. Both by the module's count."""
         return self._facade.use
 
-    def elsewhere(self, running: int, memory: float) -> None:
+    def set_peer_usage(self, running: int, memory: float) -> None:
         """The other process's use: room that the module does not have."""
         self._settle(lambda: self._facade.elsewhere(self._clock.now(), running, memory))
 
@@ -343,52 +345,55 @@
         """Begin with what another process's module had learned. What makes no sense is counted and left."""
         self._counters.check_invariant(self._facade.adopt(learned), "adopts what was learned")
 
-    def granted(self, id: str, key: str, may: bool) -> None:
-        """The other process's answer to `PeerProcess.ask`: the key may be taken, or its entry was told before."""
+    def key_replied(self, id: str, key: str, is_granted: bool) -> None:
+        """Apply the answer to `PeerProcess.request_key`: the key may be taken, or its record came before."""
         attempt = self._attempts.get(id)
-        if attempt is None or attempt.phase is not Phase.ASKING:
-            if may and self.keys.find(key, 0.0) is None:
-                self.keys.told(key, None)  # nobody wants it any more
+        if attempt is None or attempt.phase is not Phase.REQUESTING_KEY:
+            if is_granted and self.keys.find(key, 0.0) is None:
+                self.keys.replicate(key, None)  # nobody wants it any more
             return
-        if not may:
+        if not is_granted:
             self._counters.add("keys.not_granted")
             self._answer(attempt, Answer(Verdict.REFUSED, value=self._value))
             return
         attempt.phase = Phase.HELD
-        entry = self.keys.find(key, attempt.request.arrived)
-        if entry is not None and entry.contents != _contents(attempt.request):
+        record = self.keys.find(key, attempt.request.arrived)
+        if record is not None and record.fingerprint != _fingerprint(attempt.request):
             self._counters.add("requests.malformed")
             self._answer(attempt, Answer(Verdict.FAILED, value=self._value))
             return
-        self._offer(attempt, entry)
-        if key not in self.keys.entries:
-            self.keys.told(key, None)  # the module turned it away
+        self._offer(attempt, record)
+        if key not in self.keys.records:
+            self.keys.replicate(key, None)  # the module turned it away
 
-    def asked(self, id: str, key: str, contents: bytes, until: float) -> bool:
+    def peer_requests_key(self, request: KeyRequest) -> bool:
         """The other process wants a key. Unless it is known here, it is that process's from now on; false where there
         is no room for it."""
-        if self.keys.find(key, self._clock.now()) is None:
-            if self.keys.full or key in self.keys.entries:  # its window is over, but some may have come within it
+        if self.keys.find(request.key, self._clock.now()) is None:
+            if (
+                self.keys.is_full or request.key in self.keys.records
+            ):  # its window is over, but some may have come within it
                 return False
-            self.keys.learn(IdempotencyRecord(key, id, until, contents), self._clock.now())
+            record = IdempotencyRecord(request.key, request.request_id, request.expires_at, request.fingerprint)
+            self.keys.apply_from_peer(record, self._clock.now())
         return True
 
-    def heard(self, entry: IdempotencyRecord) -> None:
+    def peer_record_changed(self, record: IdempotencyRecord) -> None:
         """The other process tells what became of a key."""
-        self._waited(self.keys.learn(entry, self._clock.now()), entry.end or End.ERROR, entry.result)
+        self._waited(self.keys.apply_from_peer(record, self._clock.now()), record.outcome or End.ERROR, record.result)
         self._settle()
 
-    def unheard(self, key: str) -> None:
+    def peer_key_removed(self, key: str) -> None:
         """The other process has given a key up."""
-        self._waited(self.keys.unlearn(key), End.ERROR, b"")
+        self._waited(self.keys.remove_from_peer(key), End.ERROR, b"")
         self._settle()
 
-    def orphaned(self) -> None:
+    def peer_lost(self) -> None:
         """The other process has gone: its room is free; what it ran stays in doubt; what asks it is turned away."""
-        self._waited(self.keys.orphan(), End.ERROR, b"")
-        for attempt in [a for a in self._attempts.values() if a.phase is Phase.ASKING]:
+        self._waited(self.keys.peer_lost(), End.ERROR, b"")
+        for attempt in [a for a in self._attempts.values() if a.phase is Phase.REQUESTING_KEY]:
             self._answer(attempt, Answer(Verdict.REFUSED, value=self._value))
-        self.elsewhere(0, 0.0)
+        self.set_peer_usage(0, 0.0)
 
     # --- for the executor's link ---
 
@@ -496,7 +501,7 @@
             attempt = self._attempts.get(id)
             if attempt is not None and attempt.late_at > now and not stopping:
                 continue
-            if attempt is not None and attempt.phase is Phase.ASKING:
+            if attempt is not None and attempt.phase is Phase.REQUESTING_KEY:
                 self._counters.add("keys.not_granted")
                 self._answer(attempt, Answer(Verdict.REFUSED, value=self._value))
             elif attempt is not None and attempt.owed:
@@ -579,13 +584,13 @@
         """Answer with the result of the try that ran, now or once it ends."""
         attempt = self._attempts[id]
         attempt.phase = Phase.SHARING
-        entry = self.keys.entries.get(attempt.request.key or "")
-        if entry is None:
+        record = self.keys.records.get(attempt.request.key or "")
+        if record is None:
             self._share_ends(id, End.ERROR, b"")
-        elif entry.end is not None:
-            self._share_ends(id, entry.end, entry.result)
+        elif record.outcome is not None:
+            self._share_ends(id, record.outcome, record.result)
         else:
-            entry.waiting.append(id)
+            record.waiting_ids.append(id)
 
     def set_health(self, good: bool) -> None:
         """How health checks are answered from now on."""
@@ -668,49 +673,49 @@
 
     def _key_ran(self, request: Request) -> bool:
         """Some try of this request ran: then no try of it is turned away as if none had."""
-        entry = self.keys.find(request.key, request.arrived)
-        return entry is not None and entry.ran is not None
+        record = self.keys.find(request.key, request.arrived)
+        return record is not None and record.has_run
 
     def keep_key(self, id: str, until: float) -> None:
-        """Enter a try into the table, or hand an entry that never ran over to a newer try."""
+        """Enter a try into the table, or hand an record that never ran over to a newer try."""
         request = self._attempts[id].request
-        self.keys.keep(request.key or "", id, request.arrived, until, _contents(request))
+        self.keys.reserve(request.key or "", id, request.arrived, until, _fingerprint(request))
 
     def forget_key(self, id: str) -> None:
-        """Take an entry out whose try never ran."""
+        """Take an record out whose try never ran."""
         if (attempt := self._attempts.get(id)) is not None:
             self._key_unused(attempt.request)
 
     def _key_unused(self, request: Request) -> None:
-        """A try is over: where it holds an entry and never ran, the entry goes, and a further try is new."""
-        entry = self.keys.entries.get(request.key or "")
-        if entry is not None and entry.holder == request.id and entry.ran is None and not entry.foreign:
-            self._waited(self.keys.drop(entry), End.ERROR, b"")
+        """A try is over: where it holds an record and never ran, the record goes, and a further try is new."""
+        record = self.keys.records.get(request.key or "")
+        if record is not None and record.holder_id == request.id and not record.has_run and not record.owned_by_peer:
+            self._waited(self.keys.remove(record), End.ERROR, b"")
 
     def _key_runs(self, attempt: Attempt) -> bool:
         """A key runs at most once within its window, and not before the node's other process knows."""
         if attempt.idempotency is not Idempotency.KEYED:
             return True
         request = attempt.request
-        entry = self.keys.entries.get(request.key or "")
-        fresh = entry is not None and entry.holder == request.id and entry.ran is None
+        record = self.keys.records.get(request.key or "")
+        fresh = record is not None and record.holder_id == request.id and not record.has_run
         if not self._counters.check_invariant(fresh, "one run a key"):
             return False
         window = max(self._classes[request.cls].window, request.remembered)
-        if self.keys.run(request.key or "", request.id, request.arrived + window):
+        if self.keys.start_run(request.key or "", request.id, request.arrived + window):
             return True
         # It never ran and must not: the other process may not hear of it. A further try is new.
-        self._counters.add("keys.not_told")
-        if (entry := self.keys.entries.get(request.key or "")) is not None:
-            self._waited(self.keys.drop(entry), End.ERROR, b"")
+        self._counters.add("keys.peer_not_notified")
+        if (record := self.keys.records.get(request.key or "")) is not None:
+            self._waited(self.keys.remove(record), End.ERROR, b"")
         self._answer(attempt, Answer(Verdict.REFUSED, value=self._value))
         return False
 
     def _key_ended(self, attempt: Attempt, end: End, result: bytes) -> None:
         if attempt.idempotency is Idempotency.KEYED:
-            entry = self.keys.entries.get(attempt.request.key or "")
-            waiting = self.keys.ended(attempt.request.key or "", attempt.request.id, end, result)
-            ok = end is End.OK and entry is not None
+            record = self.keys.records.get(attempt.request.key or "")
+            waiting = self.keys.finish_run(attempt.request.key or "", attempt.request.id, end, result)
+            ok = end is End.OK and record is not None
             self._waited(waiting, End.OK if ok else End.ERROR, result if ok else b"")
 
     def _waited(self, waiting: list[str], end: End, result: bytes) -> None:
@@ -733,6 +738,6 @@
                     self._executor.resolve(id)
                 elif attempt.request.due + LINGER < now:
                     self._executor.kill(id)
-        for entry in self.keys.stale(now, self._attempts.__contains__):
-            self._waited(self.keys.drop(entry, tell=False), End.ERROR, b"")  # the other process sweeps for itself
+        for record in self.keys.expired(now, self._attempts.__contains__):
+            self._waited(self.keys.discard(record), End.ERROR, b"")  # the other process sweeps for itself
         self._settle()
--- a/chutepin/handover/__init__.py
+++ b/chutepin/handover/__init__.py
@@ -1,13 +1,24 @@
-"""Two processes of one node during an upgrade: how they find each other, who accepts, who owns the keys, who has what
-room, and what becomes of all that when one of them stalls or dies.
+"""Hand-over between two processes of one node during an upgrade: rendezvous, passing of the listening sockets,
+ownership of idempotency keys, shared limits, and recovery when one of the two stalls or dies.
 
-`state_machine.HandoverStateMachine` decides, `session.HandoverSession` speaks, `frames` is the codec, all without I/O;
-`link.Handover` is the edge. The core is known through the port `Host`, keys through `chutepin.idempotency`, no wire at
-all.
-`docs/operation.md` has the design and the table of cases."""
+Decisions without I/O: `state_machine` (stages and transitions), `session` (messages in, messages out), `messages` and
+`frames` (types and their bytes). I/O: `rendezvous` (the Unix socket where the two meet), `link` (the connection). The
+node is known through the port `HandoverHost`; `docs/operation.md` has the design and the transition table."""
 
-from .link import Handover, rendezvous_path
-from .session import HandoverSession, Host
+from .link import HandoverLink
+from .messages import ProcessUsage
+from .rendezvous import Rendezvous, rendezvous_path
+from .session import Delivery, HandoverHost, HandoverSession
 from .state_machine import HandoverStateMachine, Stage
 
-__all__ = ["Handover", "HandoverSession", "HandoverStateMachine", "Host", "Stage", "rendezvous_path"]
+__all__ = [
+    "Delivery",
+    "HandoverHost",
+    "HandoverLink",
+    "HandoverSession",
+    "HandoverStateMachine",
+    "ProcessUsage",
+    "Rendezvous",
+    "Stage",
+    "rendezvous_path",
+]
--- a/chutepin/handover/link.py
+++ b/chutepin/handover/link.py
@@ -1,137 +1,117 @@
-"""The edge of the hand-over: the meeting place in the file system, the link, the passing of sockets."""
+"""The I/O of a hand-over: the connection between the two processes and the passing of sockets."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-import hashlib
 import os
 import socket
-from collections.abc import Awaitable, Callable, Coroutine, Iterator
-from pathlib import Path
+from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any
 
 from ..clock import Clock
 from ..counters import Counters
 from ..logs import Log
 from ..net.lines import ProtocolError
-from .frames import VERSION, Frame, Frames, frame
-from .session import HandoverSession
-from .state_machine import Stage
-
-USE_EVERY = 0.05  # seconds between tellings of what this process uses
-AGAIN_AFTER = 0.3  # seconds between looks at a meeting place whose owner did not hand over
-TAKEN = 0.005  # seconds between looks whether the kernel has taken all
-STUCK_BY = 2.0  # seconds in which a peer must read what does not fit the kernel's buffer, else it is given up
+from .frames import PROTOCOL_VERSION, Frame, FrameReader, decode, encode, is_compatible_hello
+from .messages import Hello, Here, Rejection
+from .rendezvous import Rendezvous
+from .session import Delivery, HandoverSession
+from .state_machine import Event, Stage
+
+USAGE_INTERVAL_S = 0.05  # between two reports of what this process uses
+RETRY_DELAY_S = 0.3  # between two looks at a rendezvous whose owner did not hand over
+FLUSH_POLL_S = 0.005  # between two looks whether the kernel has taken all
+STUCK_TIMEOUT_S = 2.0  # for a peer to read what does not fit the kernel's buffer
 MAX_SOCKETS = 8  # listening sockets that are passed
-MAX_PATH = 100  # bytes of a Unix socket's path; the system takes 107
-
-
-def rendezvous_path(directory: str, node: str, address: str) -> str:
-    """The path at which the processes of one node meet; no other node's is the same."""
-    name = hashlib.blake2b(f"{node} {address}".encode(), digest_size=8).hexdigest()
-    return str(Path(directory) / f"chutepin-{name}")
-
+READ_BYTES = 65536
 
-@contextlib.contextmanager
-def _short(path: str) -> Iterator[str]:
-    """The path as a Unix socket's address, which has room for a hundred bytes."""
-    if len(os.fsencode(path)) <= MAX_PATH:
-        yield path
-        return
-    directory = os.open(os.path.dirname(path), os.O_RDONLY | os.O_DIRECTORY)
-    try:
-        yield f"/proc/self/fd/{directory}/{os.path.basename(path)}"
-    finally:
-        os.close(directory)
 
-
-def answers(path: str) -> bool:
-    """Somebody listens at the meeting place. A stale file of a dead process refuses."""
-    with socket.socket(socket.AF_UNIX) as sock, _short(path) as address:
-        sock.setblocking(False)
-        try:
-            sock.connect(address)
-        except BlockingIOError:  # its backlog is full: it lives
-            return True
-        except OSError:
-            return False
-    return True
-
-
-class Handover:
-    """Carries the session over a Unix socket."""
+class HandoverLink:
+    """Carries a hand-over session over a Unix socket."""
 
     def __init__(
         self,
-        path: str,
+        rendezvous: Rendezvous,
         session: HandoverSession,
         listeners: Callable[[], list[socket.socket]],
         clock: Clock,
         counters: Counters,
         log: Log,
     ) -> None:
-        """`listeners`: the clients' listening sockets, for a successor."""
-        self._path, self.session, self._listeners = path, session, listeners
-        self._clock, self._counters, self._log = clock, counters, log
-        self.serves: Callable[[], Awaitable[None]]  # has this process accept; may be asked again
-        self.expected = answers(path)  # a predecessor lives
+        """`listeners` returns the listening sockets that a successor is to have."""
+        self.session = session
+        self._rendezvous = rendezvous
+        self._listeners = listeners
+        self._clock = clock
+        self._counters = counters
+        self._log = log
+        self.serve: Callable[[], Awaitable[None]]  # has this process accept; may be called again
+        self.has_predecessor = rendezvous.has_listener()
         self.sockets: list[socket.socket] = []  # the predecessor's listening sockets
         self._writer: asyncio.StreamWriter | None = None
-        self._server: asyncio.Server | None = None
-        self._place = 0  # inode of this process's meeting place
         self._stuck_since: float | None = None
-        self._turn = clock.now()
-        self._leaving = False
+        self._last_turn = clock.now()  # of the event loop
+        self._is_leaving = False
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Meet a predecessor if there is one, serve, and wait for a successor, until cancelled."""
+        """Succeed a predecessor if there is one, serve, and wait for a successor, until cancelled."""
         try:
-            if self.expected:
+            if self.has_predecessor:
                 await self._succeed()
             await self._listen()
-            await self.serves()
-            looked = 0.0
-            while True:
-                await asyncio.sleep(USE_EVERY)
-                self._look()
-                if self._stage is Stage.DISCONNECTED and self._turn > looked + AGAIN_AFTER:
-                    looked = self._turn
-                    if not answers(self._path):
-                        self.session.gone()
-                        await self._listen()
+            await self.serve()
+            await self._supervise()
         finally:
-            self._leaving = True
+            self._is_leaving = True
             if self._writer is not None:
                 self._writer.close()  # what is in the buffer still goes out where the loop goes on
-            self._forget_place()
+            self._rendezvous.close()
+
+    async def _supervise(self) -> None:
+        """Report this process's usage, and resume once a successor without a link has ended."""
+        checked_at = 0.0
+        while True:
+            await asyncio.sleep(USAGE_INTERVAL_S)
+            self._turn()
+            if self._stage is not Stage.DISCONNECTED or self._last_turn <= checked_at + RETRY_DELAY_S:
+                continue
+            checked_at = self._last_turn
+            if not self._rendezvous.has_listener():
+                self.session.peer_ended()
+                await self._listen()
 
     @property
     def _stage(self) -> Stage:
         return self.session.machine.stage
 
-    def _look(self) -> None:
-        """What must be done now and then."""
-        now = self._turn = self._clock.now()
+    def _turn(self) -> None:
+        """Note a turn of the loop, report usage, and give up a peer that has stopped reading."""
+        now = self._last_turn = self._clock.now()
         if self._writer is None:
             return
-        self._stuck_since = None if self.session.tell_use() else self._stuck_since or now
-        if self._stuck_since is not None and now > self._stuck_since + STUCK_BY:
-            self._counters.add("handover.stuck")
+        if self.session.send_usage():
+            self._stuck_since = None
+        elif self._stuck_since is None:
+            self._stuck_since = now
+        if self._stuck_since is not None and now > self._stuck_since + STUCK_TIMEOUT_S:
+            self._counters.add("handover.peer_not_reading")
             self._writer.transport.abort()
 
-    def _linked(self, writer: asyncio.StreamWriter) -> None:
-        """A link stands: the session may write."""
+    def _attach(self, writer: asyncio.StreamWriter) -> None:
+        """Let the session write to a connection."""
 
-        def send(data: bytes) -> bool | None:
+        def send(data: bytes) -> Delivery:
             if not writer.transport.is_closing():
                 writer.write(data)
             if writer.transport.is_closing():  # also by this very write
-                return None
-            return writer.transport.get_write_buffer_size() == 0
+                return Delivery.LINK_CLOSED
+            return Delivery.BUFFERED if writer.transport.get_write_buffer_size() else Delivery.IN_KERNEL
 
-        self._writer, self.session.send, self._stuck_since = writer, send, None
+        self._writer = writer
+        self.session.send = send
+        self._stuck_since = None
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         task = asyncio.get_running_loop().create_task(work)
@@ -139,75 +119,45 @@
         task.add_done_callback(self._tasks.discard)
         return task
 
-    # --- the meeting place ---
-
     async def _listen(self) -> None:
-        """Be found at the meeting place, in place of whoever was before."""
-        fresh = f"{self._path}.{os.getpid()}"
-        if self._server is not None:
-            self._server.close()
-            self._server = None
-        try:
-            with contextlib.suppress(FileNotFoundError):
-                os.unlink(fresh)
-            sock = socket.socket(socket.AF_UNIX)
-            with _short(fresh) as address:
-                sock.bind(address)
-            os.chmod(fresh, 0o600)
-            self._server = await asyncio.start_unix_server(self._met, sock=sock, backlog=4)
-            self._place = os.stat(fresh).st_ino
-            os.replace(fresh, self._path)
-        except OSError as error:  # the node serves without: the next upgrade will not find it
-            self._log.event("handover.no_meeting_place", why=error.strerror or str(error))
-
-    def _found(self) -> bool:
-        """The file at the meeting place is this process's."""
+        """Listen for a successor. Where that fails the node serves, but the next upgrade will not find it."""
         try:
-            return self._server is not None and os.stat(self._path).st_ino == self._place
-        except OSError:
-            return False
+            await self._rendezvous.listen(self._serve_successor)
+        except OSError as error:
+            self._log.event("handover.rendezvous_unavailable", why=error.strerror or str(error))
 
-    def _forget_place(self) -> None:
-        """Be found no more. The file goes unless another process has put its own there."""
-        if self._server is not None:
-            if self._found():
-                with contextlib.suppress(OSError):
-                    os.unlink(self._path)
-            self._server.close()
-            self._server = None
-
-    # --- the newer process ---
+    # The successor:
 
     async def _succeed(self) -> None:
-        """Meet the predecessor until it has handed over or gone. Apart from it, serve meanwhile."""
+        """Connect to the predecessor until it has handed over or ended. Uncoordinated with it, serve meanwhile."""
         while True:
-            await self._meet()
+            await self._try_succeed()
             if self._stage in (Stage.TAKEN_OVER, Stage.ALONE):
                 return
             if self._stage is Stage.UNCOORDINATED:
-                await self.serves()
-            await asyncio.sleep(AGAIN_AFTER)
-            if not answers(self._path):
-                self.session.gone()
+                await self.serve()
+            await asyncio.sleep(RETRY_DELAY_S)
+            if not self._rendezvous.has_listener():
+                self.session.peer_ended()
                 return
 
-    async def _meet(self) -> None:
-        """One meeting, from HELLO to YOURS or the end of the link."""
-        loop, machine = asyncio.get_running_loop(), self.session.machine
+    async def _try_succeed(self) -> None:
+        """Make one attempt, from HELLO to YOURS or the end of the link."""
+        loop = asyncio.get_running_loop()
+        machine = self.session.machine
         sock = socket.socket(socket.AF_UNIX)
         sock.setblocking(False)
         try:
-            with _short(self._path) as address:
-                sock.connect(address)
-            await loop.sock_sendall(sock, frame("HELLO", version=VERSION))
+            self._rendezvous.connect(sock)
+            await loop.sock_sendall(sock, encode(Hello(PROTOCOL_VERSION)))
         except OSError:
             sock.close()
             return
-        machine.met(self._clock.now())
-        frames = Frames()
+        machine.apply(Event.HELLO_SENT, self._clock.now())
+        frames = FrameReader()
         try:
-            async with asyncio.timeout_at(loop.time() + machine.by - self._clock.now()):
-                data, sockets = await self._first(sock)
+            async with asyncio.timeout_at(loop.time() + machine.deadline - self._clock.now()):
+                data, sockets = await self._receive_sockets(sock)
             frames.feed(data)
             for old in self.sockets:
                 old.close()
@@ -215,21 +165,21 @@
             reader, writer = await asyncio.open_connection(sock=sock)
         except (OSError, TimeoutError, ProtocolError) as error:
             sock.close()
-            self._log.event("handover.not_met", why=str(error) or "no answer in time")
-            self.session.lost(answers(self._path))
+            self._log.event("handover.connect_failed", why=str(error) or "no answer in time")
+            self.session.predecessor_lost(self._rendezvous.has_listener())
             return
-        self._linked(writer)
+        self._attach(writer)
         following = self._spawn(self._follow(reader, frames))  # until the predecessor ends
         while not following.done() and self._stage is not Stage.TAKEN_OVER:
-            await asyncio.wait([following], timeout=USE_EVERY)
-            self._look()
-            if self._clock.now() > machine.by:
+            await asyncio.wait([following], timeout=USAGE_INTERVAL_S)
+            self._turn()
+            if self._clock.now() > machine.deadline:
                 self._log.event("handover.stalled", stage=self._stage.value)
                 writer.transport.abort()
                 await following
 
-    async def _first(self, sock: socket.socket) -> tuple[bytes, list[socket.socket]]:
-        """What the predecessor says first, with the sockets that it passes."""
+    async def _receive_sockets(self, sock: socket.socket) -> tuple[bytes, list[socket.socket]]:
+        """Return the predecessor's first bytes, with the sockets that come with them."""
         loop = asyncio.get_running_loop()
         readable = asyncio.Event()
         loop.add_reader(sock, readable.set)
@@ -237,100 +187,108 @@
             await readable.wait()
         finally:
             loop.remove_reader(sock)
-        data, numbers, _, _ = socket.recv_fds(sock, 65536, MAX_SOCKETS)
+        data, numbers, _, _ = socket.recv_fds(sock, READ_BYTES, MAX_SOCKETS)
         if not data:
-            raise ProtocolError("closed without a word")
+            raise ProtocolError("the predecessor closed the connection without an answer")
         return data, [socket.socket(fileno=number) for number in numbers]
 
-    async def _follow(self, reader: asyncio.StreamReader, frames: Frames) -> None:
-        """Hear the predecessor until the link ends."""
-        refused = False
+    async def _follow(self, reader: asyncio.StreamReader, frames: FrameReader) -> None:
+        """Receive from the predecessor until the link ends."""
+        rejection: Rejection | None = None
         try:
-            while not refused:
-                while not refused and (message := frames.next()) is not None:
-                    if message[0] == "NO":
-                        refused = True
-                        self.session.machine.turned_away(self._clock.now(), bool(message[1].get("busy")))
-                    else:
-                        self.session.hear(message)
-                if not refused:
-                    data = await reader.read(65536)
-                    if not data:
-                        break
-                    frames.feed(data)
+            rejection = await self._receive_until_rejected(reader, frames)
         except (OSError, ProtocolError) as error:
-            self._log.event("handover.broken", why=str(error))
+            self._log.event("handover.link_broken", why=str(error))
         finally:
             if self._writer is not None:
                 self._writer.transport.abort()
             self._writer = None
-            if refused:
-                self.session.send = None
-                self._counters.add("handover.refused")
+            if rejection is not None:
+                self.session.rejected(rejection.is_busy)
+                self._counters.add("handover.rejected")
             else:
-                self.session.lost(self._stage is not Stage.TAKEN_OVER and answers(self._path))
-            self._log.event("handover.predecessor_gone", stage=self._stage.value)
+                is_alive = self._stage is not Stage.TAKEN_OVER and self._rendezvous.has_listener()
+                self.session.predecessor_lost(is_alive)
+            self._log.event("handover.predecessor_lost", stage=self._stage.value)
+
+    async def _receive_until_rejected(self, reader: asyncio.StreamReader, frames: FrameReader) -> Rejection | None:
+        """Pass frames to the session; return the predecessor's rejection, or None at the end of the stream."""
+        while True:
+            while (frame := frames.next()) is not None:
+                if frame.verb == "NO":
+                    rejection = decode(frame)
+                    assert isinstance(rejection, Rejection)
+                    return rejection
+                self.session.receive(frame)
+            data = await reader.read(READ_BYTES)
+            if not data:
+                return None
+            frames.feed(data)
 
-    # --- the older process ---
+    # The predecessor:
 
-    async def _met(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Somebody came to the meeting place: a successor, or a look whether anybody is there."""
-        frames, mine = Frames(), False
+    async def _serve_successor(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve a connection: a successor's, or one that only looks whether anybody listens."""
+        frames = FrameReader()
+        is_successor = False
         try:
-            while data := await reader.read(65536):
+            while data := await reader.read(READ_BYTES):
                 frames.feed(data)
-                while (message := frames.next()) is not None:
-                    if mine:
-                        self.session.hear(message)
-                    elif not (mine := self._hello(message, writer)):
+                while (frame := frames.next()) is not None:
+                    if is_successor:
+                        self.session.receive(frame)
+                        continue
+                    is_successor = self._accept(frame, writer)
+                    if not is_successor:
                         return
         except (OSError, ProtocolError) as error:
-            self._log.event("handover.broken", why=str(error))
+            self._log.event("handover.link_broken", why=str(error))
         finally:
             writer.transport.abort()
-            if mine and not self._leaving:
-                await self._left()
+            if is_successor and not self._is_leaving:
+                await self._successor_lost()
 
-    def _hello(self, message: Frame, writer: asyncio.StreamWriter) -> bool:
-        """Begin to tell a successor all; false where it is turned away."""
-        verb, fields = message
-        if verb != "HELLO" or fields.get("version") != VERSION:
-            writer.write(frame("NO", why="another version", version=VERSION))
+    def _accept(self, frame: Frame, writer: asyncio.StreamWriter) -> bool:
+        """Begin to hand over; false where the peer is rejected."""
+        if not is_compatible_hello(frame):
+            writer.write(encode(Rejection("another version", version=PROTOCOL_VERSION)))
             return False
-        if not self.session.machine.joined():
-            writer.write(frame("NO", why="another successor", busy=True))
+        if not self.session.accept_successor():
+            writer.write(encode(Rejection("another successor", is_busy=True)))
             return False
         self._counters.add("handover.successors")
-        self._log.event("handover.successor")
-        # The sockets go with the first bytes; a second descriptor of the link's, as streams can't pass any.
+        self._log.event("handover.successor_connected")
+        # The sockets go with the first bytes, by a second descriptor of the link: streams can't pass any.
         try:
             with socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())) as link:
-                socket.send_fds(link, [frame("HERE", version=VERSION)], [s.fileno() for s in self._listeners()])
-        except OSError:  # it has gone already, as one does that waited in vain for a process that stood still
-            self.session.left(False, 0.0)
+                sockets = [sock.fileno() for sock in self._listeners()]
+                socket.send_fds(link, [encode(Here(PROTOCOL_VERSION))], sockets)
+        except OSError:  # the successor has gone: it had waited in vain while this process was stopped
+            self.session.successor_lost(False, 0.0)
             raise
-        self._linked(writer)
-        self._spawn(self._tell(writer))
+        self._attach(writer)
+        self._spawn(self._send_keys(writer))
         return True
 
-    async def _tell(self, writer: asyncio.StreamWriter) -> None:
-        """Tell a successor all keys, no more at a time than it reads."""
+    async def _send_keys(self, writer: asyncio.StreamWriter) -> None:
+        """Send a successor all records, no faster than it reads."""
         with contextlib.suppress(OSError):
-            for data in self.session.snapshot():
+            for data in self.session.record_frames():
                 writer.write(data)
                 if writer.transport.get_write_buffer_size():
                     await writer.drain()
             while writer.transport.get_write_buffer_size() and not writer.transport.is_closing():
-                await asyncio.sleep(TAKEN)
+                await asyncio.sleep(FLUSH_POLL_S)
             if self._writer is writer:  # not of a successor that came after the one that this was for
-                self.session.synced()
+                self.session.keys_sent()
 
-    async def _left(self) -> None:
-        """The link to the successor is gone."""
+    async def _successor_lost(self) -> None:
+        """Settle the end of the link to the successor."""
         self._writer = None
-        # A process that has yielded still answers there, lest a successor that did not hear of it takes it for dead;
-        # who serves in its place has put its own file there.
-        self.session.left(not self._found() and answers(self._path), self._clock.now() - self._turn)
-        self._log.event("handover.successor_gone", stage=self._stage.value)
-        if self._stage is Stage.ALONE and not self._found():
+        # A process that has yielded goes on listening, lest a successor that did not learn of it takes it for dead;
+        # a successor that serves has put its own file there.
+        is_alive = not self._rendezvous.is_own() and self._rendezvous.has_listener()
+        self.session.successor_lost(is_alive, self._clock.now() - self._last_turn)
+        self._log.event("handover.successor_lost", stage=self._stage.value)
+        if self._stage is Stage.ALONE and not self._rendezvous.is_own():
             await self._listen()
--- a/chutepin/handover/session.py
+++ b/chutepin/handover/session.py
@@ -1,176 +1,234 @@
-"""What the two processes tell each other and what each makes of it. Sans-I/O: frames in, frames out through `send`."""
+"""One process's side of a hand-over: messages in, messages out through `send`. No I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterator
-from typing import Any, Protocol
+from enum import Enum
+from typing import Protocol
 
 from ..clock import Clock
 from ..counters import Counters
-from ..idempotency import IdempotencyRecord, KeyOwnership
-from ..net.lines import ProtocolError
-from .frames import Frame, decode_record, encode_record, frame
-from .state_machine import OWNING, HandoverStateMachine, Stage
+from ..idempotency import IdempotencyRecord, KeyOwnership, KeyRequest
+from .frames import Frame, decode, encode, encode_record
+from .messages import (
+    KeyRemoved,
+    KeyReply,
+    KeysSynced,
+    LearnedStatistics,
+    Message,
+    ProcessUsage,
+    RecordChanged,
+    TakeoverGranted,
+    TakeoverRequest,
+)
+from .state_machine import Event, HandoverStateMachine, Stage
+
+
+class Delivery(Enum):
+    """What became of a message that was written to the other process."""
+
+    IN_KERNEL = "in the kernel's buffer"  # the peer will read it even if this process is killed
+    BUFFERED = "buffered in this process"
+    LINK_CLOSED = "link closed"  # found by this very write; nobody has been notified yet
+
+
+class HandoverHost(Protocol):
+    """The node, as the hand-over needs it."""
 
+    def records(self) -> list[IdempotencyRecord]:
+        """Return all records of this process."""
 
-class Host(Protocol):
-    """The node, as the hand-over needs it."""
+    def is_current(self, record: IdempotencyRecord) -> bool:
+        """The record is still in the table."""
+
+    def peer_record_changed(self, record: IdempotencyRecord) -> None:
+        """Apply a record of the other process."""
+
+    def peer_key_removed(self, key: str) -> None:
+        """Apply the removal of a key by the other process."""
 
-    def entries(self) -> list[IdempotencyRecord]: ...
+    def peer_requests_key(self, request: KeyRequest) -> bool:
+        """Decide whether the other process may take a key."""
 
-    def current(self, entry: IdempotencyRecord) -> bool:
-        """It is still in the table."""
+    def key_replied(self, request_id: str, key: str, is_granted: bool) -> None:
+        """Go on with a request that waits for its key."""
 
-    def heard(self, entry: IdempotencyRecord) -> None: ...
-    def unheard(self, key: str) -> None: ...
-    def asked(self, id: str, key: str, contents: bytes, until: float) -> bool: ...
-    def granted(self, id: str, key: str, may: bool) -> None: ...
-    def orphaned(self) -> None: ...
-    def learned(self) -> dict[str, object]: ...
-    def adopt(self, learned: dict[str, object]) -> None: ...
+    def peer_lost(self) -> None:
+        """Settle what the other process held."""
 
-    def use(self) -> tuple[int, float, int]:
-        """Runs, memory in KB, descriptors."""
+    def learned_statistics(self) -> dict[str, object]:
+        """Return what this process's decision module has learned."""
 
-    def elsewhere(self, running: int, memory: float, descriptors: int) -> None:
-        """What the other process uses."""
+    def adopt_statistics(self, statistics: dict[str, object]) -> None:
+        """Begin with what the predecessor's decision module had learned."""
+
+    def usage(self) -> ProcessUsage:
+        """Return what this process uses of the node's limits."""
+
+    def set_peer_usage(self, usage: ProcessUsage) -> None:
+        """Leave room for what the other process uses."""
 
     def yield_ownership(self) -> None:
-        """A successor serves: accept no more, have what is open here finished."""
+        """Stop accepting and finish what is open: the successor serves."""
 
     def resume_ownership(self) -> None:
-        """The successor has gone: accept again."""
+        """Accept again: the successor has gone."""
+
+
+NO_USAGE = ProcessUsage(0, 0.0, 0)
 
 
 class HandoverSession:
-    """One process's side. It is the core's `keys.PeerProcess`, and what the table of keys tells."""
+    """Applies messages to the state machine and the host; the broker's `PeerProcess`."""
 
-    def __init__(self, host: Host, machine: HandoverStateMachine, clock: Clock, counters: Counters) -> None:
-        self._host, self._clock, self._counters = host, clock, counters
+    def __init__(self, host: HandoverHost, machine: HandoverStateMachine, clock: Clock, counters: Counters) -> None:
+        self._host = host
+        self._clock = clock
+        self._counters = counters
         self.machine = machine
-        # Writes to the other process: true where the kernel has all of it, None where the link has ended and nobody was
-        # told yet. None itself without a link.
-        self.send: Callable[[bytes], bool | None] | None = None
-        self._welcomed = False
-        self._whole = False  # the successor has been told all keys
+        self.send: Callable[[bytes], Delivery] | None = None  # None without a link
+        self._is_executor_ready = False
+        self._are_keys_sent = False  # the successor has been sent every record
 
-    # --- keys.PeerProcess, and keys.Table.told ---
+    # As the broker's `PeerProcess`, and `IdempotencyTable.replicate`:
 
-    def standing(self, now: float) -> KeyOwnership:
-        """Who may take a key that is not known here."""
-        return self.machine.standing(now)
+    def ownership(self, now: float) -> KeyOwnership:
+        """Return who may take a key that is not known here."""
+        return self.machine.ownership(now)
 
-    def ask(self, id: str, key: str, contents: bytes, until: float) -> None:
+    def request_key(self, request: KeyRequest) -> None:
         """Ask the owner of the keys."""
-        self._counters.add("handover.asked")
-        self._say(frame("ASK", id=id, key=key, contents=contents.hex(), until=until))
+        self._counters.add("handover.keys_requested")
+        self._send(request)
 
-    def told(self, key: str, entry: IdempotencyRecord | None) -> bool:
-        """An entry of this process has changed. True once the other process is sure to hear of it: the bytes are in the
-        kernel's hands, or there is no other process."""
+    def replicate(self, key: str, record: IdempotencyRecord | None) -> bool:
+        """Send a change of this process's table; true once the other process is sure to receive it, or needs not."""
         if self.send is None:
             return self.machine.stage is not Stage.DISCONNECTED
-        sure = self.send(frame("DROP", key=key) if entry is None else encode_record(entry))
-        if sure is None:  # the owner of the keys goes on alone: the other one runs none without a link
-            return self.machine.stage in OWNING
-        # A successor that was not told all yet takes no key if this process dies now.
-        return sure or (self.machine.stage is Stage.SENDING_KEYS and not self._whole)
-
-    def _say(self, data: bytes) -> bool:
-        return self.send is not None and bool(self.send(data))
-
-    # --- both ---
-
-    def tell_use(self) -> bool:
-        """Tell what this process uses; whether the kernel took it."""
-        running, memory, descriptors = self._host.use()
-        return self._say(frame("USE", running=running, memory=memory, descriptors=descriptors))
-
-    def hear(self, message: Frame) -> None:
-        """Take in a frame of the other process. Raises ProtocolError."""
-        verb, fields = message
-        self.machine.heard(self._clock.now(), verb)
-        try:
-            self._said(verb, fields)
-        except (KeyError, TypeError, ValueError) as error:
-            raise ProtocolError(f"{verb} is malformed: {error!r}") from None
-
-    def _said(self, verb: str, fields: dict[str, Any]) -> None:
-        match verb:
-            case "KEY":
-                self._host.heard(decode_record(fields))
-            case "DROP":
-                self._host.unheard(str(fields["key"]))
-            case "USE":
-                self._host.elsewhere(int(fields["running"]), float(fields["memory"]), int(fields["descriptors"]))
+        delivery = self.send(encode(KeyRemoved(key)) if record is None else encode_record(record))
+        if delivery is Delivery.LINK_CLOSED:
+            return self.machine.owns_keys  # and goes on alone: without a link the other one runs no key
+        if delivery is Delivery.IN_KERNEL:
+            return True
+        # A successor that was not sent every record takes no key if this process dies now.
+        return self.machine.stage is Stage.SENDING_KEYS and not self._are_keys_sent
+
+    # Both processes:
+
+    def send_usage(self) -> bool:
+        """Send what this process uses; true where the kernel took it."""
+        return self._send(self._host.usage())
+
+    def receive(self, frame: Frame) -> None:
+        """Apply a frame of the other process. Raises ProtocolError."""
+        now = self._clock.now()
+        match frame.verb:
+            case "HERE":
+                self.machine.apply(Event.ACCEPTED, now)
             case "SYNCED":
-                self.machine.closed_until = float(fields["closed_until"])  # what it does not know, nobody knows
-                self._take()
-            case "LEARNED":
-                self._host.adopt(fields)
-            case "TAKES" if self.machine.taken():
-                self._counters.add("handover.yielded")
-                self._host.yield_ownership()
-                self._say(frame("LEARNED", **self._host.learned()))
-                self._say(frame("YOURS"))
-            case "ASK":
-                id, key = str(fields["id"]), str(fields["key"])
-                may = self._host.asked(id, key, bytes.fromhex(fields["contents"]), float(fields["until"]))
-                self._say(frame("TOLD", id=id, key=key, may=may))
-            case "TOLD":
-                self._host.granted(str(fields["id"]), str(fields["key"]), bool(fields["may"]))
+                self.machine.apply(Event.KEYS_SYNCED, now)
+            case "YOURS":
+                self.machine.apply(Event.TAKEOVER_GRANTED, now)
+        self.machine.extend_deadline(now)
+        self._apply(decode(frame))
+
+    def _apply(self, message: Message) -> None:
+        match message:
+            case RecordChanged(record):
+                self._host.peer_record_changed(record)
+            case KeyRemoved(key):
+                self._host.peer_key_removed(key)
+            case ProcessUsage():
+                self._host.set_peer_usage(message)
+            case KeyRequest():
+                is_granted = self._host.peer_requests_key(message)
+                self._send(KeyReply(message.request_id, message.key, is_granted))
+            case KeyReply(request_id, key, is_granted):
+                self._host.key_replied(request_id, key, is_granted)
+            case KeysSynced(in_doubt_until):
+                self.machine.in_doubt_until = in_doubt_until
+                self._request_takeover()
+            case LearnedStatistics(statistics):
+                self._host.adopt_statistics(statistics)
+            case TakeoverRequest():
+                self._grant_takeover()
             case _:
-                pass  # HERE and YOURS have had their effect on the stage
-
-    # --- the newer process ---
-
-    def welcomed(self) -> None:
-        """The executor is up."""
-        self._welcomed = True
-        self._take()
-
-    def _take(self) -> None:
-        if self._welcomed and self.machine.takes(self._clock.now()):
-            self._say(frame("TAKES"))
-
-    def lost(self, alive: bool) -> None:
-        """The link to the predecessor has ended."""
-        self._over()
-        self.machine.lost(self._clock.now(), alive)
-        self._host.orphaned()
-
-    # --- the older process ---
-
-    def snapshot(self) -> Iterator[bytes]:
-        """All keys for a successor, frame by frame. What changes meanwhile is told as it does."""
-        self._whole = False
-        for entry in self._host.entries():
-            if self._host.current(entry):
-                yield encode_record(entry)
-
-    def synced(self) -> None:
-        """All keys were told. To be called once the kernel has taken them: from here on a key runs only if the kernel
-        takes its claim at once."""
-        self._whole = True
-        self._say(frame("SYNCED", closed_until=max(0.0, self.machine.closed_until)))
-
-    def left(self, alive: bool, stood: float) -> None:
-        """The link to the successor has ended."""
-        yielded = self.machine.stage is Stage.YIELDED
-        self._over()
-        self.machine.left(self._clock.now(), yielded and alive, stood)
-        if yielded:
-            self._host.orphaned()
-        if yielded and self.machine.stage is Stage.ALONE:
+                pass  # HERE and YOURS change the stage alone
+
+    # The successor:
+
+    def executor_ready(self) -> None:
+        """Note that this process's executor is up."""
+        self._is_executor_ready = True
+        self._request_takeover()
+
+    def _request_takeover(self) -> None:
+        if self._is_executor_ready and self.machine.apply(Event.EXECUTOR_READY, self._clock.now()):
+            self._send(TakeoverRequest())
+
+    def rejected(self, is_busy: bool) -> None:
+        """Apply the predecessor's refusal to hand over."""
+        self.send = None
+        self.machine.apply(Event.REJECTED_BUSY if is_busy else Event.REJECTED, self._clock.now())
+
+    def predecessor_lost(self, is_alive: bool) -> None:
+        """Apply the end of the link to the predecessor."""
+        self._end_link()
+        self.machine.predecessor_lost(self._clock.now(), is_alive)
+        self._host.peer_lost()
+
+    # The predecessor:
+
+    def accept_successor(self) -> bool:
+        """Begin a hand-over; false where there is a successor already, or the keys are not this process's."""
+        return self.machine.apply(Event.SUCCESSOR_CONNECTED, self._clock.now())
+
+    def record_frames(self) -> Iterator[bytes]:
+        """Yield the frames of all records for a successor; changes meanwhile are replicated as they happen."""
+        self._are_keys_sent = False
+        for record in self._host.records():
+            if self._host.is_current(record):
+                yield encode_record(record)
+
+    def keys_sent(self) -> None:
+        """Tell the successor that it has every record.
+
+        To be called once the kernel has taken them: from here on a key runs only if the kernel takes its claim at
+        once."""
+        self._are_keys_sent = True
+        self._send(KeysSynced(max(0.0, self.machine.in_doubt_until)))
+
+    def _grant_takeover(self) -> None:
+        if not self.machine.apply(Event.TAKEOVER_REQUESTED, self._clock.now()):
+            return
+        self._counters.add("handover.yielded")
+        self._host.yield_ownership()
+        self._send(LearnedStatistics(self._host.learned_statistics()))
+        self._send(TakeoverGranted())
+
+    def successor_lost(self, is_alive: bool, loop_stalled_s: float) -> None:
+        """Apply the end of the link to the successor."""
+        has_yielded = self.machine.stage is Stage.YIELDED
+        self._end_link()
+        self.machine.successor_lost(self._clock.now(), has_yielded and is_alive, loop_stalled_s)
+        if not has_yielded:
+            return
+        self._host.peer_lost()
+        if self.machine.stage is Stage.ALONE:
             self._host.resume_ownership()
 
-    def gone(self) -> None:
-        """The other process, which lived without a link to this one, has gone."""
-        cut_off = self.machine.stage is Stage.DISCONNECTED
-        self.machine.gone(self._clock.now())
-        if cut_off:
+    # Either, without a link:
+
+    def peer_ended(self) -> None:
+        """Apply the end of a process that lived on without a link to this one."""
+        was_disconnected = self.machine.stage is Stage.DISCONNECTED
+        self.machine.apply(Event.PEER_ENDED, self._clock.now())
+        if was_disconnected:
             self._host.resume_ownership()
 
-    def _over(self) -> None:
+    def _send(self, message: Message) -> bool:
+        return self.send is not None and self.send(encode(message)) is Delivery.IN_KERNEL
+
+    def _end_link(self) -> None:
         self.send = None
-        self._host.elsewhere(0, 0.0, 0)
+        self._host.set_peer_usage(NO_USAGE)
--- a/chutepin/handover/state_machine.py
+++ b/chutepin/handover/state_machine.py
@@ -1,127 +1,202 @@
-"""Who serves and who owns the keys, as one table of stages. Pure: time is an argument, nothing is sent from here."""
+"""The hand-over state machine of one process: its stage, and with it whether it serves and who owns unknown keys.
+
+Pure: time is an argument and nothing is sent from here. `docs/operation.md` prints the tables below; a test compares
+them."""
 
 from __future__ import annotations
 
 import math
 from enum import Enum
+from typing import NamedTuple
 
 from ..idempotency import KeyOwnership
 
-ANSWER_BY = 2.0  # seconds in which a predecessor must answer HELLO
-WORD_BY = 3.0  # seconds in which it must go on telling
-STALLED = 1.5  # seconds without a turn of the loop after which another may have given this process up
+HELLO_TIMEOUT_S = 2.0  # for a predecessor's answer to HELLO
+FRAME_TIMEOUT_S = 3.0  # between two frames of a predecessor that is handing over
+STALLED_LOOP_S = 1.5  # without a turn of the event loop, after which a peer may have given this process up
 
 
 class Stage(Enum):
-    """Where a process stands towards the node's other one."""
-
-    ALONE = "alone"
-    # the newer one
-    WAITING = "waiting"  # a third process is between the two: not serving until it is met or gone
-    HELLO_SENT = "hello sent"  # to a predecessor that has not answered
-    RECEIVING_KEYS = "learning"  # keys are being told
-    SYNCED = "synced"  # all was told; the executor may not have welcomed yet
-    TAKEOVER_REQUESTED = "taking"  # TAKES was said
-    TAKEN_OVER = "owner"  # serves; the predecessor finishes
-    UNCOORDINATED = "apart"  # serves without having met a predecessor that lives
-    # the older one
-    SENDING_KEYS = "telling"  # a successor is there and not ready
+    """Where a process stands in a hand-over."""
+
+    ALONE = "alone"  # no other process
+    # the successor
+    WAITING = "waiting"  # another successor is being served by the predecessor; this one does not serve yet
+    HELLO_SENT = "hello sent"
+    RECEIVING_KEYS = "receiving keys"
+    SYNCED = "synced"  # all keys have come; this process's executor may not be up yet
+    TAKEOVER_REQUESTED = "takeover requested"
+    TAKEN_OVER = "taken over"  # serves; the predecessor finishes
+    UNCOORDINATED = "uncoordinated"  # serves beside a live predecessor that did not hand over
+    # the predecessor
+    SENDING_KEYS = "sending keys"  # a successor is connected and not ready
     YIELDED = "yielded"  # the successor serves
-    DISCONNECTED = "cut off"  # the successor serves, and the link to it is gone
-
-
-SERVING = frozenset({Stage.ALONE, Stage.TAKEN_OVER, Stage.UNCOORDINATED, Stage.SENDING_KEYS})
-OWNING = frozenset({Stage.ALONE, Stage.TAKEN_OVER, Stage.SENDING_KEYS})
+    DISCONNECTED = "disconnected"  # the successor serves, and the connection to it is lost
+
+
+class Event(Enum):
+    """What may change the stage."""
+
+    HELLO_SENT = "HELLO sent"
+    REJECTED = "NO received"
+    REJECTED_BUSY = "NO received, busy"
+    ACCEPTED = "HERE received"
+    KEYS_SYNCED = "SYNCED received"
+    EXECUTOR_READY = "executor ready"
+    TAKEOVER_GRANTED = "YOURS received"
+    PREDECESSOR_LOST = "predecessor lost, alive"
+    PREDECESSOR_DEAD = "predecessor lost, dead"
+    PEER_ENDED = "peer ended"  # nobody listens at the rendezvous any more
+    SUCCESSOR_CONNECTED = "HELLO received"
+    TAKEOVER_REQUESTED = "TAKES received"
+    SUCCESSOR_LOST = "successor lost, alive"
+    SUCCESSOR_DEAD = "successor lost, dead"
+    SUCCESSOR_DEAD_UNHEARD = "successor lost, dead, after a stalled loop"
+
+
+class Transition(NamedTuple):
+    """The next stage, and whether unknown keys are in doubt for one window from then on."""
+
+    stage: Stage
+    puts_keys_in_doubt: bool = False
+
+
+_REJECTIONS = {
+    Event.REJECTED: Transition(Stage.UNCOORDINATED),
+    Event.REJECTED_BUSY: Transition(Stage.WAITING),
+}
+_RESTART = {
+    Event.HELLO_SENT: Transition(Stage.HELLO_SENT),
+    Event.PEER_ENDED: Transition(Stage.ALONE, puts_keys_in_doubt=True),
+}
+# The keys have not come whole: the predecessor's death leaves the unknown ones in doubt.
+_LOST_UNSYNCED = {
+    Event.PREDECESSOR_LOST: Transition(Stage.UNCOORDINATED),
+    Event.PREDECESSOR_DEAD: Transition(Stage.ALONE, puts_keys_in_doubt=True),
+}
+_LOST_SYNCED = {
+    Event.PREDECESSOR_LOST: Transition(Stage.UNCOORDINATED),
+    Event.PREDECESSOR_DEAD: Transition(Stage.ALONE),
+}
+
+# Every transition; an event that a stage does not list changes nothing.
+TRANSITIONS: dict[Stage, dict[Event, Transition]] = {
+    Stage.ALONE: {
+        Event.HELLO_SENT: Transition(Stage.HELLO_SENT),
+        Event.SUCCESSOR_CONNECTED: Transition(Stage.SENDING_KEYS),
+    },
+    Stage.WAITING: _RESTART,
+    Stage.UNCOORDINATED: _RESTART,
+    Stage.HELLO_SENT: {
+        Event.ACCEPTED: Transition(Stage.RECEIVING_KEYS),
+        **_REJECTIONS,
+        **_LOST_UNSYNCED,
+    },
+    Stage.RECEIVING_KEYS: {
+        Event.KEYS_SYNCED: Transition(Stage.SYNCED),
+        **_REJECTIONS,
+        **_LOST_UNSYNCED,
+    },
+    Stage.SYNCED: {
+        Event.EXECUTOR_READY: Transition(Stage.TAKEOVER_REQUESTED),
+        **_REJECTIONS,
+        **_LOST_SYNCED,
+    },
+    Stage.TAKEOVER_REQUESTED: {
+        Event.TAKEOVER_GRANTED: Transition(Stage.TAKEN_OVER),
+        **_REJECTIONS,
+        **_LOST_SYNCED,
+    },
+    Stage.TAKEN_OVER: {
+        **_REJECTIONS,
+        Event.PREDECESSOR_LOST: Transition(Stage.ALONE),
+        Event.PREDECESSOR_DEAD: Transition(Stage.ALONE),
+    },
+    Stage.SENDING_KEYS: {
+        Event.TAKEOVER_REQUESTED: Transition(Stage.YIELDED),
+        Event.SUCCESSOR_LOST: Transition(Stage.ALONE),
+        Event.SUCCESSOR_DEAD: Transition(Stage.ALONE),
+        Event.SUCCESSOR_DEAD_UNHEARD: Transition(Stage.ALONE),
+    },
+    Stage.YIELDED: {
+        Event.SUCCESSOR_LOST: Transition(Stage.DISCONNECTED),
+        Event.SUCCESSOR_DEAD: Transition(Stage.ALONE),
+        # A successor that could not be heard for that long may have gone on by itself.
+        Event.SUCCESSOR_DEAD_UNHEARD: Transition(Stage.ALONE, puts_keys_in_doubt=True),
+    },
+    Stage.DISCONNECTED: {Event.PEER_ENDED: Transition(Stage.ALONE, puts_keys_in_doubt=True)},
+}
+
+# Who owns a key that this process does not know, until `in_doubt_until` aside.
+OWNERSHIP: dict[Stage, KeyOwnership] = {
+    Stage.ALONE: KeyOwnership.OWNED,
+    Stage.WAITING: KeyOwnership.IN_DOUBT,
+    Stage.HELLO_SENT: KeyOwnership.IN_DOUBT,
+    Stage.RECEIVING_KEYS: KeyOwnership.IN_DOUBT,
+    Stage.SYNCED: KeyOwnership.IN_DOUBT,
+    Stage.TAKEOVER_REQUESTED: KeyOwnership.IN_DOUBT,
+    Stage.TAKEN_OVER: KeyOwnership.OWNED,
+    Stage.UNCOORDINATED: KeyOwnership.IN_DOUBT,
+    Stage.SENDING_KEYS: KeyOwnership.OWNED,
+    Stage.YIELDED: KeyOwnership.ASK_PEER,
+    Stage.DISCONNECTED: KeyOwnership.IN_DOUBT,
+}
+
+# Seconds from the entry of a stage to its deadline; frames of the predecessor extend it.
+_ENTRY_TIMEOUTS_S: dict[Stage, float] = {
+    Stage.HELLO_SENT: HELLO_TIMEOUT_S,
+    Stage.RECEIVING_KEYS: FRAME_TIMEOUT_S,
+    Stage.TAKEOVER_REQUESTED: FRAME_TIMEOUT_S,
+}
 
 
 class HandoverStateMachine:
-    """The stages of one process."""
+    """The stage of one process."""
 
-    def __init__(self, window: float) -> None:
-        """`window`: seconds for which the longest-lived key is remembered."""
-        self._window = window
+    def __init__(self, key_window_s: float) -> None:
+        """`key_window_s`: for how long the longest-lived key is remembered."""
+        self._key_window_s = key_window_s
         self.stage = Stage.ALONE
-        self.by = math.inf  # when the present stage counts as stalled
-        self.closed_until = -math.inf  # until then an unknown key may have run where nobody can be asked
+        self.deadline = math.inf  # when a predecessor counts as stalled
+        self.in_doubt_until = -math.inf  # until then an unknown key may have run where nobody can be asked
 
     @property
-    def serving(self) -> bool:
-        """This process accepts connections."""
-        return self.stage in SERVING
-
-    def standing(self, now: float) -> KeyOwnership:
-        """Who may take a key that this process does not know."""
-        if self.stage is Stage.YIELDED:
-            return KeyOwnership.ASK_PEER
-        return KeyOwnership.OWNED if self.stage in OWNING and now >= self.closed_until else KeyOwnership.IN_DOUBT
-
-    # --- the newer process ---
-
-    def met(self, now: float) -> None:
-        """A predecessor was found and HELLO was said."""
-        self.stage, self.by = Stage.HELLO_SENT, now + ANSWER_BY
-
-    def turned_away(self, now: float, busy: bool) -> None:
-        """It does not hand over: another successor is at work, or it is of another version."""
-        self.stage, self.by = Stage.WAITING if busy else Stage.UNCOORDINATED, math.inf
-
-    def heard(self, now: float, verb: str) -> None:
-        """It said something."""
-        if verb == "HERE" and self.stage is Stage.HELLO_SENT:
-            self.stage = Stage.RECEIVING_KEYS
-        elif verb == "SYNCED" and self.stage is Stage.RECEIVING_KEYS:
-            self.stage, self.by = Stage.SYNCED, math.inf
-        elif verb == "YOURS" and self.stage is Stage.TAKEOVER_REQUESTED:
-            self.stage, self.by = Stage.TAKEN_OVER, math.inf
-        if self.by < math.inf:
-            self.by = now + WORD_BY
-
-    def takes(self, now: float) -> bool:
-        """The executor has welcomed: whether TAKES is to be said now."""
-        if self.stage is not Stage.SYNCED:
+    def owns_keys(self) -> bool:
+        """Keys are this process's to give, apart from those in doubt."""
+        return OWNERSHIP[self.stage] is KeyOwnership.OWNED
+
+    def ownership(self, now: float) -> KeyOwnership:
+        """Return who may take a key that this process does not know."""
+        ownership = OWNERSHIP[self.stage]
+        if ownership is KeyOwnership.OWNED and now < self.in_doubt_until:
+            return KeyOwnership.IN_DOUBT
+        return ownership
+
+    def apply(self, event: Event, now: float) -> bool:
+        """Make the transition of an event; false, and no change, where the stage has none."""
+        transition = TRANSITIONS[self.stage].get(event)
+        if transition is None:
             return False
-        self.stage, self.by = Stage.TAKEOVER_REQUESTED, now + WORD_BY
+        self.stage = transition.stage
+        self.deadline = now + _ENTRY_TIMEOUTS_S.get(self.stage, math.inf)
+        if transition.puts_keys_in_doubt:
+            self.in_doubt_until = now + self._key_window_s
         return True
 
-    def lost(self, now: float, alive: bool) -> None:
-        """The link to the predecessor is gone or given up; `alive`: it still answers at the meeting place."""
-        told = self.stage in (Stage.SYNCED, Stage.TAKEOVER_REQUESTED, Stage.TAKEN_OVER)
-        if alive and self.stage is not Stage.TAKEN_OVER:
-            # It lives and was not heard to yield: it goes on owning the keys.
-            self.stage, self.by = Stage.UNCOORDINATED, math.inf
-            return
-        if not told and self.stage is not Stage.WAITING:
-            self.closed_until = now + self._window
-        self.stage, self.by = Stage.ALONE, math.inf
-
-    def gone(self, now: float) -> None:
-        """Nobody answers at the meeting place any more."""
-        if self.stage in (Stage.UNCOORDINATED, Stage.DISCONNECTED, Stage.WAITING):
-            self.closed_until = now + self._window
-            self.stage, self.by = Stage.ALONE, math.inf
-
-    # --- the older process ---
-
-    def joined(self) -> bool:
-        """A successor says HELLO; false where there is one already or this process does not own the keys."""
-        if self.stage is not Stage.ALONE:
-            return False
-        self.stage = Stage.SENDING_KEYS
-        return True
+    def extend_deadline(self, now: float) -> None:
+        """Note that the predecessor has sent a frame."""
+        if self.deadline < math.inf:
+            self.deadline = now + FRAME_TIMEOUT_S
 
-    def taken(self) -> bool:
-        """The successor says TAKES."""
-        if self.stage is not Stage.SENDING_KEYS:
-            return False
-        self.stage = Stage.YIELDED
-        return True
+    def predecessor_lost(self, now: float, is_alive: bool) -> bool:
+        """Apply the loss of the connection to the predecessor. `is_alive`: it still listens at the rendezvous."""
+        return self.apply(Event.PREDECESSOR_LOST if is_alive else Event.PREDECESSOR_DEAD, now)
 
-    def left(self, now: float, alive: bool, stood: float) -> None:
-        """The link to the successor is gone. `stood`: seconds since the last turn of this process's loop. A successor
-        that could not be heard for that long may have gone on by itself."""
-        if self.stage is Stage.YIELDED and alive:
-            self.stage = Stage.DISCONNECTED
-            return
-        if self.stage is Stage.YIELDED and stood >= STALLED:
-            self.closed_until = now + self._window
-        self.stage = Stage.ALONE
+    def successor_lost(self, now: float, is_alive: bool, loop_stalled_s: float) -> bool:
+        """Apply the loss of the connection to the successor.
+
+        `loop_stalled_s`: since the last turn of this process's event loop."""
+        if is_alive:
+            return self.apply(Event.SUCCESSOR_LOST, now)
+        is_unheard = loop_stalled_s >= STALLED_LOOP_S
+        return self.apply(Event.SUCCESSOR_DEAD_UNHEARD if is_unheard else Event.SUCCESSOR_DEAD, now)
--- a/chutepin/idempotency/table.py
+++ b/chutepin/idempotency/table.py
@@ -1,153 +1,168 @@
-"""Entries, windows, results and bounds."""
+"""The table of idempotency keys: records, their windows, kept results and the bound on memory."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass, field
 
 from ..facade import End
+from .record import IdempotencyRecord
 
-KEY_BYTES = 1024  # that an entry takes, its result apart
-KEY_SLACK_S = 0.1  # seconds that a window is stretched by: an entry may outlive its window, never the reverse
-KEY_GRACE_S = 5.0  # an entry stays this long after its window, for tries that came in time but are read late
+KEY_BYTES = 1024  # of one record without its result
+KEY_SLACK_S = 0.1  # added to each window: a record may outlive its window, never the reverse
+KEY_GRACE_S = 5.0  # a record stays this long after its window, for attempts that came in time but are read late
 
 
-@dataclass(slots=True)
-class IdempotencyRecord:
-    """One key: which try has it, which one ran, and what came of that."""
-
-    key: str
-    holder: str
-    until: float
-    contents: bytes  # digest of what all its tries carry
-    ran: str | None = None
-    end: End | None = None
-    result: bytes = b""
-    waiting: list[str] = field(default_factory=list)
-    foreign: bool = False  # its holder is in the hands of the node's other process
+class IdempotencyTable:
+    """All keys of one process, bounded by memory.
 
+    Methods that end a run or remove a record return the attempts that waited for it; the caller answers them."""
 
-class IdempotencyTable:
-    """All keys of one process, bounded by the memory that it is given."""
-
-    def __init__(self, room: int) -> None:
-        """`room`: bytes that entries and results may take together."""
-        self._room = room
-        self.results = 0  # bytes of kept results
-        self.entries: dict[str, IdempotencyRecord] = {}
-        self._outlived: dict[str, IdempotencyRecord] = {}  # by run that goes on past its window, while some wait for it
-        # Told of an entry that has changed, before anybody acts on the change; false where the other process can't be
-        # known to hear of it. Of an entry that is gone, `None` stands in its place.
-        self.told: Callable[[str, IdempotencyRecord | None], bool] = lambda key, entry: True
+    def __init__(self, max_bytes: int) -> None:
+        """`max_bytes` bounds records and results together."""
+        self._max_bytes = max_bytes
+        self.result_bytes = 0
+        self.records: dict[str, IdempotencyRecord] = {}
+        # By run: records whose window is over while the run goes on and attempts wait for it.
+        self._superseded: dict[str, IdempotencyRecord] = {}
+        # Replicates a changed record, or the removal of a key (None), before anybody acts on the change. False where
+        # the peer process can't be known to receive it.
+        self.replicate: Callable[[str, IdempotencyRecord | None], bool] = lambda key, record: True
 
     @property
-    def full(self) -> bool:
-        """No room for another key."""
-        return len(self.entries) * KEY_BYTES + self.results >= self._room
+    def is_full(self) -> bool:
+        """There is no room for another key."""
+        return len(self.records) * KEY_BYTES + self.result_bytes >= self._max_bytes
 
     def find(self, key: str | None, arrived: float) -> IdempotencyRecord | None:
-        """The entry that a try repeats: one whose window it arrived in, however late it was read, or one that has not
-        run yet, however long it has been held: its window will count from its run's arrival."""
-        entry = self.entries.get(key or "")
-        return entry if entry is not None and (entry.ran is None or arrived <= entry.until) else None
-
-    def keep(self, key: str, holder: str, arrived: float, until: float, contents: bytes) -> None:
-        """Enter a try, or hand an entry that never ran over to a newer try."""
-        entry = self.entries.get(key)
-        if entry is None or (entry.ran is not None and arrived > entry.until):
-            self._outlive(entry)
-            entry = self.entries[key] = IdempotencyRecord(key, holder, until + KEY_SLACK_S, b"")
-        entry.until = max(entry.until, until + KEY_SLACK_S)
-        if entry.ran is None:
-            entry.holder, entry.contents, entry.foreign = holder, contents, False
-        self.told(key, entry)
-
-    def _outlive(self, entry: IdempotencyRecord | None) -> None:
-        """Another entry takes the place of one whose window is over. Its run may go on, and some may wait for it."""
-        if entry is not None:
-            self.results -= len(entry.result)
-            if entry.waiting and entry.ran is not None:
-                self._outlived[entry.ran] = entry
-
-    def _late(self, run: str | None) -> list[str]:
-        """Who waited for a run that has outlived its window and is over now."""
-        entry = self._outlived.pop(run or "", None)
-        return entry.waiting if entry is not None else []
-
-    def run(self, key: str, holder: str, until: float) -> bool:
-        """A try is about to run; false where it may not. `until`: the end of the window that the run opens.
-
-        Guards the rule itself: whatever the module decides, no second try of a key runs in the window."""
-        entry = self.entries.get(key)
-        if entry is None or entry.holder != holder or entry.ran is not None or entry.foreign:
+        """Return the record that an attempt repeats.
+
+        Either the attempt arrived within the record's window, however late it was read, or the record has not run
+        yet: its window begins with the arrival of the attempt that runs."""
+        record = self.records.get(key or "")
+        if record is None:
+            return None
+        return record if not record.has_run or arrived <= record.expires_at else None
+
+    def reserve(self, key: str, attempt_id: str, arrived: float, expires_at: float, fingerprint: bytes) -> None:
+        """Reserve a key for an attempt; a record that never ran passes to it from an older attempt."""
+        record = self.records.get(key)
+        if record is None or (record.has_run and arrived > record.expires_at):
+            self._supersede(record)
+            record = self.records[key] = IdempotencyRecord(key, attempt_id, expires_at + KEY_SLACK_S, b"")
+        record.expires_at = max(record.expires_at, expires_at + KEY_SLACK_S)
+        if not record.has_run:
+            record.holder_id = attempt_id
+            record.fingerprint = fingerprint
+            record.owned_by_peer = False
+        self.replicate(key, record)
+
+    def start_run(self, key: str, attempt_id: str, expires_at: float) -> bool:
+        """Mark a key as run by this attempt; false where it must not run. `expires_at`: the end of the run's window.
+
+        Guards the guarantee itself: whatever the decision module decides, no second attempt of a key runs within the
+        window, and none before the peer process is sure to learn of it."""
+        record = self.records.get(key)
+        if record is None or record.holder_id != attempt_id or record.has_run or record.owned_by_peer:
             return False
-        entry.ran, entry.until = holder, max(entry.until, until + KEY_SLACK_S)
-        if self.told(key, entry):
+        record.run_id = attempt_id
+        record.expires_at = max(record.expires_at, expires_at + KEY_SLACK_S)
+        if self.replicate(key, record):
             return True
-        entry.ran = None  # the other process may not hear of it: it must not run
+        record.run_id = None
         return False
 
-    def ended(self, key: str, holder: str, end: End, result: bytes) -> list[str]:
-        """A run is over; who waited for it and is to be told now. Without proof that it never began, it stays."""
-        entry = self.entries.get(key)
-        if entry is None or entry.ran != holder or entry.foreign:
-            return self._late(holder)
-        if end is End.NEVER:  # proof that nothing was started: a further try may run
-            return self.drop(entry)
-        return self._over(entry, End.OK if end is End.OK else End.ERROR, result)
-
-    def _over(self, entry: IdempotencyRecord, end: End, result: bytes) -> list[str]:
-        entry.end, entry.result = end, result if end is End.OK else b""
-        self.results += len(entry.result)
-        if not entry.foreign:
-            self.told(entry.key, entry)
-        waiting, entry.waiting = entry.waiting, []
-        return waiting
-
-    def drop(self, entry: IdempotencyRecord, tell: bool = True) -> list[str]:
-        """Take an entry out; who waited for it."""
-        del self.entries[entry.key]
-        self.results -= len(entry.result)
-        if tell:
-            self.told(entry.key, None)
-        return entry.waiting
-
-    def stale(self, now: float, alive: Callable[[str], bool]) -> list[IdempotencyRecord]:
-        """Entries whose window is over, unless their try is still in hand here."""
-
-        def open_here(entry: IdempotencyRecord) -> bool:
-            return entry.end is None and alive(entry.ran or entry.holder)
-
-        return [e for e in self.entries.values() if e.until + KEY_GRACE_S < now and not open_here(e)]
-
-    # --- the node's other process ---
-
-    def learn(self, heard: IdempotencyRecord, now: float) -> list[str]:
-        """The other process tells of an entry of its own; who waited for it and is to be told now."""
-        entry = self.entries.get(heard.key)
-        if entry is not None and not entry.foreign and entry.ran is not None:
-            if entry.until >= now or heard.until <= entry.until:
-                return self._late(heard.ran) if heard.end is not None else []  # what ran here is known here
-            self._outlive(entry)  # but that was in a window which is over, and this is the key's next
-            entry = None
-        if entry is None:
-            entry = self.entries[heard.key] = IdempotencyRecord(heard.key, heard.holder, heard.until, heard.contents)
-        entry.foreign, entry.holder, entry.ran, entry.contents = True, heard.holder, heard.ran, heard.contents
-        entry.until = max(entry.until, heard.until)
-        return self._over(entry, heard.end, heard.result) if heard.end is not None and entry.end is None else []
-
-    def unlearn(self, key: str) -> list[str]:
-        """The other process has given up a key that never ran; who waited for it."""
-        entry = self.entries.get(key)
-        return self.drop(entry, tell=False) if entry is not None and entry.foreign and entry.end is None else []
-
-    def orphan(self) -> list[str]:
-        """The other process has gone: what it ran without an end is in doubt, what it held never ran. Who waited."""
-        waiting = [id for run, entry in list(self._outlived.items()) if entry.foreign for id in self._late(run)]
-        for entry in [e for e in self.entries.values() if e.foreign]:
-            if entry.ran is None:
-                waiting += self.drop(entry, tell=False)
-            elif entry.end is None:
-                waiting += self._over(entry, End.ERROR, b"")
-            entry.foreign = False
-        return waiting
+    def finish_run(self, key: str, attempt_id: str, outcome: End, result: bytes) -> list[str]:
+        """Record a run's outcome. Only proof that nothing was started frees the key for another attempt."""
+        record = self.records.get(key)
+        if record is None or record.run_id != attempt_id or record.owned_by_peer:
+            return self._pop_superseded_waiters(attempt_id)
+        if outcome is End.NEVER:
+            return self.remove(record)
+        return self._set_outcome(record, End.OK if outcome is End.OK else End.ERROR, result)
+
+    def remove(self, record: IdempotencyRecord) -> list[str]:
+        """Remove a record and replicate its removal."""
+        waiting_ids = self.discard(record)
+        self.replicate(record.key, None)
+        return waiting_ids
+
+    def discard(self, record: IdempotencyRecord) -> list[str]:
+        """Remove a record here alone: the peer process removes its copy by itself."""
+        del self.records[record.key]
+        self.result_bytes -= len(record.result)
+        return record.waiting_ids
+
+    def expired(self, now: float, is_active: Callable[[str], bool]) -> list[IdempotencyRecord]:
+        """Return the records whose window is over, unless their attempt is still active here."""
+
+        def is_open(record: IdempotencyRecord) -> bool:
+            return record.outcome is None and is_active(record.run_id or record.holder_id)
+
+        return [
+            record for record in self.records.values() if record.expires_at + KEY_GRACE_S < now and not is_open(record)
+        ]
+
+    def apply_from_peer(self, received: IdempotencyRecord, now: float) -> list[str]:
+        """Apply a record as the peer process has it."""
+        record = self.records.get(received.key)
+        if record is not None and not record.owned_by_peer and record.has_run:
+            if record.expires_at >= now or received.expires_at <= record.expires_at:
+                # What ran here is known better here.
+                return self._pop_superseded_waiters(received.run_id) if received.outcome is not None else []
+            self._supersede(record)  # its window is over, and the peer's run is the key's next
+            record = None
+        if record is None:
+            record = IdempotencyRecord(received.key, received.holder_id, received.expires_at, received.fingerprint)
+            self.records[received.key] = record
+        record.owned_by_peer = True
+        record.holder_id = received.holder_id
+        record.run_id = received.run_id
+        record.fingerprint = received.fingerprint
+        record.expires_at = max(record.expires_at, received.expires_at)
+        if received.outcome is None or record.outcome is not None:
+            return []
+        return self._set_outcome(record, received.outcome, received.result)
+
+    def remove_from_peer(self, key: str) -> list[str]:
+        """Remove a key that the peer process has given up without a run."""
+        record = self.records.get(key)
+        if record is None or not record.owned_by_peer or record.outcome is not None:
+            return []
+        return self.discard(record)
+
+    def peer_lost(self) -> list[str]:
+        """Take over the peer's records: its unfinished runs are in doubt, and what it only reserved never ran."""
+        waiting_ids: list[str] = []
+        for run_id, record in list(self._superseded.items()):
+            if record.owned_by_peer:
+                waiting_ids += self._pop_superseded_waiters(run_id)
+        for record in [record for record in self.records.values() if record.owned_by_peer]:
+            if not record.has_run:
+                waiting_ids += self.discard(record)
+            elif record.outcome is None:
+                waiting_ids += self._set_outcome(record, End.ERROR, b"")
+            record.owned_by_peer = False
+        return waiting_ids
+
+    def _set_outcome(self, record: IdempotencyRecord, outcome: End, result: bytes) -> list[str]:
+        record.outcome = outcome
+        record.result = result if outcome is End.OK else b""
+        self.result_bytes += len(record.result)
+        if not record.owned_by_peer:
+            self.replicate(record.key, record)
+        waiting_ids = record.waiting_ids
+        record.waiting_ids = []
+        return waiting_ids
+
+    def _supersede(self, record: IdempotencyRecord | None) -> None:
+        """Another record takes the place of one whose window is over; its run may go on with attempts waiting."""
+        if record is None:
+            return
+        self.result_bytes -= len(record.result)
+        if record.waiting_ids and record.run_id is not None:
+            self._superseded[record.run_id] = record
+
+    def _pop_superseded_waiters(self, run_id: str | None) -> list[str]:
+        """Return who waited for a run that has outlived its window and is over now."""
+        record = self._superseded.pop(run_id or "", None)
+        return record.waiting_ids if record is not None else []
--- a/chutepin/node.py
+++ b/chutepin/node.py
@@ -19,8 +19,8 @@
 from .clock import Clock
 from .config import AdmissionSetup, AmqpConfig, Config, ConfigError, Setup, StoreSetup, load, load_setup
 from .counters import Counters
-from .handover import Handover, HandoverSession, HandoverStateMachine, rendezvous_path
-from .idempotency import IdempotencyRecord
+from .handover import HandoverLink, HandoverSession, HandoverStateMachine, ProcessUsage, Rendezvous, rendezvous_path
+from .idempotency import IdempotencyRecord, KeyRequest
 from .lifecycle import Lifecycle, Transition
 from .logs import Log, LogFormat
 from .net.control import Reporter
@@ -230,16 +230,17 @@
 
         return Source(path, self.config.listen.port, self.front, self.clock)
 
-    def _build_handover(self, directory: str) -> Handover:
+    def _build_handover(self, directory: str) -> HandoverLink:
         """Build the hand-over between two processes of this node, which meet at a socket in this directory."""
         config = self.config
         window = max((cls.window for cls in config.settings.classes), default=0.0)
         path = rendezvous_path(directory, config.name, f"{config.listen.host}:{config.listen.port}")
         session = HandoverSession(_HandoverHost(self), HandoverStateMachine(window), self.clock, self.counters)
-        self.broker.peer, self.broker.keys.told = session, session.told
-        handover = Handover(path, session, self._listening_sockets, self.clock, self.counters, self.log)
-        handover.serves = self._serve
-        return handover
+        self.broker.peer = session
+        self.broker.keys.replicate = session.replicate
+        link = HandoverLink(Rendezvous(path), session, self._listening_sockets, self.clock, self.counters, self.log)
+        link.serve = self._serve
+        return link
 
     def print_counters(self) -> None:
         """On request and at exit; never dropped by the rate limit."""
@@ -331,7 +332,7 @@
             return await self._run()
 
     async def _run(self) -> int:
-        if self.handover is None or not self.handover.expected:
+        if self.handover is None or not self.handover.has_predecessor:
             try:
                 await self._serve()
             except OSError as error:
@@ -390,7 +391,7 @@
     def _began(self) -> None:
         """The executor is up."""
         if self.handover is not None:
-            self.handover.session.welcomed()
+            self.handover.session.executor_ready()
         if self._serving:
             self.lifecycle.apply(Transition.CAN_SERVE)
 
@@ -404,7 +405,7 @@
         if sockets:
             self.front.adopt(sockets)
             sockets.clear()
-        elif not self.front.listeners and self.handover is not None and self.handover.expected:
+        elif not self.front.listeners and self.handover is not None and self.handover.has_predecessor:
             try:
                 await self.front.listen(self.config.listen, Share.BESIDE)
             except OSError as error:
@@ -509,40 +510,68 @@
 
 
 class _HandoverHost:
-    """The node as the hand-over sees it (`handover.Host`)."""
+    """The node as the hand-over sees it (`handover.HandoverHost`)."""
 
     def __init__(self, node: Node) -> None:
-        self._node, broker = node, node.broker
-        self.heard, self.unheard, self.orphaned = broker.heard, broker.unheard, broker.orphaned
-        self.asked, self.granted = broker.asked, broker.granted
-        self.learned, self.adopt = broker.learned, broker.adopt
+        self._node = node
+        self._broker = node.broker
 
-    def entries(self) -> list[IdempotencyRecord]:
-        """All keys that are this process's to tell."""
-        return list(self._node.broker.keys.entries.values())
+    def records(self) -> list[IdempotencyRecord]:
+        """Return all records of this process."""
+        return list(self._broker.keys.records.values())
 
-    def current(self, entry: IdempotencyRecord) -> bool:
-        """It is still in the table."""
-        return self._node.broker.keys.entries.get(entry.key) is entry
+    def is_current(self, record: IdempotencyRecord) -> bool:
+        """The record is still in the table."""
+        return self._broker.keys.records.get(record.key) is record
 
-    def use(self) -> tuple[int, float, int]:
-        """What this process takes of what both share."""
-        return *self._node.broker.use, self._node.descriptors.in_use + self._node.descriptors.unattributed
+    def peer_record_changed(self, record: IdempotencyRecord) -> None:
+        """Apply a record of the other process."""
+        self._broker.peer_record_changed(record)
 
-    def elsewhere(self, running: int, memory: float, descriptors: int) -> None:
-        """What the other process takes."""
-        self._node.descriptors.limit = self._node.sockets - descriptors
-        self._node.broker.elsewhere(running, memory)
+    def peer_key_removed(self, key: str) -> None:
+        """Apply the removal of a key by the other process."""
+        self._broker.peer_key_removed(key)
+
+    def peer_requests_key(self, request: KeyRequest) -> bool:
+        """Decide whether the other process may take a key."""
+        return self._broker.peer_requests_key(request)
+
+    def key_replied(self, request_id: str, key: str, is_granted: bool) -> None:
+        """Go on with a request that waits for its key."""
+        self._broker.key_replied(request_id, key, is_granted)
+
+    def peer_lost(self) -> None:
+        """Settle what the other process held."""
+        self._broker.peer_lost()
+
+    def learned_statistics(self) -> dict[str, object]:
+        """Return what the decision module has learned."""
+        return self._broker.learned()
+
+    def adopt_statistics(self, statistics: dict[str, object]) -> None:
+        """Begin with what the predecessor's decision module had learned."""
+        self._broker.adopt(statistics)
+
+    def usage(self) -> ProcessUsage:
+        """Return what this process uses of the node's limits."""
+        running, memory_kb = self._broker.usage
+        descriptors = self._node.descriptors
+        return ProcessUsage(running, memory_kb, descriptors.in_use + descriptors.unattributed)
+
+    def set_peer_usage(self, usage: ProcessUsage) -> None:
+        """Leave room for what the other process uses."""
+        self._node.descriptors.limit = self._node.sockets - usage.descriptors
+        self._broker.set_peer_usage(usage.running, usage.memory_kb)
 
     def yield_ownership(self) -> None:
-        """A successor serves."""
+        """Stop accepting: a successor serves."""
         self._node.lifecycle.apply(Transition.SUCCESSOR_READY)
         self._node.front.yield_ownership()
         for part in self._node.subsystems:
             part.yield_ownership()
 
     def resume_ownership(self) -> None:
-        """It has gone."""
+        """Accept again: the successor has gone."""
         self._node.lifecycle.apply(Transition.SUCCESSOR_LOST)
         self._node.front.resume_ownership()
         for part in self._node.subsystems:
--- a/tests/data/make_stored_bytes.py
+++ b/tests/data/make_stored_bytes.py
@@ -30,7 +30,7 @@
 from chutepin.consensus.messages import Entry, Kind, Persist, Snapshot, Voters
 from chutepin.consensus.replica import Proposal, Replica, new_id, pack
 from chutepin.facade import End
-from chutepin.handover.frames import encode_record, frame
+from chutepin.handover.frames import encode_frame, encode_record
 from chutepin.idempotency import IdempotencyRecord as KeyEntry
 from chutepin.store.engine import Engine
 from chutepin.store.files import RealFiles
@@ -272,22 +272,22 @@
 def handover_frames() -> Iterator[tuple[str, bytes]]:
     """All verbs, with the fields that either process tells."""
     entry = KeyEntry("tenant key \u00e9", "try-1", 1234.5, bytes(range(16)), "try-0", End.ERROR, b"re\xffsult\r\n")
-    yield "HELLO", frame("HELLO", version=1)
-    yield "HERE", frame("HERE", version=1)
-    yield "NO", frame("NO", why="another version", version=1)
-    yield "NO, busy", frame("NO", why="another successor", busy=True)
+    yield "HELLO", encode_frame("HELLO", version=1)
+    yield "HERE", encode_frame("HERE", version=1)
+    yield "NO", encode_frame("NO", why="another version", version=1)
+    yield "NO, busy", encode_frame("NO", why="another successor", busy=True)
     yield "KEY", encode_record(entry)
     yield "KEY, not run", encode_record(KeyEntry("key", "try-2", 0.25, b""))
     for end in End:
         yield f"KEY, {end.value}", encode_record(KeyEntry("key", "try-1", 7.5, b"\x01", "try-1", end, b"result"))
-    yield "DROP", frame("DROP", key="tenant key \u00e9")
-    yield "LEARNED", frame("LEARNED", **learned())
-    yield "SYNCED", frame("SYNCED", closed_until=99.75)
-    yield "TAKES", frame("TAKES")
-    yield "YOURS", frame("YOURS")
-    yield "USE", frame("USE", running=3, memory=2048.5, descriptors=17)
-    yield "ASK", frame("ASK", id="try-3", key="key", contents="00ff10", until=77.125)
-    yield "TOLD", frame("TOLD", id="try-3", key="key", may=True)
+    yield "DROP", encode_frame("DROP", key="tenant key \u00e9")
+    yield "LEARNED", encode_frame("LEARNED", **learned())
+    yield "SYNCED", encode_frame("SYNCED", closed_until=99.75)
+    yield "TAKES", encode_frame("TAKES")
+    yield "YOURS", encode_frame("YOURS")
+    yield "USE", encode_frame("USE", running=3, memory=2048.5, descriptors=17)
+    yield "ASK", encode_frame("ASK", id="try-3", key="key", contents="00ff10", until=77.125)
+    yield "TOLD", encode_frame("TOLD", id="try-3", key="key", may=True)
 
 
 def all_frames() -> dict[str, dict[str, str]]:
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -95,7 +95,7 @@
     core.pick("again", "work-order", key="k0")
     assert core.words("again") == ["served"]  # what ran is never turned away
     core.pass_time(WINDOW + KEY_GRACE_S + 2.0)
-    assert not core.broker.keys.entries and not core.broker.keys.results
+    assert not core.broker.keys.records and not core.broker.keys.result_bytes
     core.pick("new", "work-order", key="new")
     assert core.ports.ids("exec")[-1] == "new"
 
@@ -142,17 +142,17 @@
     core.end("a")
     assert core.words("a") == core.words("b") == ["served"] and not core.words("c")
     core.end("c")
-    assert core.words("c") == ["served"] and not core.broker.keys._outlived
+    assert core.words("c") == ["served"] and not core.broker.keys._superseded
 
 
 def test_a_try_takes_the_place_of_one_that_is_held_for_longer_than_its_window() -> None:
     """Taken for a new request, the two held one key, and the older could never run."""
     core = Core()
-    core.broker.elsewhere(10**6, 0.0)  # held for want of room
+    core.broker.set_peer_usage(10**6, 0.0)  # held for want of room
     core.pick("a", "work-order", key="k", wait=7.0)
     core.pass_time(WINDOW + 0.3)
     core.pick("b", "work-order", key="k", wait=5.0)
-    core.broker.elsewhere(0, 0.0)
+    core.broker.set_peer_usage(0, 0.0)
     core.pass_time(0.2)
     assert core.words("a") == ["refused"] and core.ports.ids("exec") == ["b"]
 
@@ -160,13 +160,13 @@
 def test_a_key_is_free_once_the_core_itself_answered_its_held_try() -> None:
     """The module heard of it too late to give the key back; the next try then waited for a run that nobody began."""
     core = Core()
-    core.broker.elsewhere(10**6, 0.0)
+    core.broker.set_peer_usage(10**6, 0.0)
     core.pick("a", "work-order", key="k", wait=5.0)
     core.broker._timers.clear()  # a module that never looks again
     core.broker.set_timer = lambda token, at: None  # type: ignore[method-assign]
     core.pass_time(5.2)
     assert core.counters.counts["answers.overdue"] == 1
-    core.broker.elsewhere(0, 0.0)
+    core.broker.set_peer_usage(0, 0.0)
     core.pick("b", "work-order", key="k")
     assert core.ports.ids("exec") == ["b"]
 
--- a/tests/test_frame_bytes.py
+++ b/tests/test_frame_bytes.py
@@ -131,7 +131,7 @@
 
 
 def read(data: bytes) -> Iterator[handover.Frame]:
-    frames = handover.Frames()
+    frames = handover.FrameReader()
     frames.feed(data)
     while (frame := frames.next()) is not None:
         yield frame
@@ -142,7 +142,7 @@
     data = kept("hand-over")[name]
     ((verb, fields),) = read(data)
     assert verb == name.partition(",")[0]
-    assert handover.frame(verb, **fields) == data
+    assert handover.encode_frame(verb, **fields) == data
 
 
 @pytest.mark.parametrize("name", [name for name in KEPT["hand-over"] if name.startswith("KEY")])
@@ -163,7 +163,7 @@
     pupil = Core()
     assert pupil.broker.learned() != fields
     pupil.broker.adopt(fields)
-    assert handover.frame("LEARNED", **pupil.broker.learned()) == kept("hand-over")["LEARNED"]
+    assert handover.encode_frame("LEARNED", **pupil.broker.learned()) == kept("hand-over")["LEARNED"]
 
 
 def test_no_verb_of_the_handover_is_forgotten() -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -13,7 +13,6 @@
 from collections.abc import Awaitable, Callable, Iterator
 from contextlib import AsyncExitStack
 from itertools import pairwise
-from typing import Any
 
 import pytest
 from hypothesis import settings
@@ -21,9 +20,17 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from chutepin.facade import End
-from chutepin.handover import HandoverSession, HandoverStateMachine, Stage, rendezvous_path
-from chutepin.handover.frames import Frames, decode_record, encode_record, frame
-from chutepin.handover.link import answers
+from chutepin.handover import (
+    Delivery,
+    HandoverSession,
+    HandoverStateMachine,
+    ProcessUsage,
+    Rendezvous,
+    Stage,
+    rendezvous_path,
+)
+from chutepin.handover.frames import Frame, FrameReader, decode_record, encode_frame, encode_record
+from chutepin.handover.state_machine import Event
 from chutepin.idempotency import IdempotencyRecord, KeyOwnership
 from chutepin.lab.standins import PATIENCE, Balancer, eventually, free_port
 from chutepin.net.lines import ProtocolError
@@ -36,15 +43,15 @@
 
 def test_frames_in_any_pieces_and_what_no_peer_says() -> None:
     entry = IdempotencyRecord("k", "id", 7.25, b"\x00\xff", "id", End.OK, bytes(range(256)))
-    data = encode_record(entry) + frame("SYNCED", closed_until=0)
-    frames, got = Frames(), []
+    data = encode_record(entry) + encode_frame("SYNCED", closed_until=0)
+    frames, got = FrameReader(), []
     for byte in data:
         frames.feed(bytes([byte]))
         while (message := frames.next()) is not None:
             got.append(message)
     assert [verb for verb, _ in got] == ["KEY", "SYNCED"] and decode_record(got[0][1]) == entry
     for bad in (b"WHAT 2\r\n{}\r\n", b"KEY 1\r\n{\r\n", b"KEY 2\r\n[]\r\n", b"KEY 999999999\r\n", b"x" * 600):
-        frames = Frames()
+        frames = FrameReader()
         frames.feed(bad)
         with pytest.raises(ProtocolError):
             frames.next()
@@ -59,7 +66,7 @@
 
 
 def test_who_owns_the_keys_at_every_stage() -> None:
-    owning = {stage: at(stage).standing(0.0) for stage in Stage}
+    owning = {stage: at(stage).ownership(0.0) for stage in Stage}
     assert {s for s, o in owning.items() if o is KeyOwnership.OWNED} == {
         Stage.ALONE,
         Stage.TAKEN_OVER,
@@ -83,8 +90,8 @@
 )
 def test_a_predecessor_that_is_lost(stage: Stage, alive: bool, after: Stage, closed: bool) -> None:
     machine = at(stage)
-    machine.lost(100.0, alive)
-    assert machine.stage is after and (machine.closed_until == 144.0) is closed
+    machine.predecessor_lost(100.0, alive)
+    assert machine.stage is after and (machine.in_doubt_until == 144.0) is closed
 
 
 @pytest.mark.parametrize(
@@ -98,11 +105,11 @@
 )
 def test_a_successor_that_is_lost(stage: Stage, alive: bool, stood: float, after: Stage, closed: bool) -> None:
     machine = at(stage)
-    machine.left(100.0, alive, stood)
-    assert machine.stage is after and (machine.closed_until == 144.0) is closed
+    machine.successor_lost(100.0, alive, stood)
+    assert machine.stage is after and (machine.in_doubt_until == 144.0) is closed
     if after is Stage.DISCONNECTED:
-        machine.gone(110.0)
-        assert machine.standing(120.0) is KeyOwnership.IN_DOUBT and machine.standing(155.0) is KeyOwnership.OWNED
+        machine.apply(Event.PEER_ENDED, 110.0)
+        assert machine.ownership(120.0) is KeyOwnership.IN_DOUBT and machine.ownership(155.0) is KeyOwnership.OWNED
 
 
 class Process:
@@ -114,25 +121,30 @@
         self.own: deque[bytes] = deque()  # lost when this process is killed
         self.alive, self.accepts = True, False
         broker = self.core.broker
-        self.heard, self.unheard, self.asked = broker.heard, broker.unheard, broker.asked
-        self.granted, self.orphaned = broker.granted, broker.orphaned
-        self.learned, self.adopt = broker.learned, broker.adopt
+        self.peer_record_changed = broker.peer_record_changed
+        self.peer_key_removed = broker.peer_key_removed
+        self.peer_requests_key = broker.peer_requests_key
+        self.key_replied = broker.key_replied
+        self.peer_lost = broker.peer_lost
+        self.learned_statistics = broker.learned
+        self.adopt_statistics = broker.adopt
         self.session = HandoverSession(
             self, HandoverStateMachine(WINDOW + 1.0), self.core.hand.clock, self.core.counters
         )
-        broker.peer, broker.keys.told = self.session, self.session.told
+        broker.peer = self.session
+        broker.keys.replicate = self.session.replicate
 
-    def entries(self) -> list[IdempotencyRecord]:
-        return list(self.core.broker.keys.entries.values())
+    def records(self) -> list[IdempotencyRecord]:
+        return list(self.core.broker.keys.records.values())
 
-    def current(self, entry: IdempotencyRecord) -> bool:
-        return self.core.broker.keys.entries.get(entry.key) is entry
+    def is_current(self, record: IdempotencyRecord) -> bool:
+        return self.core.broker.keys.records.get(record.key) is record
 
-    def use(self) -> tuple[int, float, int]:
-        return *self.core.broker.use, 10
+    def usage(self) -> ProcessUsage:
+        return ProcessUsage(*self.core.broker.usage, 10)
 
-    def elsewhere(self, running: int, memory: float, descriptors: int) -> None:
-        self.core.broker.elsewhere(running, memory)
+    def set_peer_usage(self, usage: ProcessUsage) -> None:
+        self.core.broker.set_peer_usage(usage.running, usage.memory_kb)
 
     def yield_ownership(self) -> None:
         self.accepts = False
@@ -140,10 +152,10 @@
     def resume_ownership(self) -> None:
         self.accepts = True
 
-    def send(self, data: bytes) -> bool:
+    def send(self, data: bytes) -> Delivery:
         self.own.append(data)
         self.flush()
-        return not self.own
+        return Delivery.BUFFERED if self.own else Delivery.IN_KERNEL
 
     def flush(self) -> None:
         while self.own and len(self.kernel) < 12:
@@ -187,13 +199,13 @@
     @precondition(lambda self: not self.told)
     @rule()
     def upgrade(self) -> None:
-        assert self.old.session.machine.joined()
+        assert self.old.session.accept_successor()
         self.linked = self.told = True
-        self.new.session.machine.met(self.old.core.hand.time)
+        self.new.session.machine.apply(Event.HELLO_SENT, self.old.core.hand.time)
         self.old.session.send, self.new.session.send = self.old.send, self.new.send
-        self.old.send(frame("HERE", version=1))
-        self.snapshot = self.old.session.snapshot()
-        self.new.session.welcomed()
+        self.old.send(encode_frame("HERE", version=1))
+        self.snapshot = self.old.session.record_frames()
+        self.new.session.executor_ready()
 
     @precondition(lambda self: self.linked)
     @rule(all=st.booleans(), count=st.integers(1, 4))
@@ -204,10 +216,10 @@
                 self.old.send(data)
             elif self.old.alive and not self.old.own and not self.synced:
                 self.synced = True
-                self.old.session.synced()
+                self.old.session.keys_sent()
             for reader, writer in ((self.new, self.old), (self.old, self.new)):
                 if reader.alive and writer.kernel:
-                    reader.session.hear(_one(writer.kernel.popleft()))
+                    reader.session.receive(_one(writer.kernel.popleft()))
                     self.new.accepts |= self.new.session.machine.stage is Stage.TAKEN_OVER
                 if writer.alive:
                     writer.flush()
@@ -217,7 +229,7 @@
     def stalls(self, at: int) -> None:
         """One does not read for long: the kernel's buffer towards it fills up."""
         writer = self.processes[1 - at]
-        while writer.alive and writer.session.tell_use():
+        while writer.alive and writer.session.send_usage():
             pass
 
     @rule(first=st.integers(0, 1), key=st.integers(3, 20))
@@ -257,12 +269,12 @@
         dead.alive, self.linked = False, False
         dead.own.clear()
         while dead.kernel:
-            other.session.hear(_one(dead.kernel.popleft()))
+            other.session.receive(_one(dead.kernel.popleft()))
         if other is self.new:
-            other.session.lost(alive=False)
+            other.session.predecessor_lost(is_alive=False)
             other.accepts = True
         else:
-            other.session.left(alive=False, stood=0.0)
+            other.session.successor_lost(is_alive=False, loop_stalled_s=0.0)
         self.comes(1 - at, key, 2.0)
 
     @rule(seconds=st.floats(0.01, 2.0))
@@ -319,8 +331,8 @@
         old.end("0")
         pair.flows(True, 1)
     else:
-        pair.new.session.lost(alive=False)
-    assert new.words("1") == ["served" if how == "ends" else "failed"] and not new.broker.keys._outlived
+        pair.new.session.predecessor_lost(is_alive=False)
+    assert new.words("1") == ["served" if how == "ends" else "failed"] and not new.broker.keys._superseded
 
 
 TestPair = Pair.TestCase
@@ -330,31 +342,31 @@
 @pytest.mark.parametrize(
     "stage,sent,runs",
     [
-        (Stage.TAKEN_OVER, True, True),
-        (Stage.TAKEN_OVER, False, False),
-        (Stage.TAKEN_OVER, None, True),
-        (Stage.SENDING_KEYS, None, True),
-        (Stage.YIELDED, None, False),
+        (Stage.TAKEN_OVER, Delivery.IN_KERNEL, True),
+        (Stage.TAKEN_OVER, Delivery.BUFFERED, False),
+        (Stage.TAKEN_OVER, Delivery.LINK_CLOSED, True),
+        (Stage.SENDING_KEYS, Delivery.LINK_CLOSED, True),
+        (Stage.YIELDED, Delivery.LINK_CLOSED, False),
     ],
 )
-def test_a_key_runs_only_where_the_other_hears_of_it_or_runs_none(stage: Stage, sent: bool | None, runs: bool) -> None:
-    """`sent` None: the link has just ended, and the process is not told yet."""
+def test_a_key_runs_only_where_the_other_hears_of_it_or_runs_none(stage: Stage, sent: Delivery, runs: bool) -> None:
+    """`LINK_CLOSED`: the link has just ended, and the process is not told yet."""
     process = Process()
-    process.session.machine.stage, process.session.send = Stage.TAKEN_OVER, lambda data: True
-    process.core.broker.elsewhere(10**6, 0.0)  # held for want of room
+    process.session.machine.stage, process.session.send = Stage.TAKEN_OVER, lambda data: Delivery.IN_KERNEL
+    process.core.broker.set_peer_usage(10**6, 0.0)  # held for want of room
     process.core.pick("a", "work-order", key="k", wait=5.0)
     process.session.machine.stage, process.session.send = stage, lambda data: sent
-    process.core.broker.elsewhere(0, 0.0)
+    process.core.broker.set_peer_usage(0, 0.0)
     process.core.pass_time(0.2)
     assert process.core.ports.ids("exec") == ["a"] * runs and process.core.words("a") == ["refused"] * (not runs)
 
 
 def test_a_granted_key_has_all_its_time() -> None:
     process = Process()
-    process.session.machine.stage, process.session.send = Stage.YIELDED, lambda data: True
+    process.session.machine.stage, process.session.send = Stage.YIELDED, lambda data: Delivery.IN_KERNEL
     process.core.pick("a", "work-order", key="k", wait=5.0)
     assert not process.core.ports.ids("exec")
-    process.granted("a", "k", True)
+    process.key_replied("a", "k", True)
     process.core.pass_time(1.5)  # past the time by which the other process had to answer
     assert process.core.ports.ids("exec") == ["a"] and not process.core.words("a")
     process.core.end("a")
@@ -369,7 +381,7 @@
         teacher.end(f"{number}")
     learned = teacher.broker.learned()
     assert learned["runs.average"] != pupil.broker.learned()["runs.average"]
-    ((_, fields),) = [message for message in [_one(frame("LEARNED", **learned))]]
+    ((_, fields),) = [message for message in [_one(encode_frame("LEARNED", **learned))]]
     pupil.broker.adopt(fields)
     assert pupil.broker.learned() == learned
     with pytest.raises(AssertionError):
@@ -377,8 +389,8 @@
     assert pupil.broker.learned() == learned
 
 
-def _one(data: bytes) -> tuple[str, dict[str, Any]]:
-    frames = Frames()
+def _one(data: bytes) -> Frame:
+    frames = FrameReader()
     frames.feed(data)
     message = frames.next()
     assert message is not None
@@ -387,13 +399,13 @@
 
 def test_the_other_s_runs_and_memory_leave_less_room() -> None:
     core = Core()
-    core.broker.elsewhere(10**6, 0.0)
+    core.broker.set_peer_usage(10**6, 0.0)
     core.pick("a", "position-push", wait=1.0)
     assert not core.ports.ids("exec")
-    core.broker.elsewhere(0, 0.0)
+    core.broker.set_peer_usage(0, 0.0)
     core.pass_time(0.2)
     assert core.ports.ids("exec") == ["a"]
-    core.broker.elsewhere(0, 1e9)
+    core.broker.set_peer_usage(0, 1e9)
     core.pick("b", "position-push")
     assert core.words("b") == ["refused"]
 
@@ -565,19 +577,19 @@
 def test_a_stale_place_and_another_version_and_a_second_successor() -> None:
     with tempfile.TemporaryDirectory() as directory:
         path = rendezvous_path(directory, "n3", "127.0.0.1:1")
-        assert not answers(path)
+        assert not Rendezvous(path).has_listener()
         with socket.socket(socket.AF_UNIX) as sock:
             sock.bind(path)
             sock.listen()
-            assert answers(path)
-        assert os.path.exists(path) and not answers(path)
+            assert Rendezvous(path).has_listener()
+        assert os.path.exists(path) and not Rendezvous(path).has_listener()
 
     async def test(old: Standins, new: Standins, stack: AsyncExitStack) -> None:
         path = rendezvous_path(old.environ["TMPDIR"], "n3", f"127.0.0.1:{old.port}")
 
         async def hello(version: int) -> bytes:
             reader, writer = await asyncio.open_unix_connection(path)
-            writer.write(frame("HELLO", version=version))
+            writer.write(encode_frame("HELLO", version=version))
             got = await reader.readuntil(b"}")
             links.append(writer)
             return got
@@ -630,7 +642,7 @@
 
             async def refuse(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 if await reader.read(100):
-                    writer.write(frame("NO", why="another version", version=99))
+                    writer.write(encode_frame("NO", why="another version", version=99))
                 writer.close()
 
             other = await asyncio.start_unix_server(refuse, path)
