--- a/chutepin/lifecycle.py
+++ b/chutepin/lifecycle.py
@@ -1,5 +1,6 @@
-"""The states of the process as one table, free of I/O. Health, the operators' calls, the hand-over and SIGTERM read or
-drive it. It knows neither the module nor a socket."""
+"""The states of the process and the transitions between them, as one table without I/O.
+
+Health checks, the operators' calls, the hand-over and SIGTERM read or drive it."""
 
 from __future__ import annotations
 
@@ -9,9 +10,9 @@
 class State(Enum):
     """What the process is doing."""
 
-    STARTING = "starting"  # the executor has not welcomed, or a predecessor has not told all
+    STARTING = "starting"  # the executor is not up, or a predecessor has not handed over
     SERVING = "serving"
-    DRAINED = "drained"  # by an operator's call: checks are bad, all else is as ever
+    DRAINED = "drained"  # by an operator's call: health checks fail, requests are served
     HANDING_OVER = "handing over"  # a successor serves; what is open here is finished
     LEAVING = "leaving"  # told to end
 
@@ -27,7 +28,7 @@
     LEAVE = "leave"
 
 
-# Every legal move; what is not here changes nothing and is told to be refused.
+# Every legal transition; any other changes nothing.
 TRANSITIONS: dict[State, dict[Transition, State]] = {
     State.STARTING: {Transition.CAN_SERVE: State.SERVING, Transition.LEAVE: State.LEAVING},
     State.SERVING: {
@@ -49,20 +50,20 @@
 
 
 class Lifecycle:
-    """The present state, and the moves that it allows."""
+    """The present state of the process."""
 
     def __init__(self) -> None:
         self.state = State.STARTING
         self.handed_over = False  # a successor was serving when the process was told to leave
 
     def apply(self, transition: Transition) -> bool:
-        """Make a move; false, and no change, where the present state does not allow it."""
-        after = TRANSITIONS[self.state].get(transition)
-        if after is None:
+        """Make a transition; false, and no change, where the present state does not allow it."""
+        next_state = TRANSITIONS[self.state].get(transition)
+        if next_state is None:
             return False
         if transition is Transition.LEAVE and self.state is State.HANDING_OVER:
             self.handed_over = True
-        self.state = after
+        self.state = next_state
         return True
 
     @property
@@ -72,6 +73,8 @@
 
     @property
     def healthy(self) -> bool:
-        """Checks may be answered as good, as far as the process's state goes. Leaving is not bad by itself: without a
-        successor the module hears of it and says so; with one the node stays."""
+        """Health checks may pass, as far as the process's state goes.
+
+        Leaving does not fail them by itself: without a successor the decision module is notified of the drain and
+        fails them; with one the node goes on."""
         return self.state is not State.DRAINED
