--- a/benchmarks/capacity/measure/settings_probe.py
+++ b/benchmarks/capacity/measure/settings_probe.py
@@ -11,13 +11,13 @@
 import time
 from pathlib import Path
 
-from chutepin.decision.policy import CONTROL_EVERY, Policy
+from chutepin.decision.policy import CONTROL_INTERVAL_S, Policy
 from chutepin.decision.simulator_protocol import parse_settings
 
 from .tools import resident_bytes
 
 CONTROLS = 5  # looks at the backlog that are timed
-STEP_S = 1.001 * CONTROL_EVERY  # so that each step is due a look
+STEP_S = 1.001 * CONTROL_INTERVAL_S  # so that each step is due a look
 
 
 def main(path: Path) -> dict[str, float]:
--- a/benchmarks/equality.py
+++ b/benchmarks/equality.py
@@ -24,8 +24,8 @@
 from chutepin.lab.scale.virtual import simulate as simulate_scale
 from chutepin.lab.scale.workload import Load
 from chutepin.lab.simulator import Simulator as MembershipSimulator
-from tests.test_rules import ODD
-from tests.world import play
+from tests.decision_world import play
+from tests.test_decision_rules import ODD
 
 KEPT = Path(__file__).parents[1] / "tests" / "data" / "equality.json"
 DECISION_SEEDS = (1,)
--- a/tests/test_mechanism.py
+++ b/tests/test_decision_policy.py
@@ -9,7 +9,16 @@
 
 from chutepin import decision
 from chutepin.decision import Idempotency, LoadSignal, Outcome, RequestClass, Settings, Tenant
-from chutepin.decision.policy import CALLERS, HEAP, IDLE, LEAST_SHARE, PATIENCE, AimdLimit, Policy, State
+from chutepin.decision.policy import (
+    MAX_CALLERS,
+    MAX_WAIT_SHARES,
+    MIN_ANNOUNCED_SHARE,
+    MIN_COMPACTED_TIMERS,
+    SHORT_IDLE_TIMEOUT_S,
+    AimdLimit,
+    Policy,
+    State,
+)
 
 VIEW = RequestClass("view", Idempotency.IDEMPOTENT, 1.0, 1.0, 4.0)
 PAY = RequestClass("pay", Idempotency.KEYED, 1.0, 1.0, 4.0, window=5.0)
@@ -133,22 +142,22 @@
     policy = started()
     heard(policy, 60)
     policy.handle(0.0, [req("last", 3.8), req("first", 2.4), req("left", 1.6)])
-    assert policy.jobs["first"].aim_at == pytest.approx(1.0)
-    assert policy.jobs["last"].aim_at == pytest.approx(0.8)
-    assert "left" not in policy.jobs or policy.jobs["left"].aim_at < 0
+    assert policy.jobs["first"].objective_at == pytest.approx(1.0)
+    assert policy.jobs["last"].objective_at == pytest.approx(0.8)
+    assert "left" not in policy.jobs or policy.jobs["left"].objective_at < 0
 
 
 def test_with_few_waits_heard_every_try_is_a_first_one() -> None:
     policy = started()
     heard(policy, 5)
     policy.handle(0.0, [req("other", 2.9, caller=100)])
-    assert policy.jobs["other"].aim_at == pytest.approx(1.0)
+    assert policy.jobs["other"].objective_at == pytest.approx(1.0)
 
 
 def test_try_given_up_before_the_aim_is_due_then() -> None:
     policy = started()
     policy.handle(0.0, [req("a", 0.3)])
-    assert policy.jobs["a"].aim_at <= 0.3
+    assert policy.jobs["a"].objective_at <= 0.3
 
 
 def test_unread_waits_are_back_pressure() -> None:
@@ -173,7 +182,7 @@
     for at in range(200):
         policy.progress = at / 10  # no hang
         policy.handle(at / 10, [req(f"r{at}-{i}", at / 10 + 4.0) for i in range(5)])
-    assert policy.announced >= LEAST_SHARE - 1e-9
+    assert policy.announced >= MIN_ANNOUNCED_SHARE - 1e-9
     assert policy.refusals
 
 
@@ -344,7 +353,7 @@
     policy = started()
     for at in range(3000):
         policy.handle(at / 1000, [req(f"r{at}", at / 1000 + 0.5 + at / 1000, caller=at)])
-    assert len(policy.patience) <= PATIENCE + 1 and len(policy.heard) <= CALLERS + 1
+    assert len(policy.patience) <= MAX_WAIT_SHARES + 1 and len(policy.heard) <= MAX_CALLERS + 1
 
 
 @pytest.mark.parametrize(("callers", "closes"), [(10, False), (3000, True)])
@@ -356,7 +365,7 @@
         now = at / 10
         for action in policy.handle(now, [req(f"r{at}", now + 1.0, caller=at % callers)]):
             idle += [action.after] if isinstance(action, decision.IdleTimeout) else []
-    assert (idle[-1:] == [IDLE]) is closes
+    assert (idle[-1:] == [SHORT_IDLE_TIMEOUT_S]) is closes
 
 
 def test_small_tenant_on_a_busy_server_is_within_its_share() -> None:
@@ -366,7 +375,7 @@
     policy.buckets = [-1.0, -1.0]
     policy.served = [30.0, 10.0]
     policy.handle(0.0, [req("run"), req("run2"), req("b", tenant="big"), req("s", tenant="small")])
-    assert policy._beyond_share(policy.jobs["b"]) and not policy._beyond_share(policy.jobs["s"])
+    assert policy._is_over_quota(policy.jobs["b"]) and not policy._is_over_quota(policy.jobs["s"])
 
 
 CALLING = replace(VIEW, name="calling", makes_calls=True)
@@ -424,7 +433,7 @@
     to want a core just before."""
     policy = started(settings)
     policy.on_core_share = on_core_share
-    policy.runs.set_ceiling(policy._ceiling())
+    policy.runs.set_ceiling(policy._limit_ceiling())
     policy.runs.limit = policy.runs.ceiling
     policy.handle(0.0, [req(f"c{at}", cls="calling", hint=0.01) for at in range(40)])
     for _ in range(20):
@@ -457,7 +466,7 @@
     policy.handle(0.0, [req("a", 9.0)])
     for _ in range(5):
         policy.handle(3.1, [decision.CallerGone("b")])
-    assert policy.jobs["a"].started == pytest.approx(3.0) and policy.jobs["a"].waited == 0
+    assert policy.jobs["a"].run_started == pytest.approx(3.0) and policy.jobs["a"].call_wait == 0
 
 
 def test_hang_is_noticed_without_any_other_event() -> None:
@@ -476,7 +485,7 @@
     policy = started(replace(PLAIN, marks_retries=marks))
     heard(policy, 60)
     policy.handle(0.0, [replace(req("a", 3.8), is_retry=again)])
-    assert policy.jobs["a"].aim_at == pytest.approx(aim)
+    assert policy.jobs["a"].objective_at == pytest.approx(aim)
 
 
 @pytest.mark.parametrize(("late_worth", "answered"), [(0.0, True), (0.5, False)])
@@ -513,7 +522,7 @@
 def test_held_request_is_refused_at_its_latest_start() -> None:
     policy = started(replace(PLAIN, cores=1))
     policy.handle(0.0, [req("run"), req("a")])
-    latest = policy.jobs["a"].aim_at - policy._time_for(policy.jobs["a"])
+    latest = policy.jobs["a"].objective_at - policy._expected_time(policy.jobs["a"])
     assert not ids(policy.handle(latest - 0.01, []), decision.Reject)
     assert ids(policy.handle(latest + 0.001, []), decision.Reject) == ["a"]
 
@@ -532,15 +541,15 @@
     policy = started(replace(PLAIN, marks_retries=True))
     policy.turned[0], policy.again_share = 0.3, 0.5
     policy.handle(0.0, [replace(req("again"), due=None, is_retry=True), replace(req("first"), due=None)])
-    assert policy.jobs["first"].aim_at == pytest.approx(1.0)
-    assert policy.jobs["again"].aim_at == pytest.approx(0.7, abs=0.05)
+    assert policy.jobs["first"].objective_at == pytest.approx(1.0)
+    assert policy.jobs["again"].objective_at == pytest.approx(0.7, abs=0.05)
 
 
 def test_marks_without_the_setting_tell_nothing_without_a_due_time() -> None:
     policy = started()
     policy.turned[0] = 0.3
     policy.handle(0.0, [replace(req("a"), due=None, is_retry=True)])
-    assert policy.jobs["a"].aim_at == pytest.approx(1.0)
+    assert policy.jobs["a"].objective_at == pytest.approx(1.0)
 
 
 def test_limit_does_not_grow_on_full_cores_and_by_the_gauge_once_in_its_span() -> None:
@@ -623,7 +632,7 @@
             caller = (0 if step % 2 else 1 + step % 14) + 100 * (int(at / 2.5) % lives)
             policy.handle(at, [req(f"r{step}", at + 4.0, caller=caller)])
             policy.handle(at + 0.005, [decision.Finished(f"r{step}", Outcome.OK)])
-        return policy._busiest()
+        return policy._busiest_caller_share()
 
     assert busiest(1) == pytest.approx(0.5, rel=0.1)
     assert busiest(100) > 0.3  # counted over the same time as the others: under 0.15
@@ -632,10 +641,10 @@
 def test_deadlines_of_what_is_over_are_dropped() -> None:
     """At six times the usual rate they would be the largest part of a small node's memory."""
     policy = started()
-    for index in range(5 * HEAP):
+    for index in range(5 * MIN_COMPACTED_TIMERS):
         policy.handle(0.0001 * index, [req(f"r{index}")])
         policy.handle(0.0001 * index, [decision.Finished(f"r{index}", Outcome.OK)])
-    assert len(policy.heap) <= HEAP + 10
+    assert len(policy.heap) <= MIN_COMPACTED_TIMERS + 10
 
 
 def test_parked_runs_may_fill_what_the_limit_leaves_of_the_crowd() -> None:
@@ -648,7 +657,7 @@
         for id in ids(actions, decision.Run):
             runs.append(id)
             actions += policy.handle(0.001 * index, [decision.CallNeeded(id)])
-    assert int(policy._crowd()) - policy.runs.limit <= policy.parked <= policy._crowd()
+    assert int(policy._survivable_runs()) - policy.runs.limit <= policy.parked <= policy._survivable_runs()
 
 
 def test_idle_cores_raise_limit_and_credit_by_what_they_could_run() -> None:
@@ -697,10 +706,10 @@
 def test_room_for_others_is_gone_as_soon_as_the_runs_want_their_cores() -> None:
     policy = started(DISK)
     policy.on_core_share, policy.in_use = 0.1, 4
-    wide = policy._cores_room()
+    wide = policy._cores_capacity()
     for _ in range(4):
-        policy._timer(decision.TimerFired(policy.token, (1.0, 4.0)))
-    assert wide == DISK.max_running_per_core * DISK.cores and policy._cores_room() < 1.1 * policy._crowd()
+        policy._on_timer(decision.TimerFired(policy.token, (1.0, 4.0)))
+    assert wide == DISK.max_running_per_core * DISK.cores and policy._cores_capacity() < 1.1 * policy._survivable_runs()
 
 
 @pytest.mark.parametrize("work", [0.1, 1.0, 3.0, 20.0])
@@ -709,9 +718,9 @@
     """Long runs looked hopeless at the present speed: on the bench a cold server refused nearly all."""
     policy = started(replace(PLAIN, warming_up=True, initial_speed=0.2, warm_up_time=10.0))
     policy.now = age
-    policy.slowness = 1 / policy._warmth()
+    policy.slowness = 1 / policy._warm_up_speed()
     left, time, step = work, 0.0, 0.001
     while left > 0:
         left -= step * min(1.0, 0.2 + 0.8 * (age + time) / 10.0)
         time += step
-    assert policy._run_time(work) == pytest.approx(time, rel=0.01, abs=0.01)
+    assert policy._expected_run_time(work) == pytest.approx(time, rel=0.01, abs=0.01)
--- a/tests/test_rules.py
+++ b/tests/test_decision_rules.py
@@ -10,8 +10,8 @@
 
 from chutepin import decision
 from chutepin.decision import Cancellation, LoadSignal, Settings, Tenant
-from chutepin.decision.policy import CALLERS, PATIENCE, AimdLimit, Job, Policy
-from tests.world import BASE, KEYED, SAFE, UNSAFE, RuleBrokenError, cold, play
+from chutepin.decision.policy import MAX_CALLERS, MAX_WAIT_SHARES, AimdLimit, Job, Policy
+from tests.decision_world import BASE, KEYED, SAFE, UNSAFE, RuleBrokenError, cold, play
 
 ODD: dict[str, Settings] = {
     "usual": BASE,
@@ -94,8 +94,8 @@
 @pytest.mark.parametrize("seed", range(2))
 def test_rules_and_memory_hold_when_callers_never_repeat(seed: int) -> None:
     world = play(replace(BASE, max_idle_time=1e6), seed, steps=9000, drain=False, callers=10**9)
-    assert world.serial > CALLERS
-    assert len(world.policy.heard) <= CALLERS + 1 and len(world.policy.patience) <= PATIENCE + 1
+    assert world.serial > MAX_CALLERS
+    assert len(world.policy.heard) <= MAX_CALLERS + 1 and len(world.policy.patience) <= MAX_WAIT_SHARES + 1
 
 
 def test_same_events_give_same_actions() -> None:
@@ -141,21 +141,21 @@
 
 
 GUARDS: list[tuple[str, Callable[..., Any], str, Settings]] = [
-    ("_keep", _keep_nothing, "duplicate: second run in the window", replace(BASE, classes=(KEYED,))),
+    ("_keep_key", _keep_nothing, "duplicate: second run in the window", replace(BASE, classes=(KEYED,))),
     ("_fail", _fail_nothing, "lost", BASE),
     ("_fail", _refuse_ran, "duplicate: refused after a run", replace(BASE, classes=(UNSAFE,))),
-    ("_unwelcome", _welcome, "drain: run after the grace", BASE),
-    ("_unwelcome", _welcome, "fall-over: memory", replace(BASE, key_memory=400.0, classes=(KEYED,))),
-    ("_repeat", _never_repeat, "duplicate: second run in the window", replace(BASE, classes=(KEYED,))),
-    ("_drain", _drain_late, "drain: unanswered at the stop", BASE),
-    ("_room", _room_always, "fall-over: calls below", replace(BASE, max_calls=0.6)),
+    ("_rejection_reason", _welcome, "drain: run after the grace", BASE),
+    ("_rejection_reason", _welcome, "fall-over: memory", replace(BASE, key_memory=400.0, classes=(KEYED,))),
+    ("_join_original", _never_repeat, "duplicate: second run in the window", replace(BASE, classes=(KEYED,))),
+    ("_on_drain", _drain_late, "drain: unanswered at the stop", BASE),
+    ("_remaining_call_time", _room_always, "fall-over: calls below", replace(BASE, max_calls=0.6)),
 ]
 
 
 def test_the_ceiling_is_needed(monkeypatch: pytest.MonkeyPatch) -> None:
     """Without the limit under its ceiling the cores are crowded past what they survive."""
     monkeypatch.setattr(AimdLimit, "set_ceiling", _no_ceiling)
-    monkeypatch.setattr(Policy, "_cores_take", _room_for_all)
+    monkeypatch.setattr(Policy, "_cores_admit", _room_for_all)
     with pytest.raises(RuleBrokenError, match="fall-over: crowd"):
         for seed in range(30):
             play(cold(replace(BASE, memory=1e6, warm_up_time=60.0)), seed, speed=0.5)
