--- a/chutepin/__main__.py
+++ b/chutepin/__main__.py
@@ -13,7 +13,7 @@
 def main() -> int:
     """Run a node, or the sub-command that was asked for; its exit code."""
     if len(sys.argv) == 1:
-        signals.listen()
+        signals.install_handlers()
         from .serve import serve
 
         return serve()
--- /dev/null
+++ b/chutepin/admin/commands.py
@@ -0,0 +1,92 @@
+"""The commands of the operators' socket, as a table. No I/O: a line in, the answer out."""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable, Mapping
+from functools import partial
+
+from ..lifecycle import Lifecycle, Transition
+from ..request_metrics import RequestMetrics
+from .exposition import exposition
+
+# CommandTable of subsystems that may be off, and what is said then.
+UNAVAILABLE = dict.fromkeys(("members", "links", "changes", "view"), "no cluster") | dict.fromkeys(
+    (
+        "agree",
+        "agree-set",
+        "agree-get",
+        "agree-ask",
+        "agree-void",
+        "agree-add",
+        "agree-remove",
+        "agree-transfer",
+        "agree-snapshot",
+    ),
+    "no log in common",
+)
+
+
+def success(text: str = "") -> str:
+    """Format the answer that a command was carried out."""
+    return f"SUCCESS {text}".rstrip() + "\n"
+
+
+def failure(reason: str) -> str:
+    """Format the answer that it was not, and why."""
+    return f"FAILURE {reason}\n"
+
+
+class CommandTable:
+    """The commands of one process."""
+
+    def __init__(
+        self,
+        lifecycle: Lifecycle,
+        metrics: RequestMetrics,
+        subsystem_commands: Mapping[str, Callable[[], str]] | None = None,
+        commands_with_arguments: Mapping[str, Callable[[list[str]], Awaitable[str]]] | None = None,
+    ) -> None:
+        """`subsystem_commands`, `commands_with_arguments`: of subsystems that the operator's file has switched on."""
+        self._lifecycle = lifecycle
+        self._metrics = metrics
+        self.table: dict[str, Callable[[], str]] = {
+            "ready": self._ready,
+            "show-stat": self._show_stat,
+            "drain": self._drain,
+            "resume": self._resume,
+        }
+        self.table |= {name: partial(failure, reason) for name, reason in UNAVAILABLE.items()}
+        self.table |= dict(subsystem_commands or {})
+        self._with_arguments = commands_with_arguments or {}
+        self._enabled = frozenset(subsystem_commands or ())
+
+    def answer(self, line: str) -> str | Awaitable[str]:
+        """Return the complete answer to a line, or an awaitable of it. Every command has one in every state."""
+        name, *rest = line.split()
+        if name in self._with_arguments:
+            return self._with_arguments[name](rest)
+        command = self.table.get(name)
+        if command is None:
+            return failure(f"no such call; there are {', '.join(self.table)}")
+        if name in UNAVAILABLE and name not in self._enabled:
+            return failure(UNAVAILABLE[name])
+        if rest:
+            return failure(f"{name} takes no arguments")
+        return command()
+
+    def _ready(self) -> str:
+        state = self._lifecycle.state.value
+        return success(f"yes, {state}") if self._lifecycle.can_serve else failure(f"no, {state}")
+
+    def _show_stat(self) -> str:
+        return success() + exposition(self._metrics) + "EOT\n"
+
+    def _drain(self) -> str:
+        return self._apply(Transition.DRAIN, "drained: health checks are bad until resume, what comes is served")
+
+    def _resume(self) -> str:
+        return self._apply(Transition.RESUME, "serving")
+
+    def _apply(self, transition: Transition, text: str) -> str:
+        before = self._lifecycle.state.value
+        return success(text) if self._lifecycle.apply(transition) else failure(f"not now, {before}")
--- a/chutepin/node.py
+++ b/chutepin/node.py
@@ -31,7 +31,7 @@
 from .registry import build_subsystems
 
 if TYPE_CHECKING:
-    from .admin import Listener
+    from .admin import OperatorListener
     from .net.amqp import Consumer
     from .pcap import Recorder, Source
     from .store import Store
@@ -202,14 +202,14 @@
 
     # Each of these parts is optional; a module that only one of them needs is imported where that part is built.
 
-    def _build_listener(self) -> Listener:
+    def _build_listener(self) -> OperatorListener:
         """Build the socket of the operators' calls."""
-        from .admin import Calls, Listener
+        from .admin import CommandTable, OperatorListener
 
         more = {name: call for part in self.subsystems for name, call in part.commands().items()}
         orders = {name: order for part in self.subsystems for name, order in part.commands_with_arguments().items()}
-        calls = Calls(self.lifecycle, self.broker.metrics, more, orders)
-        return Listener(calls, self.descriptors, self.counters, self.log)
+        calls = CommandTable(self.lifecycle, self.broker.metrics, more, orders)
+        return OperatorListener(calls, self.descriptors, self.counters, self.log)
 
     def _build_consumer(self, amqp: AmqpConfig) -> Consumer:
         """Build the AMQP front."""
@@ -322,7 +322,7 @@
         """Serve until told to leave, then leave."""
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(self._log_error)
-        with signals.heard(
+        with signals.deliver(
             loop,
             {
                 signal.SIGTERM: self._request_leave,
--- a/chutepin/pcap.py
+++ b/chutepin/pcap.py
@@ -1,6 +1,6 @@
 """pcap files as a source of requests and as a record of what was asked and answered. Nothing is captured.
 
-Reading: Ethernet, IPv4 or IPv6, TCP put together again from segments that were reordered or sent twice. What
+Reading: Ethernet, IPv4 or IPv6, TCP reassembled from segments that were reordered or sent twice. What
 follows a gap in a stream, or the place where a file was cut off, cannot be framed and is reported, not used.
 """
 
@@ -21,11 +21,14 @@
 from .counters import Counters
 from .net.resp import Connection, RespListener
 
-MAX_PACKET = 256 * 1024  # bytes of a packet, as other tools bound it
+MAX_PACKET_BYTES = 256 * 1024  # as other tools bound it
 MAX_STREAMS = 512  # streams in one direction that are put together at once
-MAX_PENDING = 256 * 1024  # bytes of a stream that wait for a gap to fill
-MAX_RECORD = 256 * 2**20  # bytes of a file that is written
-MSS = 1400
+MAX_PENDING_BYTES = 256 * 1024  # of a stream, that wait for a gap to be filled
+MAX_RECORD_BYTES = 256 * 2**20  # of a file that is written
+MAX_SEGMENT_BYTES = 1400
+FIRST_EPHEMERAL_PORT = 49152
+EPHEMERAL_PORTS = 16384
+PACKET_HEADER_BYTES = 16
 Flow = tuple[bytes, int, bytes, int]  # from address and port, to address and port
 
 
@@ -43,7 +46,7 @@
     truncated: bool = False  # the file ends inside a packet
 
 
-class Bounded:
+class BoundedFile:
     """A file for dpkt's reader, which asks for as many bytes as a packet's header claims."""
 
     def __init__(self, file: BinaryIO, report: Report) -> None:
@@ -51,21 +54,21 @@
 
     def read(self, count: int) -> bytes:
         """Guards against a header that claims gigabytes, and notes where the file is cut off."""
-        if count > MAX_PACKET:
-            raise ValueError("a packet is longer than any")
+        if count > MAX_PACKET_BYTES:
+            raise ValueError("a packet is longer than any")  # as dpkt reports what it can't read
         data = self._file.read(count)
         if 0 < len(data) < count:
             self._report.truncated = True
             return b""
-        if not data and count != 16:  # a packet's header stands without its packet
+        if not data and count != PACKET_HEADER_BYTES:  # a packet's header stands without its packet
             self._report.truncated = self._report.truncated or count > 0
         return data
 
 
 def packets(file: BinaryIO, report: Report) -> Iterator[tuple[float, bytes]]:
-    """The packets of a file in either byte order, in micro- or nanoseconds, as far as they are whole."""
+    """Yield the complete packets of a file in either byte order, in micro- or nanoseconds."""
     try:
-        reader = dpkt.pcap.Reader(Bounded(file, report))
+        reader = dpkt.pcap.Reader(BoundedFile(file, report))
     except (ValueError, dpkt.UnpackError):
         raise ConfigError("read: not a pcap file") from None
     if reader.datalink() != dpkt.pcap.DLT_EN10MB:
@@ -89,7 +92,7 @@
     expected: int | None = None
     pending: dict[int, bytes] = field(default_factory=dict)
     size: int = 0
-    broken: bool = False
+    ended: bool = False
 
     def segment(self, number: int, syn: bool, data: bytes) -> bytes:
         """Take a segment; what can now be read in order."""
@@ -97,7 +100,7 @@
             number += 1
             if self.expected is None:
                 self.expected = number % 2**32
-        if not data or self.broken:
+        if not data or self.ended:
             return b""
         if self.expected is None:  # the file begins inside this stream
             self.expected = number
@@ -107,7 +110,7 @@
             if len(data) > len(self.pending.get(number, b"")):
                 self.size += len(data) - len(self.pending.get(number, b""))
                 self.pending[number] = data
-            if self.size > MAX_PENDING:
+            if self.size > MAX_PENDING_BYTES:
                 self.end()
             return b""
         if -ahead >= len(data):
@@ -131,10 +134,10 @@
 
     def end(self) -> None:
         """No more comes: what waits behind a gap is lost."""
-        if self.pending and not self.broken:
+        if self.pending and not self.ended:
             self.report.gaps += 1
             self.report.unused += self.size
-        self.broken, self.size = True, 0
+        self.ended, self.size = True, 0
         self.pending.clear()
 
 
@@ -149,7 +152,7 @@
 
 
 def _segment(raw: bytes, report: Report) -> tuple[Any, Any] | None:
-    """The IP and TCP parts of a packet, if it has them whole."""
+    """Return the IP and TCP parts of a packet, if it has both."""
     try:
         ip = dpkt.ethernet.Ethernet(raw).data
     except (dpkt.UnpackError, ValueError, LookupError):
@@ -186,7 +189,7 @@
         over = (
             bool(tcp.flags & dpkt.tcp.TH_RST)
             or (bool(tcp.flags & dpkt.tcp.TH_FIN) and not stream.pending)
-            or stream.broken
+            or stream.ended
         )
         if data or over:
             yield Chunk(last, flow, data, over)
@@ -214,16 +217,16 @@
 
     def opened(self, key: int) -> None:
         """A connection stands."""
-        self._next_port = (self._next_port + 1) % 16384
-        self._numbers[key] = [49152 + self._next_port, 1000, 2000]
+        self._next_port = (self._next_port + 1) % EPHEMERAL_PORTS
+        self._numbers[key] = [FIRST_EPHEMERAL_PORT + self._next_port, 1000, 2000]
         self._packet(key, False, dpkt.tcp.TH_SYN, b"")
         self._packet(key, True, dpkt.tcp.TH_SYN | dpkt.tcp.TH_ACK, b"")
         self._packet(key, False, dpkt.tcp.TH_ACK, b"")
 
     def passed(self, key: int, sent: bool, data: bytes) -> None:
         """Bytes that the node sent, or that it read."""
-        for at in range(0, len(data) if key in self._numbers else 0, MSS):
-            self._packet(key, sent, dpkt.tcp.TH_ACK | dpkt.tcp.TH_PUSH, data[at : at + MSS])
+        for at in range(0, len(data) if key in self._numbers else 0, MAX_SEGMENT_BYTES):
+            self._packet(key, sent, dpkt.tcp.TH_ACK | dpkt.tcp.TH_PUSH, data[at : at + MAX_SEGMENT_BYTES])
 
     def closed(self, key: int) -> None:
         """A connection is over."""
@@ -255,8 +258,8 @@
         raw = bytes(dpkt.ethernet.Ethernet(src=cards[own], dst=cards[other], data=ip))
         counted = len(data) + bool(flags & (dpkt.tcp.TH_SYN | dpkt.tcp.TH_FIN))
         self._numbers[key][1 + own] = (numbers[own] + counted) % 2**32
-        self._written += len(raw) + 16
-        if self._written > MAX_RECORD:
+        self._written += len(raw) + PACKET_HEADER_BYTES
+        if self._written > MAX_RECORD_BYTES:
             self._counters.add("record.dropped")
             return
         # In whole microseconds: the library rounds a fraction just under a second up to a second too many.
@@ -264,10 +267,12 @@
 
 
 class Source:
-    """Feeds a file's requests to the front as if its balancers were connected now, at the recorded pace."""
+    """Feeds a file's requests to the listener as if its balancers were connected now, at the recorded pace."""
 
-    def __init__(self, path: str, port: int, front: RespListener, clock: Clock) -> None:
-        self._port, self._front, self._clock = port, front, clock
+    def __init__(self, path: str, port: int, listener: RespListener, clock: Clock) -> None:
+        self._port = port
+        self._listener = listener
+        self._clock = clock
         self.report = Report()
         try:
             self._file = Path(path).open("rb")
@@ -293,8 +298,8 @@
     def _feed(self, chunk: Chunk, connections: dict[Flow, Connection], shift: float) -> None:
         connection = connections.get(chunk.flow)
         if connection is None:
-            connection = connections[chunk.flow] = self._front.replayed(shift)
+            connection = connections[chunk.flow] = self._listener.replayed(shift)
         if chunk.data and not connection.closing:
             connection.received(chunk.data)
         if chunk.ended:
-            self._front.replay_ended(connections.pop(chunk.flow))
+            self._listener.replay_ended(connections.pop(chunk.flow))
--- a/chutepin/serve.py
+++ b/chutepin/serve.py
@@ -22,7 +22,7 @@
 
     `setup`, `amqp`, `read` and `record` are paths of the operator's file, the file of queues, a pcap file to take
     requests from and one to write. Exit codes: 0 after a drain, 2 for bad configuration, 130 when interrupted."""
-    signals.listen()
+    signals.install_handlers()
     try:
         config = load()
         operator = load_setup(setup) if setup else Setup()
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -18,7 +18,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from chutepin.admin import Calls, Listener
+from chutepin.admin import CommandTable, OperatorListener
 from chutepin.admission import (
     CLOSING_AT_ONCE,
     Acceptor,
@@ -493,13 +493,13 @@
     most, held = 4, list[int]()
     descriptors = DescriptorBudget(64, {"ops": (most, most)})
 
-    class Watched(Listener):
+    class Watched(OperatorListener):
         def serve(self, sock: socket.socket, address: bytes) -> None:
             super().serve(sock, address)
             held.append(descriptors.parts["ops"].in_use)
 
     async def run() -> None:
-        listener = Watched(Calls(Lifecycle(), RequestMetrics(())), descriptors, Counters(), Log(Clock()))
+        listener = Watched(CommandTable(Lifecycle(), RequestMetrics(())), descriptors, Counters(), Log(Clock()))
         port = await free_port()
         await listener.listen("127.0.0.1", port)
         peers = crowd(port)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -249,7 +249,7 @@
 @pytest.fixture
 def handlers() -> Iterator[None]:
     """Signals mean afterwards what they meant before."""
-    before = {number: signal.getsignal(number) for number in signals.HEARD}
+    before = {number: signal.getsignal(number) for number in signals.HANDLED_SIGNALS}
     yield
     for number, handler in before.items():
         signal.signal(number, handler)
@@ -267,26 +267,26 @@
         nonlocal clock
         for _ in range(2):
             os.kill(os.getpid(), signal.SIGTERM)
-            while signals._kept[signal.SIGTERM] is None:  # the handler has its turn between two steps
+            while signals._pending[signal.SIGTERM] is None:  # the handler has its turn between two steps
                 pass
             clock += 3.0
         assert not came
 
     async def run() -> None:
-        with signals.heard(asyncio.get_running_loop(), {signal.SIGTERM: came.append}):
+        with signals.deliver(asyncio.get_running_loop(), {signal.SIGTERM: came.append}):
             if not early:
                 sent()
             await eventually(lambda: came)
         assert came == [42.0]
 
-    signals.listen()
+    signals.install_handlers()
     if early:
         sent()
     asyncio.run(run())
 
 
 @pytest.mark.usefixtures("handlers")
-def test_a_signal_may_come_at_any_step_of_the_handing_over_of_another() -> None:
+def test_signal_may_come_at_any_step_of_the_delivery_of_another() -> None:
     """Each step of the machine in turn: both are heard, and nothing breaks."""
 
     async def crossing(at: int) -> int:
@@ -294,7 +294,7 @@
 
         def step(frame: FrameType, event: str, _: object) -> Any:
             nonlocal steps
-            if frame.f_code.co_name != "hand_over":
+            if frame.f_code.co_name != "deliver_pending":
                 return None
             frame.f_trace_opcodes = True
             if event == "opcode":
@@ -308,14 +308,14 @@
             signal.SIGHUP: lambda at: heard.append("hup"),
             signal.SIGUSR1: lambda at: heard.append("usr1"),
         }
-        signals.listen()
+        signals.install_handlers()
         os.kill(os.getpid(), signal.SIGHUP)
-        while signals._kept[signal.SIGHUP] is None:
+        while signals._pending[signal.SIGHUP] is None:
             pass
         before = sys.gettrace()
         sys.settrace(step)
         try:
-            with signals.heard(asyncio.get_running_loop(), by):
+            with signals.deliver(asyncio.get_running_loop(), by):
                 sys.settrace(before)
                 if steps > at:
                     await eventually(lambda: "usr1" in heard)
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -10,9 +10,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from chutepin.admin.calls import Calls
+from chutepin.admin.commands import CommandTable
 from chutepin.admin.exposition import exposition
-from chutepin.admin.lines import MAX_LINE, LineError, LineReader
+from chutepin.admin.line_reader import MAX_LINE_BYTES, InvalidLineError, LineReader
 from chutepin.lab.standins import eventually
 from chutepin.lifecycle import TRANSITIONS, Lifecycle, State, Transition
 from chutepin.net.control import JITTER_SHARE, REPORT_INTERVAL_S
@@ -38,15 +38,15 @@
         while data and got is None:
             size = cuts[len(data) % len(cuts)]
             got, data = reader.feed(data[:size]), data[size:]
-    except LineError:
-        assert not text.strip() or len(text) + 2 > MAX_LINE
+    except InvalidLineError:
+        assert not text.strip() or len(text) + 2 > MAX_LINE_BYTES
     else:
         assert got == text.strip()
 
 
-@pytest.mark.parametrize("data", [b"\n", b"\r\n", b"  \n", b"r\xc3\xa9ady\n", b"x" * MAX_LINE, b"x" * 10**6])
+@pytest.mark.parametrize("data", [b"\n", b"\r\n", b"  \n", b"r\xc3\xa9ady\n", b"x" * MAX_LINE_BYTES, b"x" * 10**6])
 def test_a_line_that_is_no_call_is_told_why(data: bytes) -> None:
-    with pytest.raises(LineError):
+    with pytest.raises(InvalidLineError):
         LineReader().feed(data)
 
 
@@ -62,10 +62,10 @@
         for name, mark in zip(("ready", "drain", "resume"), answers, strict=True):
             lifecycle = Lifecycle()
             lifecycle.state = state
-            answer = Calls(lifecycle, RequestMetrics(())).answer(name)
+            answer = CommandTable(lifecycle, RequestMetrics(())).answer(name)
             assert isinstance(answer, str)
             assert answer[0] == mark and answer.endswith("\n") and answer.count("\n") == 1, (state, name)
-    calls = Calls(Lifecycle(), RequestMetrics(()))
+    calls = CommandTable(Lifecycle(), RequestMetrics(()))
     for line, why in (
         ("reboot", "no such call"),
         ("drain now", "drain takes no"),
