--- a/benchmarks/capacity/measure/changes.py
+++ b/benchmarks/capacity/measure/changes.py
@@ -14,7 +14,13 @@
 OBSERVERS = 100
 SEEDS = (1, 2)
 KIB = 1024
-NODE_TIMES = replace(SETTINGS, piece=64 * KIB, in_flight=256 * KIB, log=4 * KIB * KIB, kept=512 * KIB)
+NODE_SETTINGS = replace(
+    SETTINGS,
+    max_chunk_bytes=64 * KIB,
+    max_in_flight_bytes=256 * KIB,
+    max_log_bytes=4 * KIB * KIB,
+    retained_bytes=512 * KIB,
+)
 UNITS = {
     "leader_bytes_per_s": "bytes a second",
     "observer_bytes_per_s": "bytes a second",
@@ -32,7 +38,7 @@
     table = Table("bytes of a change", UNITS)
     for seed in SEEDS:
         for size in VALUE_BYTES:
-            found: Played = played(OBSERVERS, seed, times=NODE_TIMES, values=values_of(size))
+            found: Played = played(OBSERVERS, seed, settings=NODE_SETTINGS, values=values_of(size))
             table.add(
                 size,
                 leader_bytes_per_s=found.leader.bytes_per_s,
--- a/benchmarks/capacity/measure/log.py
+++ b/benchmarks/capacity/measure/log.py
@@ -12,7 +12,7 @@
 
 from benchmarks.fleet_size import ASSUMPTIONS, TARGET
 from chutepin.consensus.codec import encode
-from chutepin.consensus.raft import RaftSettings
+from chutepin.consensus.settings import RaftSettings
 from chutepin.lab.claims import Record, broken
 from chutepin.lab.faults import Schedule
 from chutepin.lab.quorum import SETTINGS, WAY, WRITE, Simulator
@@ -97,12 +97,12 @@
 
 
 def played(
-    observers: int, seed: int, *, times: RaftSettings = SETTINGS, values: itertools.count[int] | None = None
+    observers: int, seed: int, *, settings: RaftSettings = SETTINGS, values: itertools.count[int] | None = None
 ) -> Played:
     """One run. `values`: numbers that are set. Raises RuntimeError if a claim of the log was broken."""
     rate = ASSUMPTIONS.peak_change_factor * TARGET.config_changes_per_s
     schedule = Schedule(observers + VOTERS, SECONDS)
-    simulator = Metered(schedule, seed, voters=VOTERS, every=SETS_IN_ASKS / rate, times=times)
+    simulator = Metered(schedule, seed, voters=VOTERS, every=SETS_IN_ASKS / rate, settings=settings)
     if values is not None:
         simulator._values = values
     record = simulator.run()
--- a/benchmarks/consensus.py
+++ b/benchmarks/consensus.py
@@ -156,9 +156,15 @@
 
 def behind(entries: int = 100_000) -> list[Row]:
     """An observer that starts after so many entries, while five a second go on."""
-    times = replace(SETTINGS, piece=64 * 1024, in_flight=256 * 1024, log=4 * 2**20, kept=512 * 1024)
+    settings = replace(
+        SETTINGS,
+        max_chunk_bytes=64 * 1024,
+        max_in_flight_bytes=256 * 1024,
+        max_log_bytes=4 * 2**20,
+        retained_bytes=512 * 1024,
+    )
     late = Schedule(4, 60.0, (Fault(0.01, "crash", ("n4",)), Fault(45.0, "restart", ("n4",))))
-    simulator = Simulator(late, 1, every=1e9, times=times)
+    simulator = Simulator(late, 1, every=1e9, settings=settings)
     sent = Counter[str]()
     say, state = simulator._say, {"made": 0, "begun": 0.0, "done": 0.0}
 
--- a/benchmarks/equality.py
+++ b/benchmarks/equality.py
@@ -75,7 +75,7 @@
 def consensus_figures(seed: int) -> dict[str, Any]:
     """One drawn schedule of faults among five members with changes of voters, every message through its bytes."""
     schedule = replace(draw(seed, 5, 60.0), seconds=90.0)
-    simulator = ConsensusSimulator(schedule, seed, voters=3, changes=4.0, wire=True, times=quorum.SETTINGS)
+    simulator = ConsensusSimulator(schedule, seed, voters=3, changes=4.0, wire=True, settings=quorum.SETTINGS)
     record = simulator.run()
     asked = [
         f"{one.member} {one.name} {one.value} {one.began!r} {one.ended!r} {one.at} {one.up_to_index} {one.times}"
--- a/chutepin/cli/consensus.py
+++ b/chutepin/cli/consensus.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from ..consensus.identity import StoredIdentity
     from ..consensus.messages import Persist
-    from ..consensus.raft import PersistentState
+    from ..consensus.persistent_state import PersistentState
 
 NUMBERS = frozenset({"term", "commit", "applied", "log-bytes", "snapshot"})
 JSON = click.option("--json", "json_asked", is_flag=True, help="Print JSON also on a terminal.")
@@ -156,8 +156,9 @@
 def open_log(directory: Path, work: Callable[[str, PersistentState], Persist] | None = None) -> StoredLog:
     """Read a store that no node has open; where there is `work` to do by the node's identity, write what it returns.
     Raises ClickException for damage, AskError where there is nothing."""
+    from ..consensus.errors import JournalError
     from ..consensus.identity import IDENTITY_KEY, Identity, StoredIdentity
-    from ..consensus.journal import Journal, JournalError
+    from ..consensus.journal import Journal
     from ..consensus.subsystem import NO_EXPIRY
     from ..store import Store, StoreError
 
--- a/chutepin/consensus/__init__.py
+++ b/chutepin/consensus/__init__.py
@@ -1,8 +1,9 @@
-"""A log in common: what the fleet has agreed on.
+"""A replicated log for the fleet's common decisions: Raft, and a key-value state machine on it.
 
-`core.Core` is the consensus, free of clock, file and socket; `messages` is what it says and wants done.
-`docs/consensus.md` has the design and what is still open: no node uses it yet."""
+`raft.RaftNode` is the consensus algorithm, `participant.Participant` a node's part in it; both are free of clock, file
+and socket. `subsystem` runs them on the store and the cluster's connections. See `docs/consensus.md`."""
 
+from .errors import ConsensusError, RejectedError
 from .messages import (
     Apply,
     Effect,
@@ -16,10 +17,15 @@
     Send,
     Snapshot,
 )
-from .raft import PersistentState, Progress, RaftNode, RaftSettings, RejectedError, Role
+from .persistent_state import PersistentState
+from .progress import Progress
+from .raft import RaftNode
+from .settings import RaftSettings
+from .state import Role
 
 __all__ = [
     "Apply",
+    "ConsensusError",
     "Effect",
     "Entry",
     "EntryKind",
--- a/chutepin/consensus/codec.py
+++ b/chutepin/consensus/codec.py
@@ -11,6 +11,7 @@
 
 import msgpack
 
+from .errors import CodecError
 from .identity import StoreAcknowledgement, StoreAnnouncement
 from .journal import pack_entry, unpack_entry
 from .messages import (
@@ -75,10 +76,6 @@
 )
 
 
-class CodecError(ValueError):
-    """The bytes are no word; the message is the reason that is counted."""
-
-
 def _whole(raw: Any) -> int:
     if type(raw) is not int or not -1 <= raw < 2**63:
         raise CodecError("malformed")
--- a/chutepin/consensus/journal.py
+++ b/chutepin/consensus/journal.py
@@ -13,8 +13,9 @@
 
 import msgpack
 
+from .errors import JournalError
 from .messages import Entry, EntryKind, Membership, Persist, Snapshot
-from .raft import PersistentState
+from .persistent_state import PersistentState
 
 Operation = tuple[bytes, bytes | None]  # a key and its value; None deletes it
 
@@ -22,10 +23,6 @@
 HARD, HEAD = b"agree/term", b"agree/snapshot"
 
 
-class JournalError(Exception):
-    """What is there is not what a member of this kind has written: it must not vote with it."""
-
-
 def entry_key(index: int) -> bytes:
     """Where an entry stands."""
     return b"agree/entry/%d" % index
@@ -74,7 +71,7 @@
         if change.snapshot is not None:
             done += self._keep(change.snapshot, change.base_index, change.discard_log)
         if change.entries:
-            done += [(entry_key(index), None) for index in range(self._last, change.first - 1, -1)]
+            done += [(entry_key(index), None) for index in range(self._last, change.first_index - 1, -1)]
             done += [(entry_key(entry.index), bytes(msgpack.packb(pack_entry(entry)))) for entry in change.entries]
             self._last = change.entries[-1].index
         if (change.term, change.voted_for) != self._hard:
--- a/chutepin/consensus/messages.py
+++ b/chutepin/consensus/messages.py
@@ -1,4 +1,6 @@
-"""What voters say to each other and what the core wants done, as data."""
+"""Raft's log entries, the messages between members and the effects that a node asks for, as data.
+
+The names are those of the Raft papers. Order and types of a message's fields are its form on the wire (`codec`)."""
 
 from __future__ import annotations
 
@@ -6,17 +8,19 @@
 from enum import IntEnum
 from typing import NamedTuple
 
+READ_ELSEWHERE = -1  # in place of an index: this member cannot answer the read
+
 
 class EntryKind(IntEnum):
-    """What an entry is."""
+    """What a log entry holds."""
 
-    NO_OP = 0  # of a new leader: commits what came before it
+    NO_OP = 0  # a new leader's first entry
     PROPOSAL = 1
-    VOTERS = 2  # a change of who votes and who learns
+    VOTERS = 2  # a change of membership
 
 
 class Membership(NamedTuple):
-    """Who takes part. Learners are sent everything and do not vote."""
+    """Who takes part. Learners are sent all entries and do not vote."""
 
     voters: tuple[str, ...]
     learners: tuple[str, ...] = ()
@@ -28,7 +32,7 @@
 
 
 class Snapshot(NamedTuple):
-    """The state after the entry at `upto`, as bytes, and who took part then."""
+    """The state after the entry at `up_to_index`, as bytes, and the membership at that point."""
 
     up_to_index: int
     term: int
@@ -38,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One entry of the log. `members` only of a change of voters."""
+    """One log entry. `membership` is set in a change of membership only."""
 
     index: int
     term: int
@@ -48,70 +52,74 @@
 
 
 class RequestVote(NamedTuple):
-    """Vote for me. `pre`: would you? `handed`: the leader told me to begin."""
+    """A candidate's request. In a pre-vote `term` is the one it would begin.
+
+    `is_transfer`: the leader has asked for this election, so voters that hear the leader vote all the same."""
 
     term: int
-    last_index: int
-    last_term: int
-    pre: bool
-    handed: bool
+    last_log_index: int
+    last_log_term: int
+    pre_vote: bool
+    is_transfer: bool
 
 
 class RequestVoteReply(NamedTuple):
-    """The answer to an Ask."""
+    """The reply to RequestVote."""
 
     term: int
-    pre: bool
+    pre_vote: bool
     granted: bool
 
 
 class AppendEntries(NamedTuple):
-    """A leader's entries after (`prev_index`, `prev_term`), and how far all is committed; also its heartbeat. `round`
-    numbers its rounds of heartbeats."""
+    """A leader's entries behind (`prev_index`, `prev_term`) and its commit index; without entries, a heartbeat."""
 
     term: int
     prev_index: int
     prev_term: int
     entries: tuple[Entry, ...]
     commit_index: int
-    round: int
+    heartbeat_round: int
 
 
 class AppendEntriesReply(NamedTuple):
-    """The answer: all up to `match` is there and durable; or, where `ok` is false, look at `match` next."""
+    """The reply: the log matches the leader's up to `match_index`, durably.
+
+    Without `success` it does not match, and `match_index` is where the leader is to try next."""
 
     term: int
-    ok: bool
+    success: bool
     match_index: int
-    round: int
+    heartbeat_round: int
 
 
 class InstallSnapshotChunk(NamedTuple):
-    """A part of the leader's snapshot, for a follower whose next entry the leader has no more. `check` is the sum of
-    the whole: what a follower has of an earlier leader's counts only if it is part of the same bytes."""
+    """A chunk of the leader's snapshot, for a follower that needs entries which the leader has compacted.
+
+    `checksum` is that of the whole data: chunks of an earlier leader count only if they are part of the same bytes."""
 
     term: int
     up_to_index: int
     last_term: int
     membership: Membership
-    total: int
-    check: int
+    total_bytes: int
+    checksum: int
     offset: int
     data: bytes
-    round: int
+    heartbeat_round: int
 
 
 class InstallSnapshotReply(NamedTuple):
-    """So many bytes of the snapshot at `upto` are here."""
+    """The reply to a chunk: how many bytes of the snapshot have arrived."""
 
     term: int
     up_to_index: int
-    offset: int
-    round: int
+    received_bytes: int
+    heartbeat_round: int
 
 
 class TimeoutNow(NamedTuple):
-    """The leader hands over: begin an election at once."""
+    """The leader transfers its leadership: the receiver is to call an election without waiting."""
 
     term: int
 
@@ -128,20 +136,21 @@
 
 
 class Send(NamedTuple):
-    """A message for another member."""
+    """Send a message to another member."""
 
     to: str
     message: RaftMessage
 
 
 class Persist(NamedTuple):
-    """Make this durable before anything behind it is done: term and vote, and the log from `first` on, which replaces
-    what stood there. With a snapshot, that too; the log then begins behind `base`, and with `anew` nothing of the
-    former log holds."""
+    """Make this durable before any later effect: term, vote, and the log from `first_index` on.
+
+    With a snapshot, that too; the log then begins behind `base_index`. With `discard_log` nothing of the former log
+    holds."""
 
     term: int
     voted_for: str
-    first: int
+    first_index: int
     entries: tuple[Entry, ...]
     snapshot: Snapshot | None = None
     base_index: int = 0
@@ -149,22 +158,22 @@
 
 
 class Restore(NamedTuple):
-    """The state is that of the snapshot, whatever was applied before."""
+    """Replace the state by that of a snapshot."""
 
     snapshot: Snapshot
 
 
 class Apply(NamedTuple):
-    """These entries are agreed, in this order."""
+    """Apply these entries, which are committed, in this order."""
 
     entries: tuple[Entry, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ReadReady:
-    """A read may be answered once all up to `index` is applied; or (`index` -1) ask elsewhere."""
+    """A read may be answered once all up to `index` is applied; with READ_ELSEWHERE, another member must be asked."""
 
-    id: int
+    read_id: int
     index: int
 
 
--- a/chutepin/consensus/observer.py
+++ b/chutepin/consensus/observer.py
@@ -191,9 +191,9 @@
     ) -> FetchReply:
         entries, size = list[Entry](), 0
         # What others have told beyond what this member's log knows to be agreed: its own entries there may be others.
-        follows = core.commit_index < applied
+        follows = core.log.commit_index < applied
         mine: Iterator[Entry] = (
-            iter(core.log) if not follows and core.base_index <= pull.applied_index else iter(observer.kept)
+            iter(core.log.entries) if not follows and core.log.base_index <= pull.applied_index else iter(observer.kept)
         )
         for entry in mine:
             if pull.applied_index < entry.index <= applied:
@@ -208,9 +208,9 @@
         if (
             snapshot is None
             or snapshot.up_to_index <= pull.applied_index
-            or (snapshot.up_to_index < core.base_index if not follows else pull.up_to_index != snapshot.up_to_index)
+            or (snapshot.up_to_index < core.log.base_index if not follows else pull.up_to_index != snapshot.up_to_index)
         ):
-            newest = core.snapshot if not follows else None
+            newest = core.log.snapshot if not follows else None
             snapshot = self._offered = (
                 newest if newest is not None and newest.up_to_index > pull.applied_index else make()
             )
--- a/chutepin/consensus/operators.py
+++ b/chutepin/consensus/operators.py
@@ -8,11 +8,12 @@
 from typing import Protocol
 
 from ..subsystem import CommandHandler
+from .errors import RejectedError
 from .identity import StoreStatus, node_name
 from .key_value import KeyValueMachine, pack_assignment
 from .participant import AddedNode, Participant, TransferStarted
-from .raft import RejectedError, Role
 from .replica import Outcome, OutcomeState
+from .state import Role
 from .wire import now
 
 CALL_TIMEOUT = 4.0  # seconds in which an operator's call is answered
@@ -161,7 +162,7 @@
             return self._idle()
         participant.compact(now())
         self._part.pump()
-        return f"SUCCESS upto {_snapshot_index(participant)}\n"
+        return f"SUCCESS upto {participant.raft.log.snapshot_index}\n"
 
 
 def _checked(least: int, most: int, order: CommandHandler) -> CommandHandler:
@@ -178,11 +179,6 @@
     return checked
 
 
-def _snapshot_index(participant: Participant) -> int:
-    """The last entry that the snapshot covers; 0 without one."""
-    return participant.raft.snapshot.up_to_index if participant.raft.snapshot is not None else 0
-
-
 def _member_lines(participant: Participant, standing: StoreStatus) -> list[str]:
     core = participant.raft
     return [
@@ -191,11 +187,11 @@
         f"role {ROLE_NAMES[core.role] if participant.votes else 'observer'}",
         f"term {core.term}",
         f"leader {node_name(participant.leader) or '-'}",
-        f"commit {core.commit_index}",
+        f"commit {core.log.commit_index}",
         f"applied {participant.replica.applied_index}",
         f"chain {participant.replica.chain.hex()}",
-        f"log-bytes {core.size}",
-        f"snapshot {_snapshot_index(participant)}",
+        f"log-bytes {core.log.size_bytes}",
+        f"snapshot {participant.raft.log.snapshot_index}",
         f"follows {node_name(participant.observer.upstream) or '-'}" if not participant.votes else "follows -",
     ]
 
--- a/chutepin/consensus/participant.py
+++ b/chutepin/consensus/participant.py
@@ -12,11 +12,13 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
+from .errors import RejectedError
 from .identity import node_name
 from .messages import Apply, Entry, Membership, Persist, RaftMessage, ReadReady, Restore, Snapshot
 from .messages import Send as CoreSend
 from .observer import FetchReply, FetchRequest, Observer, PendingFetches
-from .raft import PersistentState, RaftNode, RaftSettings, RejectedError, Role
+from .persistent_state import PersistentState
+from .raft import RaftNode
 from .replica import (
     MAX_PROPOSAL_BYTES,
     Outcome,
@@ -27,6 +29,8 @@
     new_proposal_id,
     pack_proposal,
 )
+from .settings import RaftSettings
+from .state import Role
 
 MAX_WAITING = 256  # proposals and reads of this node that are not decided yet
 GREETED, GREET_EVERY = 4, 1.0  # nodes that a leader greets at once, seconds between
@@ -147,14 +151,14 @@
         machine: StateMachine,
         now: float,
         rng: random.Random,
-        times: RaftSettings,
+        settings: RaftSettings,
     ) -> None:
         """`durable` is what the journal holds; `first` who votes before the log says otherwise."""
-        self.name, self._times, self._rng = name, times, rng
-        self.raft = RaftNode(name, first, durable, now, rng, times)
+        self.name, self._settings, self._rng = name, settings, rng
+        self.raft = RaftNode(name, first, durable, now, rng, settings)
         self.replica = Replica(machine)
-        self.observer = Observer(name, now, rng, times.heartbeat)
-        self.subscribers = PendingFetches(times.piece, times.heartbeat)
+        self.observer = Observer(name, now, rng, settings.heartbeat_interval_s)
+        self.subscribers = PendingFetches(settings.max_chunk_bytes, settings.heartbeat_interval_s)
         self.alive: tuple[str, ...] = ()  # nodes that live; the edge keeps it
         self.known: dict[str, tuple[str, int]] = {}  # a node to its identity and the version of entries that it knows
         self.counts: Counter[str] = Counter()
@@ -170,7 +174,7 @@
 
     # --- in and out ---
 
-    def take(self) -> list[Effect]:
+    def drain_effects(self) -> list[Effect]:
         """What is to be done since the last time, in order."""
         effects, self._effects = self._effects, []
         return effects
@@ -214,7 +218,7 @@
     def membership(self) -> Membership:
         """Who takes part, as far as is known here. The log's own word is older than that of others where they have
         told more than it holds."""
-        ahead = self.replica.applied_index > self.raft.last_index and self.replica.membership.voters
+        ahead = self.replica.applied_index > self.raft.log.last_index and self.replica.membership.voters
         return self.replica.membership if ahead else self.raft.membership
 
     @property
@@ -283,14 +287,14 @@
             case Restore():
                 self._restore(now, effect.snapshot)
             case ReadReady():
-                sender, number = self._forwarded.pop(effect.id, ("", -1))
+                sender, number = self._forwarded.pop(effect.read_id, ("", -1))
                 if sender == self.name:
                     self._readable(now, number, effect.index)
                 elif sender:
                     self._effects.append(Send(sender, ReadIndexReply(number, effect.index)))
 
     def _from_core(self) -> None:
-        for effect in self.raft.take():
+        for effect in self.raft.drain_effects():
             self._effects.append(Send(*effect) if isinstance(effect, CoreSend) else effect)
 
     def _changed(self, now: float) -> None:
@@ -341,7 +345,7 @@
 
     def compact(self, now: float) -> None:
         """Keep the state, and let go of the log that led to it."""
-        if self.replica.applied_index == self.raft.applied_index:  # else effects of the core are on their way here
+        if self.replica.applied_index == self.raft.log.commit_index:  # else effects of the core are on their way here
             self.raft.compact(now, self.replica.snapshot())
             self._from_core()
 
@@ -372,7 +376,7 @@
         elif (why := self._why_not(id, data)) is not None:
             self.counts["refused"] += 1
             state = OutcomeState.UNKNOWN if repeated or id in self._proposed else OutcomeState.REJECTED
-            self._answer(self._ticket, Outcome(state, why=why, again=self._times.election))
+            self._answer(self._ticket, Outcome(state, why=why, again=self._settings.election_timeout_s))
         else:
             packed = pack_proposal(Proposal(id, version, data, void))
             self._proposed[id] = _Proposed(self._ticket, version, packed, by, now + self._later(), repeated)
@@ -389,7 +393,7 @@
         return None if self.leader else "no leader"
 
     def _later(self) -> float:
-        return self._times.election * (0.5 + 0.5 * self._rng.random())
+        return self._settings.election_timeout_s * (0.5 + 0.5 * self._rng.random())
 
     def _say(self, now: float, id: bytes) -> None:
         """Bring a proposal to the leader."""
@@ -409,10 +413,10 @@
         try:
             if old:
                 raise RejectedError(f"{old[0]} does not know version {word.version}")
-            if self.raft.size > 2 * self._times.log:
+            if self.raft.log.size_bytes > 2 * self._settings.max_log_bytes:
                 raise RejectedError("full")
             if self.replica.outcome(word.id) is None:
-                self.raft.propose(now, word.data)
+                self.raft.propose(word.data)
                 self._from_core()
         except RejectedError as error:
             rejected = ProposalRejected(word.id, str(error), bool(old))
@@ -433,7 +437,7 @@
                 Outcome(OutcomeState.UNKNOWN if proposed.repeated else OutcomeState.REJECTED, why=word.why),
             )
         else:
-            proposed.next = min(proposed.next, now + self._times.heartbeat)
+            proposed.next = min(proposed.next, now + self._settings.heartbeat_interval_s)
 
     def _again(self, now: float) -> None:
         """What was not decided in time is asked for again, or is unknown from now on."""
@@ -449,7 +453,9 @@
                 del self._reads[number]
                 self._answer(
                     read.ticket,
-                    Outcome(OutcomeState.REJECTED, why="no leader answered in time", again=self._times.election),
+                    Outcome(
+                        OutcomeState.REJECTED, why="no leader answered in time", again=self._settings.election_timeout_s
+                    ),
                 )
             elif now >= read.next:
                 read.next = now + self._later()
@@ -468,7 +474,7 @@
         self._number += 1
         if self.waiting >= MAX_WAITING or not self.leader:
             why = "no leader" if not self.leader else "full"
-            self._answer(self._ticket, Outcome(OutcomeState.REJECTED, why=why, again=self._times.election))
+            self._answer(self._ticket, Outcome(OutcomeState.REJECTED, why=why, again=self._settings.election_timeout_s))
         else:
             self._reads[self._number] = _Read(self._ticket, by, now + self._later())
             self._ask(now, self._number)
@@ -486,7 +492,7 @@
         self._number += 1
         try:
             self._forwarded[self._number] = sender, number
-            self.raft.read(now, self._number)
+            self.raft.read(self._number)
             self._from_core()
         except RejectedError:
             del self._forwarded[self._number]
@@ -498,7 +504,7 @@
         if read is None:
             return
         if up_to_index < 0:
-            read.next = min(read.next, now + self._times.heartbeat)
+            read.next = min(read.next, now + self._settings.heartbeat_interval_s)
         elif read.up_to_index < 0:
             read.up_to_index = up_to_index
             self._reads_done()
@@ -513,7 +519,13 @@
 
     def _feed(self, now: float) -> None:
         """Tell those that asked what is new."""
-        fresh = now if self.raft.role is Role.LEADER else self.raft.heard_leader if self.votes else self.observer.fresh
+        fresh = (
+            now
+            if self.raft.role is Role.LEADER
+            else self.raft.election.last_leader_contact
+            if self.votes
+            else self.observer.fresh
+        )
         for to, feed in self.subscribers.feeds(
             now,
             self.raft,
@@ -589,6 +601,6 @@
 
     def change_membership(self, now: float, membership: Membership) -> None:
         """Change who takes part. Raises RefusedError."""
-        self.raft.change_membership(now, membership)
+        self.raft.change_membership(membership)
         self._from_core()
         self._changed(now)
--- a/chutepin/consensus/recovery.py
+++ b/chutepin/consensus/recovery.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from .messages import Entry, EntryKind, Membership, Persist
-from .raft import PersistentState
+from .persistent_state import PersistentState
 
 
 def alone(identity: str, durable: PersistentState) -> Persist:
--- a/chutepin/consensus/subsystem.py
+++ b/chutepin/consensus/subsystem.py
@@ -17,6 +17,7 @@
 from ..store import Store, StoreBusyError, StoreError
 from ..subsystem import CommandHandler
 from .codec import Hello, WireMessage
+from .errors import JournalError, RejectedError
 from .identity import (
     IDENTITY_KEY,
     MET_KEY,
@@ -27,13 +28,14 @@
     StoreStatus,
     node_name,
 )
-from .journal import Journal, JournalError, Operation
+from .journal import Journal, Operation
 from .key_value import KeyValueMachine
 from .messages import Apply, Membership, Persist, ReadReady, Restore
 from .operators import OperatorCalls
 from .participant import Effect, LogEvent, Participant, RequestCompleted, Send
-from .raft import RaftSettings, RejectedError, Role
 from .replica import Outcome, OutcomeState
+from .settings import RaftSettings
+from .state import Role
 from .wire import Links, Wire, now
 
 NO_EXPIRY = float("inf")
@@ -58,7 +60,9 @@
         self._setup, self._name, self._links, self._store = setup, name, links, store
         # Not the configuration's seed: ids of proposals must not come again after a restart.
         self._counters, self._log, self._rng = counters, log, random.Random(random.SystemRandom().getrandbits(64))
-        self._times = RaftSettings(setup.election, setup.heartbeat, log=4 * setup.log, kept=setup.log // 2)
+        self._settings = RaftSettings(
+            setup.election, setup.heartbeat, max_log_bytes=4 * setup.log, retained_bytes=setup.log // 2
+        )
         self.machine = KeyValueMachine()
         self._identity = self._load_identity()
         self.participant: Participant | None = None
@@ -159,7 +163,7 @@
             "agree.term": participant.raft.term,
             "agree.applied": participant.replica.applied_index,
             "agree.doubles": participant.replica.doubles,
-            "agree.log_bytes": participant.raft.size,
+            "agree.log_bytes": participant.raft.log.size_bytes,
         }
 
     # --- life ---
@@ -186,7 +190,7 @@
         self.machine = KeyValueMachine()
         first = Membership(self._setup.voters)
         self.participant = Participant(
-            self._identity.identity, first, durable, self.machine, now(), self._rng, self._times
+            self._identity.identity, first, durable, self.machine, now(), self._rng, self._settings
         )
         self._log.event(
             "agree.takes_part",
@@ -226,7 +230,8 @@
                     await self._store.room()
         await self._store.committed()
         self._slowest = max(self._slowest, now() - begun)
-        if self._slowest > self._times.election:  # meanwhile nothing was said: others may have a new leader
+        if self._slowest > self._settings.election_timeout_s:
+            # Nothing was sent meanwhile: the others may have a new leader.
             self._log.event("agree.slow_disk", seconds=round(self._slowest, 3))
             self._counters.add("agree.slow_disk")
             self._slowest = 0.0
@@ -251,9 +256,9 @@
             self.pump()
 
     def _collect(self, participant: Participant) -> list[Effect]:
-        if participant.raft.since > self._setup.log:
+        if participant.raft.log.bytes_since_snapshot > self._setup.log:
             participant.compact(now())
-        self._queue += participant.take()
+        self._queue += participant.drain_effects()
         return self._queue
 
     def pump(self) -> None:
--- a/chutepin/consensus/wire.py
+++ b/chutepin/consensus/wire.py
@@ -16,7 +16,8 @@
 from ..admission import DescriptorBudget
 from ..cluster.transport import PART, numeric
 from ..counters import Counters
-from .codec import PREFACE, CodecError, FrameReader, Hello, WireMessage, encode
+from .codec import PREFACE, FrameReader, Hello, WireMessage, encode
+from .errors import CodecError
 from .identity import node_name
 
 MAX_QUEUE = 2**20  # bytes for one peer
--- a/chutepin/lab/explorer.py
+++ b/chutepin/lab/explorer.py
@@ -16,6 +16,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
 
+from ..consensus.errors import RejectedError
 from ..consensus.messages import (
     AppendEntries,
     AppendEntriesReply,
@@ -33,7 +34,11 @@
     Send,
     TimeoutNow,
 )
-from ..consensus.raft import PersistentState, RaftNode, RaftSettings, RejectedError, Role
+from ..consensus.persistent_state import PersistentState
+from ..consensus.progress import Progress
+from ..consensus.raft import RaftNode
+from ..consensus.settings import RaftSettings
+from ..consensus.state import Role
 
 Packet = tuple[str, str, RaftMessage]  # to, from, what
 MESSAGE_ORDER: tuple[type, ...] = (
@@ -46,7 +51,7 @@
     RequestVoteReply,
 )
 # Time stands still: nothing may rest on it here. One entry a message: so old entries arrive without newer ones.
-NO_LEASE = RaftSettings(election=0.0, heartbeat=0.0, piece=1)
+NO_LEASE = RaftSettings(election_timeout_s=0.0, heartbeat_interval_s=0.0, max_chunk_bytes=1)
 
 
 class _Zero(random.Random):
@@ -95,7 +100,7 @@
         """The same world, to go on with."""
         other = copy.copy(self)
         other.durable = {name: replace(d, entries=d.entries[:]) for name, d in self.durable.items()}
-        other.cores = {name: None if core is None else _cloned(core) for name, core in self.cores.items()}
+        other.cores = {name: None if core is None else core.copy() for name, core in self.cores.items()}
         other.leaders = dict(self.leaders)
         return other
 
@@ -118,7 +123,7 @@
 
     def _of(self, name: str, core: RaftNode) -> Iterator[tuple[str, ...]]:
         """What a member that runs may do by itself."""
-        if self.left.snapshots and core.applied_index > core.base_index:
+        if self.left.snapshots and core.log.commit_index > core.log.base_index:
             yield ("compact", name)
         if core.role is not Role.LEADER:
             if self.left.elections and name in core.membership.voters:
@@ -147,7 +152,7 @@
             self.cores[name] = self._begin(name)
         else:
             self._act(what, name)
-        effects = self._core(name).take()
+        effects = self._core(name).drain_effects()
         for effect in effects if done is None else effects[:done]:
             self._carry_out(name, effect)
         if done is not None:
@@ -166,21 +171,21 @@
         match what:
             case "elect":  # pre-vote only keeps elections from being held, which safety must not need
                 self.left = replace(self.left, elections=self.left.elections - 1)
-                core._campaign(0.0, Role.CANDIDATE, False)
+                core.campaign(0.0, Role.CANDIDATE)
             case "beat":
                 self.left = replace(self.left, beats=self.left.beats - 1)
-                core._beat()
+                core.leadership.replication.heartbeat(core.state)
             case "propose":
                 self.left = replace(self.left, proposals=self.left.proposals - 1)
-                core.propose(0.0, b"%d" % self.left.proposals)
+                core.propose(b"%d" % self.left.proposals)
             case "compact":  # the state is the log itself: so a wrong one shows
                 self.left = replace(self.left, snapshots=self.left.snapshots - 1)
-                core.compact(0.0, repr(self.agreed[: core.applied_index]).encode())
+                core.compact(0.0, repr(self.agreed[: core.log.commit_index]).encode())
             case _:
                 change, *rest = self.left.changes
                 self.left = replace(self.left, changes=tuple(rest))
                 try:
-                    core.change_membership(0.0, change)
+                    core.change_membership(change)
                 except RejectedError:
                     pass
 
@@ -221,8 +226,8 @@
             other = self.leaders.setdefault(core.term, name)
             if other != name:
                 raise BrokenError(f"{other} and {name} lead in term {core.term}")
-            behind = self.agreed[core.base_index :]
-            if tuple(core.log[: len(behind)]) != behind and core.term >= max(self.leaders):
+            behind = self.agreed[core.log.base_index :]
+            if tuple(core.log.entries[: len(behind)]) != behind and core.term >= max(self.leaders):
                 raise BrokenError(f"{name} leads in term {core.term} without an agreed entry")
         for other_core in self.cores.values():
             if other_core is not None and other_core is not core:
@@ -265,60 +270,46 @@
 
 def _match(a: RaftNode, b: RaftNode) -> None:
     """Where two logs have an entry of one index and term they are the same up to there."""
-    for index in range(min(a.last_index, b.last_index), 0, -1):
-        if index <= max(a.base_index, b.base_index):
-            return
-        if a.term_at(index) == b.term_at(index):
-            first = max(a.base_index, b.base_index)
-            if a.log[first - a.base_index : index - a.base_index] != b.log[first - b.base_index : index - b.base_index]:
+    first = max(a.log.base_index, b.log.base_index)
+    for index in range(min(a.log.last_index, b.log.last_index), first, -1):
+        if a.log.term_at(index) == b.log.term_at(index):
+            ours = a.log.entries[first - a.log.base_index : index - a.log.base_index]
+            if ours != b.log.entries[first - b.log.base_index : index - b.log.base_index]:
                 raise BrokenError(f"the logs of {a.name} and {b.name} differ before {index}")
             return
 
 
-def _state(core: RaftNode | None, durable: PersistentState, new: dict[str, str]) -> str:
-    kept = (
-        durable.term,
-        new.get(durable.voted_for, durable.voted_for),
-        durable.base_index,
-        durable.snapshot,
-        durable.entries,
-    )
-    if core is None:
+def _state(node: RaftNode | None, saved: PersistentState, new: dict[str, str]) -> str:
+    """The state of one member, its peers under new names."""
+    kept = (saved.term, new.get(saved.voted_for, saved.voted_for), saved.base_index, saved.snapshot, saved.entries)
+    if node is None:
         return repr(kept)
     progress = (
-        sorted(
-            (new.get(name, name), p.next, p.match_index, p.probing, p.in_flight, p.round, p.piece, p.sent)
-            for name, p in core._progress.items()
-        )
-        if core.role is Role.LEADER
+        sorted((new.get(name, name), _progress(p)) for name, p in node.leadership.replication.progress.items())
+        if node.role is Role.LEADER
         else ()
     )
-    votes = sorted(new.get(name, name) for name in core._votes) if core.role is Role.CANDIDATE else ()
+    votes = sorted(new.get(name, name) for name in node.election.votes) if node.role is Role.CANDIDATE else ()
+    assembly = node.snapshot_receiver.assembly
     return repr(
         (
             kept,
-            core.term,
-            new.get(core.voted_for, core.voted_for),
-            core.base_index,
-            core.log,
-            core.role,
-            core.commit_index,
-            core._incoming,
+            node.term,
+            new.get(node.state.voted_for, node.state.voted_for),
+            node.log.base_index,
+            node.log.entries,
+            node.role,
+            node.log.commit_index,
+            (assembly.key, assembly.data),
             progress,
             votes,
         )
     )
 
 
-def _cloned(core: RaftNode) -> RaftNode:
-    other = copy.copy(core)
-    other.log, other._votes, other._reads, other._effects = core.log[:], set(core._votes), core._reads[:], []
-    if core._incoming is not None:
-        other._incoming = (core._incoming[0], core._incoming[1][:])
-    other._progress = {
-        name: replace(progress, in_flight=progress.in_flight[:]) for name, progress in core._progress.items()
-    }
-    return other
+def _progress(p: Progress) -> tuple[object, ...]:
+    snapshot = (p.snapshot_index, p.snapshot_offset, p.chunk_in_flight)
+    return (p.next_index, p.match_index, p.probing, p.in_flight, p.heartbeat_round, snapshot)
 
 
 @dataclass(slots=True)
--- a/chutepin/lab/quorum.py
+++ b/chutepin/lab/quorum.py
@@ -13,18 +13,28 @@
 from typing import Any
 
 from ..consensus.codec import Hello, WireMessage, decode, encode
+from ..consensus.errors import RejectedError
 from ..consensus.identity import Identity, StoreAcknowledgement, StoreAnnouncement, StoreStatus, node_name
 from ..consensus.journal import Journal, Operation
 from ..consensus.key_value import KeyValueMachine, pack_assignment
 from ..consensus.messages import Apply, Membership, Persist, ReadReady, Restore
 from ..consensus.participant import Effect, Participant, RequestCompleted, Send
-from ..consensus.raft import RaftNode, RaftSettings, RejectedError, Role
+from ..consensus.raft import RaftNode
 from ..consensus.replica import Outcome, OutcomeState
+from ..consensus.settings import RaftSettings
+from ..consensus.state import Role
 from .claims import Asked, Record, Showed
 from .faults import Fault, Schedule
 from .history import Truth
 
-SETTINGS = RaftSettings(election=1.0, heartbeat=0.2, piece=4096, in_flight=8192, log=32768, kept=3000)
+SETTINGS = RaftSettings(
+    election_timeout_s=1.0,
+    heartbeat_interval_s=0.2,
+    max_chunk_bytes=4096,
+    max_in_flight_bytes=8192,
+    max_log_bytes=32768,
+    retained_bytes=3000,
+)
 LOG = 2500  # bytes after which the state is kept
 WRITE = (0.001, 0.006)  # seconds that a write takes
 WAY = (0.0003, 0.002)  # seconds on a link
@@ -71,7 +81,7 @@
         self.participant: Participant | None = None
         self.identity: Identity | None = None
         self.journal = Journal()
-        self.key_value = KeyValueMachine()
+        self.machine = KeyValueMachine()
         self.queue: list[Effect] = []
         self.busy = False
         self.life = 0
@@ -104,13 +114,13 @@
         every: float = 0.15,
         changes: float = 0.0,
         wire: bool = False,
-        times: RaftSettings = SETTINGS,
+        settings: RaftSettings = SETTINGS,
         write: tuple[float, float] = WRITE,
     ) -> None:
         """`every`: seconds between asks, on average; `changes`: between changes of voters (0: none). `wire`: words go
         through their bytes."""
         self.schedule, self._parts, self._every, self._changes, self._wire = schedule, parts, every, changes, wire
-        self._times, self._write = times, write
+        self._settings, self._write = settings, write
         self._rng = random.Random(seed)
         self.now = 0.0
         self.truth = Truth(schedule)
@@ -189,15 +199,15 @@
         durable, rest = host.journal.load(host.disk.get)
         host.disk.lay(rest)
         host.disk.sync(len(rest))
-        host.key_value = KeyValueMachine()
+        host.machine = KeyValueMachine()
         host.participant = self._parts.member(
             host.identity.identity,
             Membership(self.voters),
             durable,
-            host.key_value,
+            host.machine,
             self.now,
             random.Random(self._rng.random()),
-            self._times,
+            self._settings,
         )
         if self._parts.core is not RaftNode:
             core = self._parts.core(
@@ -206,7 +216,7 @@
                 durable,
                 self.now,
                 random.Random(self._rng.random()),
-                self._times,
+                self._settings,
             )
             host.participant.raft = core
             host.participant._effects.clear()
@@ -244,9 +254,9 @@
         if member is None or host.busy:
             return
         while True:
-            if member.raft.since > LOG:
+            if member.raft.log.bytes_since_snapshot > LOG:
                 member.compact(self.now)
-            host.queue += member.take()
+            host.queue += member.drain_effects()
             if not host.queue:
                 break
             queue, host.queue = host.queue, []
@@ -410,7 +420,7 @@
 
     def _read(self, host: _Host, asked: Asked, outcome: Outcome) -> None:
         if outcome.state is OutcomeState.COMMITTED and host.participant is not None:
-            fact = host.key_value.known.get(asked.name)
+            fact = host.machine.known.get(asked.name)
             asked.up_to_index = host.participant.replica.applied_index  # by now it may show more than it had to
             if fact is not None:
                 asked.value, asked.at, asked.times = fact.value.decode(), fact.at, fact.times
--- a/tests/consensus_mutants.py
+++ b/tests/consensus_mutants.py
@@ -15,19 +15,19 @@
 class NoPreVote(RaftNode):
     """Whoever misses the leader raises the term at once, and everybody listens."""
 
-    def _campaign(self, now: float, role: Role, handed: bool) -> None:
-        super()._campaign(now, Role.CANDIDATE, handed)
+    def campaign(self, now: float, role: Role, *, is_transfer: bool = False) -> None:
+        super().campaign(now, Role.CANDIDATE, is_transfer=is_transfer)
 
-    def _ignores(self, now: float, sender: str, ask: RequestVote) -> bool:
+    def _disregards(self, now: float, request: RequestVote) -> bool:
         return False
 
 
 class ReadsAtOnce(RaftNode):
     """A leader answers reads without asking whether it still leads."""
 
-    def read(self, now: float, id: int) -> None:
-        self._must_lead()
-        self._effects.append(ReadReady(id, self.commit_index))
+    def read(self, read_id: int) -> None:
+        self._require_leadership()
+        self.state.effects.append(ReadReady(read_id, self.log.commit_index))
 
 
 class SnapshotSkips(Participant):
@@ -40,7 +40,7 @@
         super()._apply(now, entries)
 
     def compact(self, now: float) -> None:
-        if self.replica.applied_index == self.raft.applied_index and self.before:
+        if self.replica.applied_index == self.raft.log.commit_index and self.before:
             self.raft.compact(now, self.before)
             self._from_core()
 
@@ -64,9 +64,9 @@
         machine: StateMachine,
         now: float,
         rng: random.Random,
-        times: RaftSettings,
+        settings: RaftSettings,
     ) -> None:
-        super().__init__(name, first, durable, machine, now, rng, times)
+        super().__init__(name, first, durable, machine, now, rng, settings)
         self.replica = _Forgetful(machine)
 
 
@@ -94,7 +94,7 @@
     def _feed(self, now: float) -> None:
         applied, self.replica.applied_index = (
             self.replica.applied_index,
-            max(self.replica.applied_index, self.raft.last_index),
+            max(self.replica.applied_index, self.raft.log.last_index),
         )
         super()._feed(now)
         self.replica.applied_index = applied
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -21,7 +21,9 @@
     Role,
     Send,
 )
+from chutepin.consensus.leadership import Leadership
 from chutepin.consensus.messages import AppendEntries, AppendEntriesReply, RaftMessage, RequestVote, RequestVoteReply
+from chutepin.consensus.state import NodeState
 from chutepin.lab.explorer import Scope, explore, walk
 
 THREE = Membership(("v1", "v2", "v3"))
@@ -30,63 +32,69 @@
 # --- planted errors ---
 
 
-class ToldBeforeDurable(RaftNode):
+class SendsBeforeDurable(RaftNode):
     """Votes and acknowledgements leave before what they say is on the disk."""
 
-    def take(self) -> list[Effect]:
-        return sorted(super().take(), key=lambda effect: isinstance(effect, Persist))
+    def drain_effects(self) -> list[Effect]:
+        return sorted(super().drain_effects(), key=lambda effect: isinstance(effect, Persist))
+
+
+class CommitsAnyTerm(Leadership):
+    """An entry of an earlier term is committed once a majority has it."""
+
+    def advance_commit(self, state: NodeState) -> None:
+        state.commit(self.replication.majority_match_index(state))
 
 
 class CountsOldTerms(RaftNode):
-    """An entry of an earlier term is agreed once a majority has it."""
+    """Its leader commits entries of earlier terms by counting."""
 
-    def _advance(self) -> None:
-        matches = sorted(
-            self.last_index if name == self.name else self._progress[name].match_index
-            for name in self.membership.voters
-        )
-        self._commit(matches[len(matches) - self._majority()])
+    def __init__(self, name: str, first: Membership, saved: PersistentState, now: float, rng: random.Random) -> None:
+        super().__init__(name, first, saved, now, rng)
+        self.leadership = CommitsAnyTerm()
 
 
-class AnyLogWins(RaftNode):
+class VotesForAnyLog(RaftNode):
     """Whoever asks gets the vote, however old its log."""
 
-    def _asked(self, now: float, sender: str, ask: RequestVote) -> None:
-        super()._asked(now, sender, ask._replace(last_term=10**9))
+    def _receive_vote_request(self, now: float, sender: str, request: RequestVote) -> None:
+        super()._receive_vote_request(now, sender, request._replace(last_log_term=10**9))
 
 
 class VotesTwice(RaftNode):
     """It forgets whom it voted for."""
 
-    def _asked(self, now: float, sender: str, ask: RequestVote) -> None:
-        self.voted_for = ""
-        super()._asked(now, sender, ask)
+    def _receive_vote_request(self, now: float, sender: str, request: RequestVote) -> None:
+        self.state.voted_for = ""
+        super()._receive_vote_request(now, sender, request)
 
 
 class VoteNotDurable(RaftNode):
     """For whom it voted is not written."""
 
-    def _persist(self, first: int = 0) -> None:
-        vote, self.voted_for = self.voted_for, ""
-        super()._persist(first)
-        self.voted_for = vote
+    def drain_effects(self) -> list[Effect]:
+        return [
+            effect._replace(voted_for="") if isinstance(effect, Persist) else effect
+            for effect in super().drain_effects()
+        ]
 
 
-class TwoAtATime(RaftNode):
+class ChangesTwoVoters(RaftNode):
     """Any change of voters is taken."""
 
-    def change_membership(self, now: float, members: Membership) -> int:
-        self._must_lead()
-        return self._add(Entry(self.last_index + 1, self.term, EntryKind.VOTERS, membership=members))
+    def change_membership(self, wanted: Membership) -> int:
+        self._require_leadership()
+        entry = Entry(self.log.last_index + 1, self.term, EntryKind.VOTERS, membership=wanted)
+        return self.leadership.append(self.state, entry)
 
 
-class NoLookBack(RaftNode):
+class IgnoresPreviousEntry(RaftNode):
     """It takes entries whatever stands before them."""
 
-    def _append(self, now: float, sender: str, message: AppendEntries) -> None:
-        if message.prev_index <= self.last_index:
-            message = message._replace(prev_term=self.term_at(message.prev_index))
-        super()._append(now, sender, message)
+    def _receive_append_entries(self, now: float, sender: str, message: AppendEntries) -> None:
+        if message.prev_index <= self.log.last_index:
+            message = message._replace(prev_term=self.log.term_at(message.prev_index))
+        super()._receive_append_entries(now, sender, message)
 
 
 # --- the explorer ---
@@ -115,9 +123,9 @@
 @pytest.mark.parametrize(
     ("planted", "scope", "says"),
     [
-        (ToldBeforeDurable, Scope(elections=2, proposals=0, crashes=1), "lead in term"),
+        (SendsBeforeDurable, Scope(elections=2, proposals=0, crashes=1), "lead in term"),
         (VoteNotDurable, Scope(elections=2, proposals=0, crashes=1), "lead in term"),
-        (AnyLogWins, Scope(elections=2, proposals=0), "without an agreed entry"),
+        (VotesForAnyLog, Scope(elections=2, proposals=0), "without an agreed entry"),
         (VotesTwice, Scope(elections=2, proposals=0), "lead in term"),
     ],
 )
@@ -148,12 +156,12 @@
 
 
 def test_a_walk_finds_who_does_not_look_back() -> None:
-    assert any(walk(WIDE, seed, 300, NoLookBack).broken for seed in range(1000))
+    assert any(walk(WIDE, seed, 300, IgnoresPreviousEntry).broken for seed in range(1000))
 
 
 def test_a_walk_finds_a_change_of_two_voters_at_a_time() -> None:
     scope = Scope(elections=8, proposals=4, beats=10, changes=(Membership(("v3", "v4", "v5")),))
-    assert any(walk(scope, seed, 200, TwoAtATime).broken for seed in range(2000))
+    assert any(walk(scope, seed, 200, ChangesTwoVoters).broken for seed in range(2000))
     assert not any(walk(scope, seed, 200).broken for seed in range(10))
 
 
@@ -162,18 +170,18 @@
 
     def lead(make: type[RaftNode]) -> RaftNode:
         core = make("v1", THREE, PersistentState(), 0.0, random.Random(1))
-        core._campaign(0.0, Role.CANDIDATE, False)
-        core._voted(0.0, "v2", _granted(1))
-        core._follow(1.0, 2, "")  # another one leads in term 2
-        core._campaign(1.0, Role.CANDIDATE, False)
-        core._voted(1.0, "v3", _granted(3))
-        assert core.role is Role.LEADER and core.term == 3 and core.term_at(1) == 1
-        core._progress["v3"].match_index = 1  # the old entry is with two of three
-        core._advance()
+        core.campaign(0.0, Role.CANDIDATE)
+        core.receive(0.0, "v2", _granted(1))
+        core.follow(1.0, 2, "")  # another one leads in term 2
+        core.campaign(1.0, Role.CANDIDATE)
+        core.receive(1.0, "v3", _granted(3))
+        assert core.role is Role.LEADER and core.term == 3 and core.log.term_at(1) == 1
+        core.leadership.replication.progress["v3"].match_index = 1  # the old entry is with two of three
+        core.leadership.advance_commit(core.state)
         return core
 
-    assert lead(RaftNode).commit_index == 0
-    assert lead(CountsOldTerms).commit_index == 1  # and this is what the test would see
+    assert lead(RaftNode).log.commit_index == 0
+    assert lead(CountsOldTerms).log.commit_index == 1  # and this is what the test would see
 
 
 def _granted(term: int) -> RequestVoteReply:
@@ -200,7 +208,7 @@
         while busy:
             busy = False
             for name, core in self.cores.items():
-                for effect in core.take():
+                for effect in core.drain_effects():
                     busy = True
                     if (
                         isinstance(effect, Send)
@@ -225,7 +233,7 @@
         return [name for name, core in self.cores.items() if core.role is Role.LEADER and name not in self.stopped]
 
     def led(self) -> RaftNode:
-        self.run(10.0, lambda: len(self.leaders()) == 1 and self.cores[self.leaders()[0]].commit_index > 0)
+        self.run(10.0, lambda: len(self.leaders()) == 1 and self.cores[self.leaders()[0]].log.commit_index > 0)
         return self.cores[self.leaders()[0]]
 
 
@@ -233,13 +241,13 @@
     for seed in range(20):
         net = Net(seed=seed)
         leader = net.led()
-        index = leader.propose(net.now, b"x")
+        index = leader.propose(b"x")
         net.settle()
-        assert leader.commit_index == index
+        assert leader.log.commit_index == index
         net.stopped.add(leader.name)
         net.run(4.0)
         other = net.led()
-        assert other.name != leader.name and other.term > leader.term and other.commit_index >= index
+        assert other.name != leader.name and other.term > leader.term and other.log.commit_index >= index
 
 
 def test_a_member_behind_a_one_sided_cut_does_not_depose_the_leader() -> None:
@@ -259,21 +267,21 @@
     net = Net()
     leader = net.led()
     net.cuts = {(name, leader.name) for name in net.cores}
-    leader.read(net.now, 7)
+    leader.read(7)
     net.settle()
     assert not net.readable
     net.run(1.5)
     assert leader.role is not Role.LEADER and net.readable == [ReadReady(7, -1)]
     with pytest.raises(RejectedError, match="not the leader"):
-        leader.propose(net.now, b"x")
+        leader.propose(b"x")
 
 
 def test_a_read_sees_what_was_agreed_before_it() -> None:
     net = Net()
     leader = net.led()
-    index = leader.propose(net.now, b"x")
+    index = leader.propose(b"x")
     net.settle()
-    leader.read(net.now, 1)
+    leader.read(1)
     net.settle()
     assert net.readable == [ReadReady(1, index)]
 
@@ -284,7 +292,7 @@
     to = next(name for name in net.cores if name != leader.name)
     leader.transfer_leadership(net.now, to)
     with pytest.raises(RejectedError, match="hands over"):
-        leader.propose(net.now, b"x")
+        leader.propose(b"x")
     net.settle()
     assert net.leaders() == [to] and leader.leader == to
 
@@ -294,20 +302,20 @@
     net.cores["v4"] = RaftNode("v4", THREE, PersistentState(), 0.0, random.Random(4))
     leader = net.led()
     with pytest.raises(RejectedError, match="caught up"):
-        leader.change_membership(net.now, Membership((*THREE.voters, "v4")))
-    leader.change_membership(net.now, Membership(THREE.voters, ("v4",)))
+        leader.change_membership(Membership((*THREE.voters, "v4")))
+    leader.change_membership(Membership(THREE.voters, ("v4",)))
     net.settle()
     with pytest.raises(RejectedError, match="one voter"):
-        leader.change_membership(net.now, Membership(("v1", "v4")))
-    leader.change_membership(net.now, Membership((*THREE.voters, "v4")))
+        leader.change_membership(Membership(("v1", "v4")))
+    leader.change_membership(Membership((*THREE.voters, "v4")))
     with pytest.raises(RejectedError, match="under way"):
-        leader.change_membership(net.now, THREE)
+        leader.change_membership(THREE)
     net.settle()
     gone = leader.name
-    leader.change_membership(net.now, Membership(tuple(name for name in (*THREE.voters, "v4") if name != gone)))
+    leader.change_membership(Membership(tuple(name for name in (*THREE.voters, "v4") if name != gone)))
     net.settle()
     net.run(6.0, lambda: net.leaders() not in ([], [gone]))
-    assert gone not in net.led().membership.voters and net.led().commit_index >= 4
+    assert gone not in net.led().membership.voters and net.led().log.commit_index >= 4
 
 
 def test_a_far_behind_log_is_found_in_as_many_steps_as_there_are_terms() -> None:
@@ -316,22 +324,25 @@
     behind = next(name for name in net.cores if name != leader.name)
     net.stopped.add(behind)
     for number in range(500):
-        leader.propose(net.now, b"%d" % number)
+        leader.propose(b"%d" % number)
     net.settle()
     net.stopped.clear()
     net.run(1.0)
-    assert net.cores[behind].log == leader.log and net.cores[behind].commit_index == leader.commit_index
+    assert (
+        net.cores[behind].log.entries == leader.log.entries
+        and net.cores[behind].log.commit_index == leader.log.commit_index
+    )
 
 
 def test_what_flies_to_a_follower_is_bounded_in_bytes() -> None:
-    times = RaftSettings(in_flight=10_000, piece=2_000)
+    times = RaftSettings(max_in_flight_bytes=10_000, max_chunk_bytes=2_000)
     core = RaftNode("v1", THREE, PersistentState(), 0.0, random.Random(1), times)
-    core._campaign(0.0, Role.CANDIDATE, False)
+    core.campaign(0.0, Role.CANDIDATE)
     core.receive(0.0, "v2", _granted(1))
     core.receive(0.0, "v2", _acked(1))
     for _ in range(100):
-        core.propose(0.0, bytes(500))
-    sent = [effect.message for effect in core.take() if isinstance(effect, Send) and effect.to == "v2"]
+        core.propose(bytes(500))
+    sent = [effect.message for effect in core.drain_effects() if isinstance(effect, Send) and effect.to == "v2"]
     flying = sum(
         len(entry.data) + 32 for message in sent if isinstance(message, AppendEntries) for entry in message.entries
     )
@@ -345,5 +356,5 @@
 def test_an_agreed_entry_is_never_replaced() -> None:
     core = RaftNode("v1", THREE, PersistentState(), 0.0, random.Random(1))
     core.receive(0.0, "v2", AppendEntries(1, 0, 0, (Entry(1, 1, EntryKind.NO_OP),), 1, 1))
-    with pytest.raises(AssertionError, match="agreed entry"):
+    with pytest.raises(AssertionError, match="committed entry"):
         core.receive(0.0, "v3", AppendEntries(2, 0, 0, (Entry(1, 2, EntryKind.NO_OP),), 0, 1))
--- a/tests/test_consensus_voters.py
+++ b/tests/test_consensus_voters.py
@@ -43,7 +43,7 @@
                 pass
 
     def _carry_out(self, member: Participant) -> bool:
-        effects = member.take()
+        effects = member.drain_effects()
         for effect in effects:
             match effect:
                 case Send() if node_name(effect.to) not in self.unreachable:
--- a/tests/test_quorum.py
+++ b/tests/test_quorum.py
@@ -11,9 +11,10 @@
 from hypothesis import strategies as st
 
 from chutepin.consensus import Entry, EntryKind, Membership, Persist, PersistentState, Snapshot
-from chutepin.consensus.codec import MAX_FRAME, CodecError, FrameReader, Hello, WireMessage, decode, encode
+from chutepin.consensus.codec import MAX_FRAME, FrameReader, Hello, WireMessage, decode, encode
+from chutepin.consensus.errors import CodecError, JournalError
 from chutepin.consensus.identity import Identity, StoreAcknowledgement, StoreAnnouncement, StoredIdentity, StoreStatus
-from chutepin.consensus.journal import Journal, JournalError, entry_key
+from chutepin.consensus.journal import Journal, entry_key
 from chutepin.consensus.messages import AppendEntries, InstallSnapshotChunk
 from chutepin.consensus.observer import FetchReply, FetchRequest
 from chutepin.consensus.participant import ForwardProposal, Greeting, ProposalRejected
@@ -211,7 +212,9 @@
         if host.participant is not None
     }
     assert len(set(applied.values())) == 1 and applied["n14"] > 1000
-    assert simulator.hosts["n14"].participant is not None and simulator.hosts["n14"].participant.raft.last_index == 0
+    assert (
+        simulator.hosts["n14"].participant is not None and simulator.hosts["n14"].participant.raft.log.last_index == 0
+    )
 
 
 # --- what is durable ---
