--- a/chutepin/cluster/detector.py
+++ b/chutepin/cluster/detector.py
@@ -109,10 +109,11 @@
         return self._due
 
     def _next_due(self) -> float:
+        context = self.context
         at = min(self._next_probe, self.joining.next_due(), self._next_housekeeping)
-        if not self.context.active and not self.context.leaving:
+        if not context.active and not context.leaving:
             return at
-        if self.view.queue and self.view.table.live():
+        if context.view.queue and context.view.table.live():
             at = min(at, self.send_queue.gossip_due())
         return min(at, self.probing.next_due(), self.suspicions.next_due(), self.link_checks.next_due())
 
@@ -148,7 +149,7 @@
     def receive(self, now: float, packet: Packet, stream: bool = False) -> None:
         """Process a packet; `stream`: it came over TCP, so that it may be answered with `Answer`."""
         self._absorb_delay(now)
-        view = self.view
+        view = self.context.view
         view.counts["received"] += 1
         if not self._sender_check.is_addressed_here(packet):
             return
@@ -184,7 +185,7 @@
 
         Of a sender that is dead here only updates about this member count: these can be refuted, and so the sides of a
         partition come together."""
-        view = self.view
+        view = self.context.view
         corrections: list[Record | ShortRecord] = []
         full_state = isinstance(packet.body, STATE_MESSAGES)
         spread = not isinstance(packet.body, Sync)  # what a joining member learns all others know
--- a/chutepin/cluster/gossip.py
+++ b/chutepin/cluster/gossip.py
@@ -1,9 +1,8 @@
-"""Dissemination: what is to be told on, how often yet, and at which pace. Pure.
+"""Dissemination: which updates are gossiped, how often, and at which interval. Pure.
 
-One update for each subject: a newer one takes the place of an older one. Each is told a bounded number of times, those
-told least first, so that news overtakes what all have heard. What is urgent (an accusation, a death, what refutes one)
-is told more often and sooner than what everybody expects (a restart in order); what a member misses, anti-entropy
-brings."""
+There is one update for each subject: a newer one replaces an older one. Each is sent a bounded number of times, those
+sent least first, so that new updates overtake old ones. Urgent updates (a suspicion, a death, a refutation) are sent
+more often and sooner than expected ones (an orderly restart). What a member misses, anti-entropy brings."""
 
 from __future__ import annotations
 
@@ -15,61 +14,64 @@
 from .records import LinkReport, Update
 
 REPEAT_FACTOR = 4  # times the logarithm of the number of members
-MAX_ROUTINE_REPEATS = 6  # of an update that is not urgent: e^-6, one member of 400, misses it and learns it by repair
-MIN_REPEATS = 2  # however many updates wait: e^-2, one member of seven, is left to repair
-MAX_PENDING_REPEATS = 512  # updates times repeats that may wait before the repeats shrink
-MAX_QUEUED_UPDATES = 4096  # updates that wait; beyond that the one told most often goes
-MIN_UPDATE_BYTES = 12  # bytes
-MAX_MISFITS = 8  # updates that are passed over for want of room before a packet is held for full
-ROUTINE_MEMBERS = 25  # up to which gossip of what is not urgent is as frequent as of what is
-MAX_ROUTINE_INTERVAL_S = 2.0  # seconds; at 25 times that number of members probes carry most updates anyway
+MAX_ROUTINE_REPEATS = 6  # of an update that is not urgent: e^-6, one member of 400, misses it
+MIN_REPEATS = 2  # however many updates are queued: e^-2, one member of seven, misses it
+MAX_PENDING_REPEATS = 512  # queued updates times repeats from which on the repeats shrink
+MAX_QUEUED_UPDATES = 4096  # beyond that the update sent most often is dropped
+MIN_UPDATE_BYTES = 12
+MAX_MISFITS = 8  # updates too long for the room left before a packet counts as full
+ROUTINE_MEMBERS = 25  # up to which routine gossip is as frequent as urgent gossip
+MAX_ROUTINE_INTERVAL_S = 2.0  # in large clusters probes carry most updates
 
 Key = tuple[int, str]
 
 
 class Limits(NamedTuple):
-    """How often an update is told by each member."""
+    """How often each member sends an update."""
 
     urgent: int
     routine: int
 
 
 def repeats(members: int) -> int:
-    """How often an urgent update is told by each member, unless many wait."""
+    """Return how often each member sends an urgent update, unless many are queued."""
     return REPEAT_FACTOR * math.ceil(math.log10(members + 1))
 
 
-def limits(urgent: int, waiting: int) -> Limits:
-    """Repeats while so many updates wait: with many of them telling costs more than repair."""
-    allowed = max(MIN_REPEATS, MAX_PENDING_REPEATS // max(1, waiting))
+def limits(urgent: int, queued: int) -> Limits:
+    """Return the repeats with so many updates queued: with many of them gossip costs more than anti-entropy."""
+    allowed = max(MIN_REPEATS, MAX_PENDING_REPEATS // max(1, queued))
     return Limits(min(urgent, allowed), min(urgent, MAX_ROUTINE_REPEATS, allowed))
 
 
 def gossip_interval(every: float, members: int, urgent: bool) -> float:
-    """Seconds between two rounds of gossip packets, by their interval in a small cluster. The more members, the more
-    updates share a packet, and the more packets of others bring each update here."""
+    """Return the seconds between two rounds of gossip packets. `every`: in a small cluster.
+
+    The more members, the more updates share a packet, and the more packets of others bring each update here."""
     urgent_interval = every * max(1.0, math.log10(members))
     if urgent:
         return urgent_interval
     return max(urgent_interval, min(MAX_ROUTINE_INTERVAL_S, every * members / ROUTINE_MEMBERS))
 
 
-class _Item:
+class _QueuedUpdate:
     __slots__ = ("sent", "size", "update", "urgent")
 
     def __init__(self, update: Update, urgent: bool) -> None:
-        self.update, self.urgent = update, urgent
-        self.sent, self.size = 0, update_bytes(update)
+        self.update = update
+        self.urgent = urgent
+        self.sent = 0  # times
+        self.size = update_bytes(update)
 
 
 class UpdateQueue:
-    """The updates of one member."""
+    """The updates that one member gossips."""
 
     def __init__(self) -> None:
-        self._items: dict[Key, _Item] = {}
-        self._by_sent: dict[int, dict[Key, _Item]] = {}
-        self.urgent = 0  # of those that wait
-        self.dropped = 0  # for want of room
+        self._items: dict[Key, _QueuedUpdate] = {}
+        self._by_sent: dict[int, dict[Key, _QueuedUpdate]] = {}
+        self.urgent = 0  # queued ones
+        self.dropped = 0  # as the queue was full
 
     def __len__(self) -> int:
         return len(self._items)
@@ -79,7 +81,7 @@
         return (1, update.reporter) if isinstance(update, LinkReport) else (0, update.name)
 
     def remove(self, update: Update) -> None:
-        """Tell nothing of its subject."""
+        """Drop the update of the same subject."""
         self._discard(self._key(update))
 
     def _discard(self, key: Key) -> None:
@@ -88,29 +90,30 @@
             self.urgent -= item.urgent
             self._leave_level(key, item)
 
-    def _leave_level(self, key: Key, item: _Item) -> None:
+    def _leave_level(self, key: Key, item: _QueuedUpdate) -> None:
         level = self._by_sent[item.sent]
         del level[key]
         if not level:
             del self._by_sent[item.sent]
 
-    def _enter_level(self, key: Key, item: _Item) -> None:
+    def _enter_level(self, key: Key, item: _QueuedUpdate) -> None:
         self._by_sent.setdefault(item.sent, {})[key] = item
 
     def add(self, update: Update, urgent: bool = True) -> None:
-        """Tell this from now on, in place of what was told of the same subject."""
+        """Queue an update, in place of any other one of the same subject."""
         key = self._key(update)
         self._discard(key)
         if len(self._items) >= MAX_QUEUED_UPDATES:
             self._discard(next(iter(self._by_sent[max(self._by_sent)])))
             self.dropped += 1
-        self._items[key] = item = _Item(update, urgent)
+        self._items[key] = item = _QueuedUpdate(update, urgent)
         self.urgent += urgent
         self._enter_level(key, item)
 
     def pick(self, room: int, limit: int, routine: int | None = None) -> list[Update]:
-        """What goes into a packet with so many bytes of room; `limit` is how often each update may be told, `routine`
-        how often one that is not urgent may be."""
+        """Pick the updates for a packet with so many bytes of room.
+
+        `limit`: how often each update is sent; `routine`: how often one that is not urgent is (None: as often)."""
         if not self._items:
             return []
         allowed = Limits(limit, limit if routine is None else routine)
@@ -128,8 +131,8 @@
                 self._discard(key)
         return chosen
 
-    def _fitting(self, room: int) -> Iterator[tuple[Key, _Item]]:
-        """The updates told least that fit together."""
+    def _fitting(self, room: int) -> Iterator[tuple[Key, _QueuedUpdate]]:
+        """Yield the updates sent least that fit into the room together."""
         misfits = 0
         for sent in sorted(self._by_sent):
             for key, item in self._by_sent[sent].items():
--- a/chutepin/cluster/link_checks.py
+++ b/chutepin/cluster/link_checks.py
@@ -118,7 +118,9 @@
 
     def next_due(self) -> float:
         """When the next step of a check is due."""
-        return min((check.next_step_at for check in self._by_subject.values()), default=math.inf)
+        if not self._by_subject:
+            return math.inf
+        return min(check.next_step_at for check in self._by_subject.values())
 
     def postpone(self, seconds: float) -> None:
         """Shift all deadlines."""
--- a/chutepin/cluster/link_table.py
+++ b/chutepin/cluster/link_table.py
@@ -1,4 +1,4 @@
-"""Which directed links are bad: what this member has found out itself, and what the others tell. Pure."""
+"""The table of bad links, each in one direction: found by this member itself, and reported by others. Pure."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 @dataclass(slots=True)
 class LinkTable:
-    """Bounded: 16 links for each reporter, reporters are members. A link beyond that is counted in `unsaid`."""
+    """Bad links by reporter: at most `MAX_LINKS` each. Links beyond that are counted in `unreported`."""
 
     me: str
     process_incarnation: int
     own: dict[tuple[str, str], float] = field(default_factory=dict)
     version: int = 0
     unreported: int = 0
-    digest: int = 0  # of what all tell, the own report included
+    digest: int = 0  # of all reports, the own one included
     _reports: dict[str, _PeerReport] = field(default_factory=dict)
 
     def _toggle_digest(self, reporter: str, process_incarnation: int, version: int) -> None:
-        """Put a report into the digest, or take it out. One without any link ever adds nothing."""
+        """Add a report to the digest, or remove it. A reporter that never had a bad link adds nothing."""
         if version:
             self.digest ^= zlib.crc32(f"{reporter} {process_incarnation} {version}".encode())
 
     def record(self, now: float, source: str, target: str, bad: bool) -> bool:
-        """This member has found a link bad, or good again; whether that is news."""
+        """Record that a link of this member is bad, or good again; whether that is a change."""
         if bad == ((source, target) in self.own):
             return False
         if bad and len(self.own) >= MAX_LINKS:
@@ -52,13 +52,13 @@
         self._toggle_digest(self.me, self.process_incarnation, self.version)
 
     def set_process_incarnation(self, process_incarnation: int) -> None:
-        """This member tells in a new life."""
+        """Report with a new process incarnation of this member."""
         self._toggle_digest(self.me, self.process_incarnation, self.version)
         self.process_incarnation = process_incarnation
         self._toggle_digest(self.me, self.process_incarnation, self.version)
 
     def report(self, now: float) -> LinkReport:
-        """What this member tells of links."""
+        """Return this member's own report."""
         return LinkReport(
             self.me,
             self.process_incarnation,
@@ -70,7 +70,7 @@
         )
 
     def merge(self, now: float, links: LinkReport) -> bool:
-        """Another member tells; whether that is newer than what was known."""
+        """Merge another member's report; whether it is newer than the known one."""
         known = self._reports.get(links.reporter)
         if links.reporter == self.me or (
             known and (links.process_incarnation, links.version) <= (known.process_incarnation, known.version)
@@ -87,7 +87,7 @@
         return True
 
     def reports(self, now: float) -> list[LinkReport]:
-        """What the others told, to be told on in a whole state."""
+        """Return the reports of all other members, for the full state."""
         return [
             LinkReport(
                 name,
@@ -102,7 +102,7 @@
         ]
 
     def forget(self, name: str) -> bool:
-        """A member has gone: neither its reports nor links to it mean anything; whether an own report has changed."""
+        """Forget a departed member's report and the links with it; whether this member's own report has changed."""
         if (known := self._reports.pop(name, None)) is not None:
             self._toggle_digest(name, known.process_incarnation, known.version)
         mine = [link for link in self.own if name in link]
@@ -113,7 +113,7 @@
         return bool(mine)
 
     def bad_links(self, live: set[str]) -> dict[tuple[str, str], float]:
-        """All bad links between members that live, with the time since when, by whoever knew first."""
+        """Return the bad links between live members, with the time since when, by the earliest report."""
         found: dict[tuple[str, str], float] = {}
         for since_of in [self.own, *(report.since for report in self._reports.values())]:
             for link, since in since_of.items():
--- a/chutepin/cluster/local_health.py
+++ b/chutepin/cluster/local_health.py
@@ -1,30 +1,30 @@
-"""How far this member may trust itself (Lifeguard's local health), and when somebody last answered it. Pure."""
+"""Lifeguard's local health: how far a member may trust its own observations. Pure."""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass
 
-MAX_SCORE = 8  # at which its time-outs are nine times as long
+MAX_SCORE = 8  # time-outs are then nine times as long
 
 
 @dataclass(slots=True)
 class LocalHealth:
-    """0 is well. What speaks against oneself adds, an answered probe takes away."""
+    """The score of one member: 0 is healthy. Own failings add to it, answered probes reduce it."""
 
     score: int = 0
-    last_answered_at: float = -math.inf  # when somebody last answered this member
-    late_timers: int = 0  # timers that fired too late
+    last_answered_at: float = -math.inf  # when any member last answered this one
+    late_timers: int = 0  # that fired noticeably late
 
     @property
     def timeout_multiplier(self) -> int:
-        """By what this member's time-outs are multiplied."""
+        """Factor of this member's time-outs."""
         return 1 + self.score
 
     def degrade(self, amount: int = 1) -> None:
-        """It was late, accused, or did not even hear its helpers."""
+        """Note a late timer, a suspicion of this member, or a probe whose helpers were not heard either."""
         self.score = min(MAX_SCORE, self.score + amount)
 
     def recover(self) -> None:
-        """A probe was answered."""
+        """Note an answered probe."""
         self.score = max(0, self.score - 1)
--- a/chutepin/cluster/member_table.py
+++ b/chutepin/cluster/member_table.py
@@ -1,6 +1,4 @@
-"""The members that are known, bounded. Pure; time is an argument.
-
-It holds what was told and heard. What is to be made of it is decided in `view` and `detector`."""
+"""The table of all other members, bounded, with their records and what was heard of them. Pure; time is an argument."""
 
 from __future__ import annotations
 
@@ -10,82 +8,85 @@
 
 from .records import MergeResult, Record, Status, compare_records
 
-REPLAY_WINDOW_PACKETS = 256  # packets of one sender that may come out of their order
+REPLAY_WINDOW_PACKETS = 256  # packets of one sender that may arrive out of order
 
 
 @dataclass(slots=True)
 class ReplayWindow:
-    """Which packets of one life of a sender have come: none is taken in twice."""
+    """Which packets of one process incarnation of a sender have arrived, so that none is processed twice."""
 
     highest: int = -1
-    seen: int = 0  # a bit for each of the last numbers
+    seen: int = 0  # a bit for each of the last sequence numbers
 
-    def accept(self, number: int) -> bool:
-        """Take note of a number; false for one that came before or is too old to tell."""
-        if number > self.highest:
-            self.seen = (self.seen << min(number - self.highest, REPLAY_WINDOW_PACKETS) | 1) & (
+    def accept(self, sequence: int) -> bool:
+        """Note a sequence number; false for one that came before, or is too old to tell."""
+        if sequence > self.highest:
+            self.seen = (self.seen << min(sequence - self.highest, REPLAY_WINDOW_PACKETS) | 1) & (
                 (1 << REPLAY_WINDOW_PACKETS) - 1
             )
-            self.highest = number
+            self.highest = sequence
             return True
-        back = self.highest - number
-        if back >= REPLAY_WINDOW_PACKETS or self.seen >> back & 1:
+        age = self.highest - sequence
+        if age >= REPLAY_WINDOW_PACKETS or self.seen >> age & 1:
             return False
-        self.seen |= 1 << back
+        self.seen |= 1 << age
         return True
 
 
 @dataclass(slots=True)
 class Member:
-    """One other member."""
+    """One other member, and what was heard of it."""
 
     record: Record
-    changed_at: float  # when the record was taken in
-    digest: int = 0  # what the record adds to the digest of a view; 0 while it is not live
-    position: int = -1  # in the list of the live
-    process_incarnation: int = 0  # the process that spoke last
-    last_heard: float = -math.inf  # its last packet that came directly
-    stale_notice_sent_at: float = -math.inf  # when it was last told that its life is over
-    suspected_by: tuple[str, ...] = ()  # at this incarnation
-    window: ReplayWindow | None = None  # none before its first datagram: most members are hardly ever heard directly
+    changed_at: float  # when the record was merged
+    digest: int = 0  # of the record, in the digest of the view; 0 while it is not live
+    position: int = -1  # in the list of live members; -1 while it is not live
+    process_incarnation: int = 0  # of the process that was heard last
+    last_heard: float = -math.inf  # when its last datagram came directly
+    stale_notice_sent_at: float = -math.inf  # that a later process of its name is known
+    suspected_by: tuple[str, ...] = ()  # members that suspect it at this incarnation
+    window: ReplayWindow | None = None  # None before its first datagram: most members are rarely heard directly
 
     def set_process_incarnation(self, process_incarnation: int) -> None:
-        """Another process speaks in its name."""
-        self.process_incarnation, self.window = process_incarnation, None
+        """Note that another process uses its name, with its own sequence numbers."""
+        self.process_incarnation = process_incarnation
+        self.window = None
 
-    def accept_sequence(self, number: int) -> bool:
-        """Take note of a datagram's number; false for one that came before or is too old to tell."""
+    def accept_sequence(self, sequence: int) -> bool:
+        """Note a datagram's sequence number; false for one that came before, or is too old to tell."""
         if self.window is None:
             self.window = ReplayWindow()
-        return self.window.accept(number)
+        return self.window.accept(sequence)
 
 
 def digest_of(record: Record) -> int:
-    """What a live record adds to the digest of a view. A suspicion adds nothing: it comes and goes by itself."""
+    """Return what a live record adds to the digest of a view. A suspicion adds nothing, as it ends by itself."""
     text = f"{record.name} {record.address} {record.region} {record.zone} {record.incarnation}"
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=7).digest())
 
 
-LEFT_RETENTION_S = 300.0  # seconds for which those that left in order are known, at the most: restarts take less
+LEFT_RETENTION_S = 300.0  # for which members that left are remembered, at the most: restarts take less
 _GROUPED = (Status.SUSPECT, Status.DEAD, Status.LEFT)
 
 
 class MemberTable:
-    """All other members by name. No operation takes longer for a longer table, but for those that give lists."""
+    """All other members by name.
+
+    The time of an operation does not grow with the table, but for those that return lists."""
 
     def __init__(self, max_names: int, remember: float) -> None:
-        """`most`: names, the gone included. `remember`: seconds for which the dead are known."""
+        """`max_names`: departed members included. `remember`: seconds for which the dead are remembered."""
         self._max_names = max_names
-        self._remembered = {Status.DEAD: remember, Status.LEFT: min(remember, LEFT_RETENTION_S)}
+        self._retention_s = {Status.DEAD: remember, Status.LEFT: min(remember, LEFT_RETENTION_S)}
         self.members: dict[str, Member] = {}
-        self.digest = 0  # of the live ones
-        self.rejected = 0  # names for which there was no room
-        # Those that are not alive, by state, in the order in which they came into it.
+        self.digest = 0  # of the live members
+        self.rejected = 0  # names that found no room
+        # Members that are not alive, by status, in the order in which they got it.
         self._groups: dict[Status, dict[str, None]] = {status: {} for status in _GROUPED}
         self._live: list[str] = []
 
     def live(self) -> list[str]:
-        """Names of all that are alive or suspect. Not to be changed."""
+        """Return the names of all that are alive or suspect. Not to be changed."""
         return self._live
 
     def is_live(self, name: str) -> bool:
@@ -94,19 +95,19 @@
         return member is not None and member.position >= 0
 
     def with_status(self, status: Status) -> list[str]:
-        """Names of those in this state."""
+        """Return the names of all with this status."""
         if status is Status.ALIVE:
             return [name for name in self._live if name not in self._groups[Status.SUSPECT]]
         return list(self._groups[status])
 
     def count(self, status: Status) -> int:
-        """How many are in this state."""
+        """Return how many have this status."""
         if status is Status.ALIVE:
             return len(self._live) - len(self._groups[Status.SUSPECT])
         return len(self._groups[status])
 
     def put(self, now: float, record: Record) -> MergeResult:
-        """Take in a record, if it holds against the known one; HELD also where there is no room."""
+        """Merge a record, if it takes precedence over the known one; REJECTED also where there is no room."""
         member = self.members.get(record.name)
         if member is None:
             if not self._make_room():
@@ -118,7 +119,7 @@
         old = member.record
         result = compare_records(record, old)
         if result is MergeResult.ACCEPTED:
-            if record.address != old.address:  # another process: nothing that was heard of the old one is its own
+            if record.address != old.address:  # another process: what was heard of the old one does not count
                 member.set_process_incarnation(0)
                 member.last_heard = -math.inf
             if (record.incarnation, record.address) != (old.incarnation, old.address) or not record.live:
@@ -128,12 +129,12 @@
         return result
 
     def replace(self, member: Member, record: Record) -> None:
-        """Give a member another record; keep groups, list and digest as the records are."""
+        """Replace a member's record, and keep groups, list and digest consistent with it."""
         old = member.record
         if old.status in _GROUPED:
             del self._groups[old.status][old.name]
         member.record = record
-        if member.position >= 0 and record.live and old[:5] == record[:5]:  # an accusation, or the end of one
+        if member.position >= 0 and record.live and old[:5] == record[:5]:  # a suspicion, or the end of one
             self._group(record)
             return
         self._leave(member)
@@ -144,7 +145,7 @@
             self._groups[record.status][record.name] = None
 
     def _enter(self, member: Member) -> None:
-        """Count a record in."""
+        """Add a record to its group, and a live one to the list and the digest."""
         record = member.record
         self._group(record)
         if record.live:
@@ -154,7 +155,7 @@
             self.digest ^= member.digest
 
     def _leave(self, member: Member) -> None:
-        """Take a record out of the list of the live and of the digest; the last of the list takes its place."""
+        """Remove a record from the list of live members and from the digest; the last of the list takes its place."""
         if member.position < 0:
             return
         last = self._live.pop()
@@ -165,7 +166,7 @@
         member.position, member.digest = -1, 0
 
     def _make_room(self) -> bool:
-        """Whether a name fits, without the oldest of the gone if need be."""
+        """Whether one more name fits, after forgetting the oldest departed member if need be."""
         if len(self.members) < self._max_names:
             return True
         oldest = [next(iter(self._groups[status])) for status in (Status.DEAD, Status.LEFT) if self._groups[status]]
@@ -182,11 +183,11 @@
         del self.members[name]
 
     def expired(self, now: float) -> list[str]:
-        """The gone that have been remembered long enough."""
+        """Return the departed members whose retention is over."""
         found = []
-        for status, remembered in self._remembered.items():
+        for status, retention_s in self._retention_s.items():
             for name in self._groups[status]:
-                if now - self.members[name].changed_at <= remembered:
-                    break  # those behind it are younger
+                if now - self.members[name].changed_at <= retention_s:
+                    break  # the rest departed later
                 found.append(name)
         return found
--- a/chutepin/cluster/membership_view.py
+++ b/chutepin/cluster/membership_view.py
@@ -1,6 +1,7 @@
-"""What this member believes of all, itself included, and what it tells on. Pure; time is an argument.
+"""The membership view: what one member knows of all, itself included, and the updates that it spreads.
 
-It takes records in by the rules of docs/membership.md. Who is probed and accused is the detector's."""
+Merges records by the rules of docs/membership.md. Whom to probe and to suspect is for the detector. Pure; time is an
+argument."""
 
 from __future__ import annotations
 
@@ -17,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipEvent:
-    """Something an operator may want to know: what happened to which member, and why."""
+    """Something that happened to a member, for the log and for operators."""
 
     kind: str
     member: str
@@ -26,28 +27,28 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistIncarnation:
-    """This incarnation must be known again after a restart."""
+    """Store this incarnation, so that it is known after a restart."""
 
     incarnation: int
 
 
-MAX_STATE_BYTES = MAX_STREAM_FRAME_BYTES - 2048  # bytes of the updates of a whole state
-MAX_SUSPECTED_BY = 8  # accusers that are kept of one incarnation
-# Seconds of a suspicion after which an exchange may bring the death that this member has missed: who lives has refuted
-# the suspicion by then, as it was told of it by gossip and by each that asks it.
+MAX_STATE_BYTES = MAX_STREAM_FRAME_BYTES - 2048  # of the updates of a full state
+MAX_SUSPECTED_BY = 8  # members recorded as suspecting one incarnation
+# After so long a suspicion a state exchange may bring the death that this member has missed: by then a live member has
+# refuted the suspicion, as gossip and every ping tell it.
 ACCEPT_DEATH_AFTER_S = 6.0
-RECORD_KNOWN_S = LEFT_RETENTION_S / 2  # seconds after which others may have forgotten one that has gone
+RECORD_KNOWN_S = LEFT_RETENTION_S / 2  # after that others may have forgotten a departed member
 
 
 def _is_routine(old: Record | None, new: Record) -> bool:
-    """Whether a change is one that everybody expects: a member joins, leaves in order, or is back after that."""
+    """Whether a change is expected, so that it is not urgent: a member joins, leaves, or is back after leaving."""
     if new.status is Status.LEFT:
         return True
     return new.status is Status.ALIVE and (old is None or old.status in (Status.ALIVE, Status.LEFT))
 
 
 def fit_updates(updates: Iterable[Update], room: int) -> tuple[list[Update], int]:
-    """As many updates, from the first on, as fit into so many bytes and one frame; how many bytes are left."""
+    """Return the first updates that fit into `room` bytes and into one frame, and the bytes that are left."""
     chosen: list[Update] = []
     for update in updates:
         size = update_bytes(update)
@@ -59,7 +60,10 @@
 
 
 class MembershipView:
-    """Beliefs of one member."""
+    """The view of one member."""
+
+    # `me` changes whenever this member raises its incarnation; `process_incarnation` is that with which the process
+    # began, and stays.
 
     def __init__(self, me: Record, max_names: int, remember: float) -> None:
         self.me = me
@@ -69,47 +73,49 @@
         self.queue = UpdateQueue()
         self.counts: Counter[str] = Counter()
         self.events: list[MembershipEvent | PersistIncarnation] = []
-        self.name_holder: Record | None = None  # who holds this member's name
-        self.joined = False  # some member has taken this one in
-        self.refutation_count = 0  # times that this member had to refute
-        self.reported_suspects: list[tuple[str, str]] = []  # (member, suspecting member), for the detector
+        self.name_holder: Record | None = None  # another process that holds this member's name
+        self.joined = False  # some member has accepted this one
+        self.refutation_count = 0  # times that this member refuted a suspicion
+        self.reported_suspects: list[tuple[str, str]] = []  # (suspect, suspecting member), not yet verified
 
     def record_event(self, kind: str, member: str, **fields: object) -> None:
-        """For the log and the operators."""
+        """Count an event and emit it as an effect."""
         self.counts[kind] += 1
         self.events.append(MembershipEvent(kind, member, fields))
 
     @property
     def live_count(self) -> int:
-        """Live members, this one included."""
+        """Number of live members, this one included."""
         return len(self.table.live()) + 1
 
     @property
     def digest(self) -> int:
-        """Equal where views are equal but for suspicions and the gone."""
+        """Digest of the view: equal where views differ in suspicions and departed members only."""
         return self.table.digest ^ self.links.digest ^ (digest_of(self.me) if self.me.live else 0)
 
     def repeats(self) -> int:
-        """How often each update is told on."""
+        """Return how often each urgent update is sent."""
         return repeats(self.live_count)
 
     def pick_updates(self, room: int) -> list[Update]:
-        """Updates that go along with a packet."""
+        """Pick the updates that a packet with so many bytes of room carries."""
         allowed = limits(self.repeats(), len(self.queue))
         return self.queue.pick(room, allowed.urgent, allowed.routine)
 
     def expand_record(self, short: ShortRecord) -> Record | None:
-        """The record that a short one stands for; None where its member is not known, or was at another place."""
+        """Return the whole record of a short one; None where its member is not known, or was at another place."""
         if short.name == self.me.name:
             return expand(short, self.me)
         member = self.table.members.get(short.name)
         return expand(short, member.record) if member is not None else None
 
-    # --- records ---
+    def merge(
+        self, now: float, update: Record | LinkReport, full_state: bool = False, spread: bool = True
+    ) -> MergeResult:
+        """Merge an update of a live sender.
 
-    def merge(self, now: float, update: Record | LinkReport, sync: bool = False, spread: bool = True) -> MergeResult:
-        """Take in what a believed member tells. `sync`: in an exchange of states, where what the other side of a cut
-        holds for dead may answer here. `spread`: tell it on; what one learns that joins, all others know."""
+        `full_state`: it comes from a state exchange, where a member that is dead for the other side of a partition may
+        still answer here. `spread`: gossip it further, if it is new."""
         if isinstance(update, LinkReport):
             self.merge_links(now, update)
             return MergeResult.UNCHANGED
@@ -117,11 +123,11 @@
             self.merge_own(now, update)
             return MergeResult.UNCHANGED
         member = self.table.members.get(update.name)
-        if sync and update.status is Status.DEAD and member is not None and member.record.live:
+        if full_state and update.status is Status.DEAD and member is not None and member.record.live:
             if member.record.address != update.address or update.incarnation < member.record.incarnation:
                 return MergeResult.STALE
             if not (member.record.status is Status.SUSPECT and now - member.changed_at >= ACCEPT_DEATH_AFTER_S):
-                # Not told on: after a cut each side holds all of the other for dead, and asks them itself.
+                # Not spread: after a partition each side holds all of the other for dead, and probes them itself.
                 update, spread = update._replace(status=Status.SUSPECT), False
         old, since = (member.record, member.changed_at) if member is not None else (None, now)
         result = self.table.put(now, update)
@@ -134,12 +140,12 @@
         return result
 
     def _spread(self, now: float, old: Record | None, since: float, new: Record) -> None:
-        """Tell a new record on: short where the others can be expected to hold the rest, whole where they may not."""
+        """Queue a new record: short where the others can be expected to hold the rest, else whole."""
         known = old is not None and old[:4] == new[:4] and (old.live or now - since < RECORD_KNOWN_S)
         self.queue.add(shorten(new) if known else new, urgent=not _is_routine(old, new))
 
     def _record_change(self, now: float, old: Record | None, new: Record) -> None:
-        """Say what a new record means."""
+        """Emit the event of a new record, and forget the links of a departed member."""
         before = old.status if old is not None else None
         if new.status is Status.SUSPECT:
             self.table.members[new.name].suspected_by = (new.by,)
@@ -158,7 +164,7 @@
             self._record_alive(old, new)
 
     def _record_alive(self, old: Record | None, new: Record) -> None:
-        """A member is there, or there again."""
+        """Emit the event of a record that says alive."""
         if old is None:
             self.record_event("joined", new.name, incarnation=new.incarnation, address=new.address)
         elif old.status is Status.SUSPECT:
@@ -169,7 +175,7 @@
             self.record_event("moved", new.name, incarnation=new.incarnation, address=new.address)
 
     def _confirm_suspicion(self, member: Member, update: Record) -> None:
-        """Somebody else accuses the suspect as well. Told on while it still counts."""
+        """Note that one more member suspects the suspect; spread as long as confirmations shorten the time-out."""
         if update.by in member.suspected_by or len(member.suspected_by) >= MAX_SUSPECTED_BY:
             return
         member.suspected_by += (update.by,)
@@ -177,7 +183,7 @@
         self.record_event("confirmed", update.name, by=update.by, incarnation=update.incarnation)
 
     def merge_own(self, now: float, record: Record) -> None:
-        """Others tell of this member."""
+        """Merge a record of this member's own name: refute it, rise above it, or give way to the holder of the name."""
         if record.address != self.me.address:
             if not record.live:
                 if record.incarnation >= self.me.incarnation:
@@ -185,18 +191,18 @@
             elif record.incarnation < self.me.incarnation:
                 self.reject_name(record)
             else:
-                self.counts["namesakes"] += 1
+                self.counts["name_conflicts"] += 1
                 self.queue.add(self.me)
         elif not self.me.live:
             return
         elif record.live and record.status is Status.ALIVE:
-            if record.incarnation > self.me.incarnation:  # of a process of this node that ran before, by a later clock
+            if record.incarnation > self.me.incarnation:  # an earlier process, by a clock that was ahead
                 self.raise_incarnation_above(record.incarnation)
         elif record.incarnation >= self.me.incarnation:
             self.refute(record)
 
     def refute(self, record: Record) -> None:
-        """Others hold this member for less than alive: say so at a higher incarnation."""
+        """Refute a record that says suspect, dead or left, by a higher incarnation."""
         self.refutation_count += 1
         self.raise_incarnation_above(record.incarnation)
         self.record_event(
@@ -204,27 +210,25 @@
         )
 
     def raise_incarnation_above(self, incarnation: int) -> None:
-        """Be known at a higher incarnation."""
+        """Continue with an incarnation above this one, spread and stored."""
         self.me = self.me._replace(incarnation=max(incarnation, self.me.incarnation) + 1)
         self.queue.add(self.me)
         self.events.append(PersistIncarnation(self.me.incarnation))
 
     def start_process_incarnation(self, above: int) -> None:
-        """Others know a later process of this name: be later than that."""
+        """Begin a new process incarnation, above one that others know of a later process of this name."""
         self.raise_incarnation_above(max(above, self.process_incarnation))
         self.process_incarnation = self.me.incarnation
         self.links.set_process_incarnation(self.process_incarnation)
 
     def reject_name(self, holder: Record) -> None:
-        """The name is another process's."""
+        """Note that another process holds this member's name."""
         if self.name_holder is None or self.name_holder.address != holder.address:
             self.record_event("refused", self.me.name, holder=holder.address, incarnation=holder.incarnation)
         self.name_holder, self.joined = holder, False
 
-    # --- links ---
-
     def merge_links(self, now: float, links: LinkReport) -> None:
-        """Another member tells of bad links."""
+        """Merge another member's report of its bad links."""
         reporter = self.table.members.get(links.reporter)
         if reporter is None or not reporter.record.live:
             return
@@ -232,7 +236,7 @@
             self.queue.add(links)
 
     def record_link(self, now: float, source: str, target: str, bad: bool) -> None:
-        """This member has found out about a link."""
+        """Record whether a link of this member is bad, and spread it if that has changed."""
         if self.links.record(now, source, target, bad):
             self.record_event(
                 "link_bad" if bad else "link_good",
@@ -243,29 +247,27 @@
             self.queue.add(self.links.report(now))
 
     def forget_links(self, now: float, name: str) -> None:
-        """A member has gone."""
+        """Forget the links of a member that has departed."""
         if self.links.forget(name):
             self.queue.add(self.links.report(now))
 
-    # --- whole states ---
-
     def full_state(self, now: float) -> list[Update]:
-        """All that is known here."""
+        """Return the updates of the full state: all records, and the reports of bad links."""
         table = self.table
         records = [table.members[name].record for name in table.live()]
         records += [
             table.members[name].record for status in (Status.DEAD, Status.LEFT) for name in table.with_status(status)
         ]
-        updates, room = fit_updates(records, MAX_STATE_BYTES)  # those beyond that are brought by repair
+        updates, room = fit_updates(records, MAX_STATE_BYTES)  # anti-entropy brings the rest
         return (updates + self.link_reports(now, room))[:MAX_UPDATES]
 
     def link_reports(self, now: float, room: int) -> list[Update]:
-        """What is known here of bad links, as much as fits."""
+        """Return the known reports of bad links, as many as fit into `room` bytes."""
         reports = [self.links.report(now)] if self.links.version else []
         return fit_updates(reports + self.links.reports(now), room)[0]
 
     def expire(self, now: float) -> None:
-        """Forget the gone that have been remembered long enough."""
+        """Forget departed members whose retention is over."""
         for name in self.table.expired(now):
             self.record_event("forgotten", name)
             self.table.remove(name)
--- a/chutepin/cluster/messages.py
+++ b/chutepin/cluster/messages.py
@@ -1,4 +1,4 @@
-"""What members say to each other, as data. `frames` writes and reads it."""
+"""The messages between members, as data. `frames` encodes and decodes them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Ping(NamedTuple):
-    """Answer me. `via`: the member that asked the sender to find out, and the nonce of its own ping."""
+    """A direct probe, answered by Ack. `requester`, `requester_nonce`: of the PingReq on whose behalf it is sent."""
 
     nonce: int
     requester: str = ""
@@ -17,22 +17,22 @@
 
 
 class Ack(NamedTuple):
-    """The answer to a ping. `heard`: milliseconds since the answerer last heard the one who wants to know (the pinger,
-    or the one that asked it to) directly; -1 if not lately."""
+    """The answer to a ping. `last_heard_ms`: milliseconds since its sender last heard the requester of the ping (or the
+    pinger, if it has none) directly; -1 if not lately."""
 
     nonce: int
     last_heard_ms: int
 
 
 class PingReq(NamedTuple):
-    """Find out for me whether `subject` answers."""
+    """A request to ping `subject`: an indirect probe."""
 
     nonce: int
     subject: str
 
 
 class ProbeResult(NamedTuple):
-    """The answer to a PingReq: `subject` answered, or (`answered` false) did not in time. `heard` as in Ack."""
+    """The answer to a PingReq: an ack of `subject`, or a nack (`answered` false). `last_heard_ms` as in Ack."""
 
     nonce: int
     subject: str
@@ -41,13 +41,13 @@
 
 
 class Gossip(NamedTuple):
-    """Nothing but updates; not answered."""
+    """A packet that only carries updates; not answered."""
 
 
 class Sync(NamedTuple):
-    """All that the sender knows stands in the updates. `ask`: tell me yours. `joined`: some member has taken the sender
-    in before. `referred`: in an answer, that the updates are a few members, one of which is to be asked for all; in a
-    request, that the sender was told to ask here. Over TCP only."""
+    """The full state of the sender, in the updates. `reply_requested`: it wants that of the receiver. `joined`: some
+    member has accepted the sender before. `referred`: in an answer, that the updates are a few members, one of which is
+    to be asked for the full state; in a request, that the sender follows such a referral. Over TCP only."""
 
     reply_requested: bool
     joined: bool
@@ -55,8 +55,8 @@
 
 
 class BucketDigests(NamedTuple):
-    """Anti-entropy, the request: one digest of four bytes for each bucket of names, and that of bad links. Over TCP
-    only."""
+    """Anti-entropy, the first request: a digest of four bytes for each bucket of names, and that of the bad links. Over
+    TCP only."""
 
     digests: bytes
     links: int
@@ -64,8 +64,8 @@
 
 class BucketRecords(NamedTuple):
     """The answer to BucketDigests. `buckets` has a bit for each of `bucket_count` buckets, set where digests differ;
-    the updates are the answerer's records of these, the first `settled` of them older than dissemination takes.
-    `links` is the digest of its bad links. Over TCP only."""
+    the updates are the sender's records of these, the first `settled` of them older than dissemination takes. `links`
+    is the digest of its bad links. Over TCP only."""
 
     bucket_count: int
     buckets: bytes
@@ -74,8 +74,8 @@
 
 
 class RecordRequest(NamedTuple):
-    """Anti-entropy, the second request: send me the whole records of these `names`; the updates are what the sender
-    holds and the receiver does not. Over TCP only."""
+    """Anti-entropy, the second request: for the whole records of `names`; the updates are what is newer at the sender.
+    Over TCP only."""
 
     names: tuple[str, ...]
 
@@ -85,11 +85,11 @@
 
 
 class NameTaken(NamedTuple):
-    """The sender's name is held by another process that lives: the one update tells which. Over TCP only."""
+    """A notice that another live process holds the receiver's name: the one update is its record. Over TCP only."""
 
 
 class StaleProcess(NamedTuple):
-    """What came from you was said in an earlier life than the one known here."""
+    """A notice that a later process of the receiver's name is known, with its process incarnation."""
 
     process_incarnation: int
 
@@ -112,11 +112,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Packet:
-    """One message with what every message carries.
+    """One message, with what every message carries.
 
-    `me` is the sender's own record, short where the receiver is expected to hold it. `life` numbers the processes of
-    the sender's name, `number` the packets of one life. `digest` is that of the sender's view; pings and their answers
-    carry it, 0 elsewhere."""
+    `sender` is the sender's own record, short where the receiver is expected to hold it. `process_incarnation` numbers
+    the processes of the sender's name, `sequence` the packets of one process incarnation. `digest` is that of the
+    sender's view, in pings and acks; 0 elsewhere."""
 
     to: str
     sender: SenderRecord
--- a/chutepin/cluster/records.py
+++ b/chutepin/cluster/records.py
@@ -1,6 +1,4 @@
-"""What members tell of each other, and which of two records holds. Pure.
-
-It knows nothing of time, sockets or how a record is written."""
+"""Records of members and links, and which of two records takes precedence. Pure; no time, sockets or wire format."""
 
 from __future__ import annotations
 
@@ -10,27 +8,27 @@
 from typing import NamedTuple
 
 MAX_NAME = 64  # characters of a member's name, an address, a region, a zone
-MAX_LINKS = 16  # bad links that one member tells of; it counts those beyond
+MAX_LINKS = 16  # bad links that one member reports; it counts those beyond
 MAX_NUMBER = 2**63 - 1  # of an incarnation
 
 
 class Status(IntEnum):
-    """What a member is held for. At one incarnation the greater one holds."""
+    """The state of a member. At the same incarnation the greater one takes precedence."""
 
     ALIVE = 0
     SUSPECT = 1  # a probe failed; it may refute that
-    DEAD = 2  # it did not
-    LEFT = 3  # it said so itself
+    DEAD = 2  # it did not refute in time
+    LEFT = 3  # it announced that it leaves
 
 
 LIVE = frozenset({Status.ALIVE, Status.SUSPECT})
 
 
 class Record(NamedTuple):
-    """One member, as told. `by` is who says so: the accuser, the declarer, else the member itself."""
+    """One member. `by` is the origin of its status: who suspects it or declared it dead, else the member itself."""
 
     name: str
-    address: str  # host:port that the member tells
+    address: str  # host:port that the member announces
     region: str
     zone: str
     incarnation: int
@@ -39,14 +37,14 @@
 
     @property
     def live(self) -> bool:
-        """Neither dead nor gone in order."""
+        """Whether it is alive or suspect."""
         return self.status in LIVE
 
 
 class ShortRecord(NamedTuple):
-    """What changes of a member, for receivers that are expected to hold its whole record.
+    """The variable part of a record, for receivers that are expected to hold the whole one.
 
-    `check` stands for what does not change: address, region and zone. `by` is empty where the member says it itself."""
+    `check` stands for address, region and zone. `by` is empty where it is the member itself."""
 
     name: str
     incarnation: int
@@ -56,29 +54,29 @@
 
     @property
     def live(self) -> bool:
-        """Neither dead nor gone in order."""
+        """Whether it is alive or suspect."""
         return self.status in LIVE
 
 
-CHECK_BITS = 16  # a member that moved unnoticed is taken for unmoved once in 65,536 moves; repair mends that
-_PLACE_CACHE_SIZE = 4096  # places whose checks are kept: each is asked for again and again
+CHECK_BITS = 16  # a move goes unnoticed once in 65,536 moves, until anti-entropy finds it
+_PLACE_CACHE_SIZE = 4096  # places whose checks are cached
 
 
 @lru_cache(maxsize=_PLACE_CACHE_SIZE)
 def place_check(address: str, region: str, zone: str) -> int:
-    """What stands for a member's address, region and zone in a short record."""
+    """Return the check of a member's address, region and zone in its short record."""
     return zlib.crc32(f"{address} {region} {zone}".encode()) & ((1 << CHECK_BITS) - 1)
 
 
 def shorten(record: Record) -> ShortRecord:
-    """What changes of a member."""
+    """Return the short record of a whole one."""
     check = place_check(record.address, record.region, record.zone)
     by = "" if record.by == record.name else record.by
     return ShortRecord(record.name, record.incarnation, record.status, check, by)
 
 
 def expand(short: ShortRecord, known: Record) -> Record | None:
-    """The whole record, by the known one of the same name; None where that is of another place."""
+    """Return the whole record, with the rest from the known one; None where that is at another place."""
     if short.check != place_check(known.address, known.region, known.zone):
         return None
     return Record(
@@ -93,7 +91,7 @@
 
 
 class BadLink(NamedTuple):
-    """`target` lately does not hear `source`. `age`: milliseconds since when."""
+    """A link in one direction: `target` does not hear `source`, for `age` milliseconds."""
 
     source: str
     target: str
@@ -101,7 +99,9 @@
 
 
 class LinkReport(NamedTuple):
-    """All bad links that one member tells of now. Of two of one reporter the later (life, version) holds."""
+    """All bad links that a member reports.
+
+    Of two reports of a member the one with the greater (process_incarnation, version) takes precedence."""
 
     reporter: str
     process_incarnation: int
@@ -114,23 +114,24 @@
 
 
 class MergeResult(IntEnum):
-    """What becomes of a record that was told."""
+    """The result of merging a received record with the known one."""
 
-    ACCEPTED = 1  # it holds from now on
+    ACCEPTED = 1  # it replaces the known one
     UNCHANGED = 2  # it says what is known
-    STALE = 3  # what is known is newer: the teller should hear that
-    REJECTED = 4  # the name is another process's: the teller's record is refused
+    STALE = 3  # the known one is newer, and the sender should get it
+    REJECTED = 4  # another process holds the name, or there is no room
 
 
 def compare_records(new: Record, old: Record) -> MergeResult:
-    """Which of two records of one name holds; the table is in docs/membership.md."""
+    """Return what merging `new` into `old`, of the same name, results in; the table is in docs/membership.md."""
     if new.address != old.address:
         if new.live and old.live:
             return MergeResult.ACCEPTED if new.incarnation < old.incarnation else MergeResult.REJECTED
         if not new.live and old.live:
             return MergeResult.UNCHANGED
         return MergeResult.ACCEPTED if new.incarnation > old.incarnation else MergeResult.STALE
-    mine, known = (new.incarnation, new.status), (old.incarnation, old.status)
-    if mine > known:
+    received = (new.incarnation, new.status)
+    known = (old.incarnation, old.status)
+    if received > known:
         return MergeResult.ACCEPTED
-    return MergeResult.UNCHANGED if mine == known else MergeResult.STALE
+    return MergeResult.UNCHANGED if received == known else MergeResult.STALE
--- a/chutepin/cluster/subsystem.py
+++ b/chutepin/cluster/subsystem.py
@@ -213,7 +213,7 @@
                 case Answer():
                     answer = effect.packet
                 case PersistIncarnation():
-                    self._incarnations.keep(effect.incarnation)
+                    self._incarnations.store(effect.incarnation)
                 case MembershipEvent():
                     self._record_event(effect)
         at = self._detector.wake_at()
--- a/chutepin/cluster/suspicions.py
+++ b/chutepin/cluster/suspicions.py
@@ -90,7 +90,9 @@
 
     def next_due(self) -> float:
         """When the next suspicion is to be advanced."""
-        return min((suspicion.next_check_at for suspicion in self._by_subject.values()), default=math.inf)
+        if not self._by_subject:
+            return math.inf
+        return min(suspicion.next_check_at for suspicion in self._by_subject.values())
 
     def postpone(self, seconds: float) -> None:
         """Shift all deadlines."""
--- a/chutepin/cluster/transport.py
+++ b/chutepin/cluster/transport.py
@@ -17,7 +17,7 @@
 from ..counters import Counters
 from ..logs import Log
 from .detector import Send
-from .frames import MAX_DATAGRAM_BYTES, FrameError, StreamReader, cluster_id, decode, encode, stream_frame
+from .frames import MAX_DATAGRAM_BYTES, DropReason, FrameError, StreamReader, cluster_id, decode, encode, stream_frame
 from .messages import Packet
 
 PART = "cluster"  # in the descriptors of descriptors
@@ -176,7 +176,7 @@
                 self._unpacked += 1
             packet = decode(data, self._cluster, False)
         except FrameError as error:
-            self._dropped(str(error))
+            self._dropped(error.reason.value)
             return
         self._counters.add("cluster.datagrams_in")
         self._deliver(packet, False)
@@ -264,7 +264,7 @@
     async def _piece(self, sock: socket.socket) -> bytes:
         data = await asyncio.get_running_loop().sock_recv(sock, PIECE)
         if not data:
-            raise FrameError("truncated")
+            raise FrameError(DropReason.TRUNCATED, "the connection ended within a frame")
         self._counters.add("cluster.stream_bytes_in", len(data))
         return data
 
@@ -290,7 +290,7 @@
                 if answer is not None:
                     await self._say(sock, answer)
         except FrameError as error:
-            self._dropped(str(error))
+            self._dropped(error.reason.value)
         except (OSError, TimeoutError):
             self._counters.add("cluster.broken_exchanges")
 
@@ -304,6 +304,6 @@
                 if self._open:
                     self._deliver(answer, True)
         except FrameError as error:
-            self._dropped(str(error))
+            self._dropped(error.reason.value)
         except (OSError, TimeoutError):
             self._counters.add("cluster.broken_exchanges")
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -334,7 +334,7 @@
 def test_incarnations_rise_above_what_the_store_remembers(tmp_path: Path) -> None:
     with Store.open(tmp_path / "store") as store:
         first = Incarnations("n1", store).begin()
-        Incarnations("n1", store).keep(first + 10**9)  # the clock was that far ahead, and was set back since
+        Incarnations("n1", store).store(first + 10**9)  # the clock was that far ahead, and was set back since
         assert Incarnations("n2", store).begin() < first + 10**9
     with Store.open(tmp_path / "store") as store:
         assert Incarnations("n1", store).begin() == first + 10**9 + 1
