--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -24,9 +24,9 @@
 
 from chutepin.store import Store
 from chutepin.store.codec import RECORD_HEADER_BYTES
-from chutepin.store.compaction_plan import Limits
 from chutepin.store.engine import Engine
-from chutepin.store.file_system import LocalFileSystem
+from chutepin.store.file_system import LocalFileSystem, read_file
+from chutepin.store.limits import Limits
 from chutepin.store.recovery import StoreReader
 
 ROUNDS = 5
@@ -198,7 +198,7 @@
         for _ in range(3):
             begun = time.perf_counter()
             for name in files.names():
-                StoreReader(files).whole(name)
+                read_file(files, name)
             raw = time.perf_counter() - begun
             spent = []
             for hints in (True, False):
@@ -206,7 +206,7 @@
                 begun = time.perf_counter()
                 found = StoreReader(files).read(hints=hints)
                 spent.append(time.perf_counter() - begun)
-                assert found is not None and len(found.book.index) == count
+                assert found is not None and len(found.log.index) == count
                 del found
             begun = time.perf_counter()
             Store.open(path / "store", max_bytes=64 * GIB, max_memory=8 * GIB).close()
--- a/chutepin/cli/store.py
+++ b/chutepin/cli/store.py
@@ -15,8 +15,9 @@
 
 from ..logs import print_line
 from ..store import Store, StoreDamagedError, StoreError, StoreLockedError, inspection
+from ..store import repair as store_repair
 from ..store.codec import NEVER_MS
-from ..store.store import MAX_BYTES
+from ..store.store import DEFAULT_MAX_BYTES
 from .output import as_json, show_fields, show_json, show_table
 
 DAMAGED, REFUSED, LOCKED = 1, 2, 3
@@ -54,7 +55,7 @@
 @told
 def check(directory: str, json_asked: bool) -> int:
     """Read every record and list all damage. Changes nothing."""
-    with inspection.directory(directory) as files:
+    with inspection.locked_directory(directory) as files:
         checked = inspection.check(files)
     if as_json(json_asked):
         show_json(checked.as_dict())
@@ -75,8 +76,8 @@
 @told
 def stat(directory: str, json_asked: bool) -> int:
     """Sizes and counts of the store and of each segment. Changes nothing."""
-    with inspection.directory(directory) as files:
-        figures = inspection.stat(files)
+    with inspection.locked_directory(directory) as files:
+        figures = inspection.statistics(files)
     if as_json(json_asked):
         show_json(figures)
     else:
@@ -89,19 +90,19 @@
 
 @command.command()
 @click.argument("directory")
-@click.option("--all", "every", is_flag=True, help="Also what was overruled, deleted or has expired.")
+@click.option("--all", "include_dead", is_flag=True, help="Also what was overruled, deleted or has expired.")
 @JSON
 @told
-def dump(directory: str, every: bool, json_asked: bool) -> int:
+def dump(directory: str, include_dead: bool, json_asked: bool) -> int:
     """The records, in the order of the log. Changes nothing."""
     rows = []
-    with inspection.directory(directory) as files:
-        for record in inspection.dump(files, every):
+    with inspection.locked_directory(directory) as files:
+        for record in inspection.dump(files, include_dead):
             row = {
                 "seq": record.sequence,
                 "kind": record.kind.name.lower(),
                 "key": _text(record.key),
-                "expires": None if record.expires == NEVER_MS else record.expires / 1000,
+                "expires": None if record.expires_ms == NEVER_MS else record.expires_ms / 1000,
                 "bytes": len(record.value),
             }
             if as_json(json_asked):
@@ -127,7 +128,7 @@
 @click.option(
     "--max-mib",
     type=click.IntRange(1),
-    default=MAX_BYTES >> 20,
+    default=DEFAULT_MAX_BYTES >> 20,
     show_default=True,
     help="The store's size limit, as in the operator's file.",
 )
@@ -135,7 +136,7 @@
 @told
 def compact(directory: str, max_mib: int, json_asked: bool) -> int:
     """Leave behind all that is dead, so that the store takes the least room."""
-    with inspection.directory(directory):
+    with inspection.locked_directory(directory):
         pass  # a directory without a store is refused, not made into one
     with Store.open(directory, max_bytes=max_mib << 20) as store:
         before = store.metrics()["disk_bytes"]
@@ -159,7 +160,11 @@
 @click.argument("directory")
 @click.argument("into")
 @click.option(
-    "--max-mib", type=click.IntRange(1), default=MAX_BYTES >> 20, show_default=True, help="The new store's size limit."
+    "--max-mib",
+    type=click.IntRange(1),
+    default=DEFAULT_MAX_BYTES >> 20,
+    show_default=True,
+    help="The new store's size limit.",
 )
 @click.option("--yes", is_flag=True, help="Do not ask; for scripts.")
 @JSON
@@ -171,8 +176,8 @@
     keys before a node is started on the result."""
     if not yes and sys.stdin.isatty():
         click.confirm(f"Salvage {directory} into {into}? Older values of damaged keys may come back", abort=True)
-    with inspection.directory(directory) as files:
-        salvaged = inspection.repair(files, into, time.time, max_mib << 20)
+    with inspection.locked_directory(directory) as files:
+        salvaged = store_repair.repair(files, into, time.time, max_mib << 20)
     if as_json(json_asked):
         show_json(salvaged.as_dict())
     else:
--- /dev/null
+++ b/chutepin/store/appender.py
@@ -0,0 +1,183 @@
+"""Puts and deletes: appends records to the log in memory, within the store's limits."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Sequence
+
+from .codec import (
+    HINT_ENTRY_BYTES,
+    MAX_KEY_BYTES,
+    NEVER_MS,
+    RECORD_HEADER_BYTES,
+    SEAL_RECORD_BYTES,
+)
+from .context import StoreContext
+from .errors import StoreError
+from .index import DELETE, KEY_MEMORY_BYTES, PUT
+from .limits import MAX_QUEUED_BYTES
+from .log import SegmentedLog
+from .segment import record_size
+
+EXPIRED_PER_PUT = 8  # keys that a put forgets on its way, so that the index shrinks as fast as it grows
+_NEVER_S = NEVER_MS / 1000  # an expiry from here on is none
+
+
+class RecordAppender:
+    """Appends records for callers on any thread. They are written by the next flush."""
+
+    def __init__(self, context: StoreContext) -> None:
+        self._context = context
+        self.put_count = 0
+        self.put_bytes = 0
+
+    def put(self, key: bytes, value: bytes, expires: float, waited: bool = False) -> bool:
+        """Append a put. False: there is no space at the moment, wait for the next flush or step.
+
+        Raises StoreFullError if waiting will not help, and it does not if the caller has `waited` and the store is
+        idle; StoreError for a key, value or expiry that the store can't take."""
+        context = self._context
+        key_size = len(key)
+        if key_size > MAX_KEY_BYTES:
+            raise StoreError(f"a key of {key_size} bytes; at most {MAX_KEY_BYTES}")
+        expires_ms = _expiry_ms(expires)
+        size = RECORD_HEADER_BYTES + key_size + len(value)
+        with context.lock:
+            if context.unusable:
+                context.check_usable()
+            log = context.log
+            index = log.index
+            active = log.active
+            limits = context.limits
+            now_ms = context.now_ms()
+            if now_ms >= index.due_ms:
+                index.expire(now_ms, EXPIRED_PER_PUT)
+            # The limits are checked here roughly, as if the key were new: puts come thousands of times a second.
+            if (
+                index.live_bytes + size + key_size + HINT_ENTRY_BYTES > limits.capacity
+                or index.key_bytes + key_size + KEY_MEMORY_BYTES * (len(index.locations) + 1) > limits.max_memory
+                or size > log.max_record_bytes
+            ):
+                self._check_limits(log, key, size, now_ms)
+            if (
+                active is None
+                or context.writers_held
+                or log.queue.bytes > MAX_QUEUED_BYTES
+                or active.end + size + SEAL_RECORD_BYTES > limits.segment_bytes
+            ) and not self._make_space(size, waited):
+                return False
+            log.append(PUT, key, value, expires_ms)
+            context.note_activity()
+            self.put_count += 1
+            self.put_bytes += size
+            return True
+
+    def put_many(self, items: Sequence[tuple[bytes, bytes]], expires: float, waited: bool = False) -> int:
+        """Append puts of keys and values with one expiry; how many, before there was no space at the moment.
+
+        Raises StoreFullError, with nothing appended, if there is no space for all of them."""
+        sizes = [RECORD_HEADER_BYTES + len(key) + len(value) for key, value in items]
+        with self._context.lock:
+            self._context.check_usable()
+            keys = {key for key, _ in items}
+            self._check_limits_for_all(keys, sizes)
+            if not math.isnan(expires) and self._can_append_together(keys, sizes):
+                return self._append_together(items, sizes, _expiry_ms(expires), waited)
+            for done, (key, value) in enumerate(items):
+                if not self.put(key, value, expires, waited):
+                    return done
+            return len(items)
+
+    def delete(self, key: bytes, waited: bool = False) -> bool:
+        """Append a delete, if the key is there. As `put`."""
+        context = self._context
+        with context.lock:
+            context.check_usable()
+            if key not in context.log.index.locations:
+                return True
+            size = record_size(key, b"")
+            if not self._make_space(size, waited):
+                return False
+            context.log.append(DELETE, key, b"", NEVER_MS)
+            context.note_activity()
+            context.counts["deleted"] += 1
+            self.put_bytes += size
+            return True
+
+    def _check_limits(self, log: SegmentedLog, key: bytes, size: int, now_ms: int) -> None:
+        """Raise if there is no space for this record, even after forgetting what has expired."""
+        if size > log.max_record_bytes:
+            raise StoreError(f"a record of {size} bytes; at most {log.max_record_bytes} fit into a segment")
+        if self._refusal_reason(log, key, size) is None:
+            return
+        log.index.expire_all(now_ms)
+        reason = self._refusal_reason(log, key, size)
+        if reason is not None:
+            raise self._context.full_error(reason)
+
+    def _refusal_reason(self, log: SegmentedLog, key: bytes, size: int) -> str | None:
+        added = log.index.added_bytes(key, size)
+        limits = self._context.limits
+        return limits.refusal_reason(log.index.live_bytes, log.index.memory_bytes, added.live, added.memory)
+
+    def _check_limits_for_all(self, keys: set[bytes], sizes: list[int]) -> None:
+        """Raise if there is no space for records of these sizes, as if all keys were new."""
+        index = self._context.log.index
+        key_bytes = sum(map(len, keys))
+        added_live = sum(sizes) + key_bytes + len(sizes) * HINT_ENTRY_BYTES
+        added_memory = key_bytes + KEY_MEMORY_BYTES * len(keys)
+        reason = self._context.limits.refusal_reason(index.live_bytes, index.memory_bytes, added_live, added_memory)
+        if reason is not None:
+            raise self._context.full_error(reason)
+
+    def _can_append_together(self, keys: set[bytes], sizes: list[int]) -> bool:
+        """Whether these are new keys of one length, none twice, and records that fit into a segment."""
+        log = self._context.log
+        key_size = len(next(iter(keys), b""))
+        return (
+            len(keys) == len(sizes)
+            and all(len(key) == key_size for key in keys)
+            and key_size <= MAX_KEY_BYTES
+            and max(sizes, default=0) <= log.max_record_bytes
+            and log.index.locations.keys().isdisjoint(keys)
+        )
+
+    def _append_together(
+        self, items: Sequence[tuple[bytes, bytes]], sizes: list[int], expires_ms: int, waited: bool
+    ) -> int:
+        log = self._context.log
+        done = 0
+        while done < len(items):
+            if not self._make_space(sizes[done], waited):
+                break
+            count = log.append_many(items[done:] if done else items, expires_ms)
+            self.put_count += count
+            self.put_bytes += sum(sizes[done : done + count])
+            done += count
+            self._context.note_activity()
+        return done
+
+    def _make_space(self, size: int, waited: bool) -> bool:
+        """Whether a writer may append a record of this size now, if need be to the next segment."""
+        context = self._context
+        log = context.log
+        if log.queue.bytes > MAX_QUEUED_BYTES:
+            return False
+        if not context.writers_held:
+            if log.fits_active_segment(size):
+                return True
+            if log.spares:
+                log.advance()
+                return True
+        if waited and context.idle:
+            raise context.full_error(context.disk_full_reason or "compaction can make no room")
+        context.note_activity()
+        return False
+
+
+def _expiry_ms(expires: float) -> int:
+    if expires < _NEVER_S:
+        return max(0, int(expires * 1000))
+    if math.isnan(expires):
+        raise StoreError("expires: not a number")
+    return NEVER_MS
--- a/chutepin/store/errors.py
+++ b/chutepin/store/errors.py
@@ -1,23 +1,24 @@
-"""What a store says when it can't do what was asked. Each is a `StoreError`; none is raised for a passing event."""
+"""Errors of the store. Each is a `StoreError`."""
 
 from __future__ import annotations
 
 
 class StoreError(Exception):
-    """The base of all."""
+    """Base class of all errors of a store."""
 
 
 class StoreFullError(StoreError):
-    """There is no room for this put: on the disk, in the store's size limit or in the index's. Nothing was changed,
-    and nothing that is remembered was dropped. Room comes back as records expire or are deleted."""
+    """A put has no space: on the disk, within the store's size limit or within the index's memory limit.
+
+    Nothing was changed, and no live record was dropped. Space is freed as records expire or are deleted."""
 
 
 class StoreBusyError(StoreError):
-    """The queue to the disk is full just now; `await store.room()` tells when it is not."""
+    """The write queue is full at the moment; `await store.room()` returns when it has space again."""
 
 
 class StoreLockedError(StoreError):
-    """Another store, here or in another process, has this directory open."""
+    """Another store, in this process or another one, has the directory open."""
 
 
 class StoreClosedError(StoreError):
@@ -25,8 +26,10 @@
 
 
 class StoreFailedError(StoreError):
-    """A write or a sync failed. What was not acknowledged before may be lost; nothing is acknowledged until the store
-    is opened again, as the page cache can show what the disk does not hold."""
+    """A write or a sync failed.
+
+    Records that were not acknowledged before may be lost. Nothing is acknowledged until the store is opened again, as
+    the page cache may show what the disk does not hold."""
 
 
 class StoreDamagedError(StoreError):
@@ -38,4 +41,16 @@
             f"`python -m chutepin store check {directory}` lists all damage, "
             f"`store repair` salvages what can be read into a new directory"
         )
-        self.directory, self.file, self.offset, self.what = directory, file, offset, what
+        self.directory = directory
+        self.file = file
+        self.offset = offset
+        self.what = what
+
+
+class CorruptDataError(StoreError):
+    """Bytes are not as they were written, from `offset` in their file on. Internal: a caller sees what follows."""
+
+    def __init__(self, offset: int, what: str) -> None:
+        super().__init__(what)
+        self.offset = offset
+        self.what = what
--- a/chutepin/store/file_system.py
+++ b/chutepin/store/file_system.py
@@ -1,17 +1,16 @@
-"""The port to a directory of files, and the real one.
+"""The file system as the store sees it: an interface, and the operating system's directory behind it.
 
-What the store assumes of the files beneath it, and nothing more:
+The store assumes this of its files, and nothing more:
 
-1. `File.sync` returns only once all that was written to this file before is durable. A failed one promises nothing,
-   neither for what it covered nor for what a later one covers.
-2. Until then any subset of the written bytes, in any order, may be durable: whole sectors, parts of sectors, none.
-3. A name that was created, renamed or removed is so durably once `FileSystem.sync_names` has returned; until then each
-   such change may be durable or not, on its own.
-4. `rename` is atomic: after a cut the name leads to the old file or to the new one.
-5. Bytes that are durable stay as they are unless written again.
+1. `File.sync` returns only when everything written to this file before is durable. A failed sync promises nothing,
+   neither for the writes before it nor for those that a later sync covers.
+2. Until then any subset of the written bytes, in any order, may be durable: complete sectors, parts of sectors, none.
+3. Creating, renaming or removing a name is durable when `FileSystem.sync_names` has returned; until then each such
+   change may be durable or not, independently of the others.
+4. `rename` is atomic: after a power cut the name leads to the old file or to the new one.
+5. Durable bytes stay as they are until they are written again.
 
-Assumption 5 is checked where it can be (checksums); the others are modelled in the tests by a directory that loses
-what it may lose."""
+Checksums check assumption 5. The tests model the others by a directory that loses what it may lose."""
 
 from __future__ import annotations
 
@@ -26,7 +25,7 @@
 from .errors import StoreLockedError
 
 LOCK_FILE = "LOCK"
-MAX_WRITE_BUFFERS = 1024  # buffers that the system takes in one call
+MAX_WRITE_BUFFERS = 1024  # in one system call (IOV_MAX)
 
 
 class File(Protocol):
@@ -36,55 +35,55 @@
         """Up to `length` bytes; fewer only at the end of the file."""
 
     def write(self, offset: int, buffers: Sequence[bytes]) -> None:
-        """Write all buffers one behind the other from `offset`, or raise OSError having written any part of it."""
+        """Write all buffers one after the other from `offset`. On OSError any part of them may have been written."""
 
     def allocate(self, size: int) -> None:
-        """Lay an empty file out: it has this size, reads as zeros, and writing inside it will need no more room."""
+        """Preallocate an empty file: it has this size, reads as zeros, and writes inside it need no more space."""
 
     def size(self) -> int:
-        """Bytes."""
+        """Size in bytes."""
 
     def sync(self) -> None:
-        """Make durable what was written."""
+        """Make all writes durable."""
 
     def close(self) -> None:
-        """Let go of it; writes that were not synced stay as they are."""
+        """Close the file, without a sync."""
 
 
 class FileSystem(Protocol):
-    """One directory. Errors of the system are OSError."""
+    """The directory of one store. Errors of the system are OSError."""
 
     @property
     def label(self) -> str:
         """The directory, for messages."""
 
     def lock(self, create: bool) -> None:
-        """Take the directory for this store alone, or raise StoreLockedError. `create` makes it where it is missing."""
+        """Lock the directory, or raise StoreLockedError. `create`: make it if it is missing."""
 
     def unlock(self) -> None:
-        """Give it back."""
+        """Release the lock."""
 
     def names(self) -> list[str]:
-        """All files in it."""
+        """Names of all files."""
 
     def open(self, name: str) -> File:
-        """Open a file that is there."""
+        """Open an existing file."""
 
     def create(self, name: str) -> File:
-        """A new empty file; one of this name is replaced."""
+        """Create an empty file, replacing one of this name."""
 
     def rename(self, old: str, new: str) -> None:
-        """Give a file another name, replacing what has it."""
+        """Rename a file, replacing one of the new name."""
 
     def remove(self, name: str) -> None:
-        """Remove a name."""
+        """Remove a file."""
 
     def sync_names(self) -> None:
-        """Make names durable."""
+        """Make changes of names durable."""
 
 
 class LocalFile:
-    """A descriptor."""
+    """An open file of the operating system."""
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
@@ -94,24 +93,26 @@
         parts = []
         while length > 0 and (part := os.pread(self._descriptor, length, offset)):
             parts.append(part)
-            offset, length = offset + len(part), length - len(part)
+            offset += len(part)
+            length -= len(part)
         return parts[0] if len(parts) == 1 else b"".join(parts)
 
     def write(self, offset: int, buffers: Sequence[bytes]) -> None:
-        """Write all; a short write is gone on with, one of nothing is an error."""
+        """Write all buffers; a short write is continued, one of no bytes is an error."""
         for first in range(0, len(buffers), MAX_WRITE_BUFFERS):
             part: Sequence[bytes | memoryview] = buffers[first : first + MAX_WRITE_BUFFERS]
             left = sum(map(len, part))
             while left:
-                done = os.pwritev(self._descriptor, part, offset)
-                if not done:
+                written = os.pwritev(self._descriptor, part, offset)
+                if not written:
                     raise OSError(errno.EIO, "the disk takes no bytes")
-                offset, left = offset + done, left - done
+                offset += written
+                left -= written
                 if left:
-                    part = [memoryview(b"".join(part))[done:]]
+                    part = [memoryview(b"".join(part))[written:]]
 
     def allocate(self, size: int) -> None:
-        """Reserve blocks. Where the file system can't, the C library writes into each of them instead."""
+        """Reserve blocks. Where the file system can't, the C library writes to each of them instead."""
         os.posix_fallocate(self._descriptor, 0, size)
 
     def size(self) -> int:
@@ -119,7 +120,7 @@
         return os.fstat(self._descriptor).st_size
 
     def sync(self) -> None:
-        """Data, and of the metadata what reading it back needs."""
+        """Sync the data, and the metadata that reading it back needs."""
         os.fdatasync(self._descriptor)
 
     def close(self) -> None:
@@ -130,7 +131,7 @@
 
 
 class LocalFileSystem:
-    """A directory of the system. Its lock is `flock`, which the system lifts when the process ends, however."""
+    """A directory of the operating system. Its lock is `flock`, which ends with the process, however that ends."""
 
     def __init__(self, directory: str | Path) -> None:
         self._path = Path(directory)
@@ -142,10 +143,10 @@
         return str(self._path)
 
     def lock(self, create: bool) -> None:
-        """Take the lock."""
+        """Lock the directory."""
         if create and not self._path.is_dir():
             self._path.mkdir(parents=True, exist_ok=True)
-            with contextlib.suppress(OSError):  # some file systems sync no directories; then nothing can be done
+            with contextlib.suppress(OSError):  # some file systems can't sync directories
                 _sync_directory(self._path.parent)
         descriptor = os.open(self._path / LOCK_FILE, os.O_RDWR | os.O_CLOEXEC | (os.O_CREAT if create else 0), 0o640)
         try:
@@ -158,13 +159,13 @@
         self._lock = descriptor
 
     def unlock(self) -> None:
-        """Lift it."""
+        """Release the lock."""
         if self._lock >= 0:
             os.close(self._lock)
             self._lock = -1
 
     def names(self) -> list[str]:
-        """All files."""
+        """Names of all files."""
         return sorted(os.listdir(self._path))
 
     def open(self, name: str) -> LocalFile:
@@ -175,15 +176,15 @@
             return LocalFile(os.open(self._path / name, os.O_RDONLY | os.O_CLOEXEC))
 
     def create(self, name: str) -> LocalFile:
-        """Create or replace."""
+        """Create or replace a file."""
         return LocalFile(os.open(self._path / name, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o640))
 
     def rename(self, old: str, new: str) -> None:
-        """Atomic replacement."""
+        """Rename a file atomically."""
         os.replace(self._path / old, self._path / new)
 
     def remove(self, name: str) -> None:
-        """Remove."""
+        """Remove a file."""
         os.unlink(self._path / name)
 
     def sync_names(self) -> None:
@@ -191,6 +192,15 @@
         _sync_directory(self._path)
 
 
+def read_file(file_system: FileSystem, name: str) -> bytes:
+    """Read a small file completely."""
+    file = file_system.open(name)
+    try:
+        return file.read(0, file.size())
+    finally:
+        file.close()
+
+
 def _sync_directory(path: Path) -> None:
     descriptor = os.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
--- a/chutepin/store/store.py
+++ b/chutepin/store/store.py
@@ -1,13 +1,12 @@
-"""The store as others use it: an engine, and the one thread that writes.
+"""The store as its users see it: an engine, and the one thread that writes.
 
-Any thread may call any method. Nothing here waits for the disk on the caller's thread but what says so: `put` and
-`delete` when the queue is full, `commit`, `compact`, `close`, and a `get` of what the page cache does not hold. On an
-event loop use `offer`, `room` and `committed`."""
+Any thread may call any method. A caller's thread waits for the disk only in `put`, `put_many` and `delete` while the
+write queue is full, in `commit`, `compact` and `close`, and in a `get` of what the page cache does not hold. On an
+event loop use `offer`, `withdraw`, `room` and `committed`."""
 
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import math
 import threading
 import time
@@ -17,34 +16,40 @@
 
 from ..clock import Clock
 from ..logs import Log
-from .compaction_plan import MIN_SEGMENTS, Limits, compaction_read_bytes
-from .engine import Engine, Event
+from .commit_waiters import CommitWaiters
+from .compaction_plan import compaction_read_bytes
+from .context import Event
+from .engine import Engine
 from .errors import StoreBusyError, StoreClosedError, StoreError, StoreFullError
 from .file_system import FileSystem, LocalFileSystem
+from .limits import MIN_SEGMENTS, Limits
 
-MAX_BYTES = 256 * 2**20
-MAX_MEMORY_BYTES = 64 * 2**20
-MAX_DEFAULT_SEGMENT_BYTES = 8 * 2**20  # by default; else a 32nd of max_bytes
+DEFAULT_MAX_BYTES = 256 * 2**20
+DEFAULT_MAX_MEMORY_BYTES = 64 * 2**20
+MAX_DEFAULT_SEGMENT_BYTES = 8 * 2**20
+DEFAULT_SEGMENTS = 32  # of which max_bytes consists, unless the segments would be larger than that
 MIN_SEGMENT_BYTES = 512
-SYNC_INTERVAL_S = 0.005  # seconds
+SEGMENT_BYTES_LIMIT = 2**31  # offsets in a segment are 32-bit integers
+DEFAULT_SYNC_INTERVAL_S = 0.005
 
 
 class Store:
     """Keys with values and expiries that survive the end of the process and a power cut.
 
-    What is acknowledged, by `commit` or `committed`, is there after any restart, or opening refuses with a message.
-    What is not may be there or not. Values are visible to `get` as soon as they are put."""
+    What was acknowledged, by `commit` or `committed`, is there after any restart, or opening fails with a message.
+    What was not acknowledged may be there or not. Values are visible to `get` as soon as they are put."""
 
-    def __init__(self, engine: Engine, sync_every: float) -> None:
-        self._engine, self._sync_every = engine, sync_every
+    def __init__(self, engine: Engine, sync_interval_s: float) -> None:
+        self._engine = engine
+        self._sync_interval_s = sync_interval_s
         self._changed = threading.Condition()
         self._flush_at = math.inf  # on the monotonic clock
         self._stopping = False
         self._error: StoreError | None = None  # what ended the thread
-        self._waiting: list[tuple[int, asyncio.AbstractEventLoop, asyncio.Future[None]]] = []
-        self._more = True  # the thread has work beside the writers
+        self._waiters = CommitWaiters()
+        self._has_background_work = True
         self._writing = threading.Lock()  # held by whoever flushes or steps
-        self._thread = threading.Thread(target=self._work, name="chutepin-store", daemon=True)
+        self._thread = threading.Thread(target=self._run, name="chutepin-store", daemon=True)
         self._thread.start()
 
     @classmethod
@@ -53,28 +58,33 @@
         directory: str | Path,
         *,
         segment_bytes: int | None = None,
-        max_bytes: int = MAX_BYTES,
-        max_memory: int = MAX_MEMORY_BYTES,
-        sync_every: float = SYNC_INTERVAL_S,
+        max_bytes: int = DEFAULT_MAX_BYTES,
+        max_memory: int = DEFAULT_MAX_MEMORY_BYTES,
+        sync_every: float = DEFAULT_SYNC_INTERVAL_S,
         clock: Callable[[], float] = time.time,
         event: Event | None = None,
         files: FileSystem | None = None,
     ) -> Store:
-        """Open a store, or begin one where the directory holds none.
+        """Open a store, or begin one if the directory holds none.
 
-        Sizes are bytes: of one segment (at most an eighth of `max_bytes`; kept from the beginning of a store on), of
-        all files, and of the index in memory. A record has to fit into a segment. `sync_every` is the time in seconds
-        after which a put is made durable unasked. `clock` gives Unix seconds. `event(name, **fields)` takes what an
+        Sizes are bytes: of one segment (at most an eighth of `max_bytes`; a store keeps its first one), of all files,
+        and of the index in memory. A record must fit into a segment. `sync_every` is the time in seconds after which
+        a put is made durable without a commit. `clock` returns Unix seconds. `event(name, **fields)` takes what an
         operator should see; by default it goes to the log.
 
         Raises StoreDamagedError, StoreLockedError, or StoreError for what the system or the arguments do not allow."""
-        size = min(segment_bytes or min(MAX_DEFAULT_SEGMENT_BYTES, max_bytes // 32), max_bytes // MIN_SEGMENTS)
-        if not MIN_SEGMENT_BYTES <= size < 2**31:
+        wanted = segment_bytes or min(MAX_DEFAULT_SEGMENT_BYTES, max_bytes // DEFAULT_SEGMENTS)
+        size = min(wanted, max_bytes // MIN_SEGMENTS)
+        if not MIN_SEGMENT_BYTES <= size < SEGMENT_BYTES_LIMIT:
             raise StoreError(
-                f"segment_bytes: {size}; from {MIN_SEGMENT_BYTES} to {2**31 - 1}, and an eighth of max_bytes"
+                f"segment_bytes: {size}; from {MIN_SEGMENT_BYTES} to {SEGMENT_BYTES_LIMIT - 1}, "
+                f"and an eighth of max_bytes"
             )
         engine = Engine.open(
-            files or LocalFileSystem(directory), Limits(size, max_bytes, max_memory), clock, event or Log(Clock()).event
+            files or LocalFileSystem(directory),
+            Limits(size, max_bytes, max_memory),
+            clock,
+            event or Log(Clock()).event,
         )
         return cls(engine, sync_every)
 
@@ -86,20 +96,22 @@
     ) -> None:
         self.close()
 
-    # --- reading and writing ---
+    # Reading and writing
 
     def put(self, key: bytes, value: bytes, expires: float) -> None:
-        """Keep a value until `expires` (Unix seconds; `math.inf`: for good), in place of what the key had.
+        """Keep a value until `expires` (Unix seconds; `math.inf`: for good), in place of the key's present one.
 
-        Waits while the queue to the disk is full. Raises StoreFullError, and then nothing has changed;
-        StoreFailedError after a failed write; StoreClosedError."""
+        Waits while the write queue is full. Raises StoreFullError, and then nothing has changed; StoreFailedError
+        after a failed write; StoreClosedError."""
         if not self._engine.put(key, value, expires):
-            self._wait_for_room(lambda: self._engine.put(key, value, expires, waited=True))
-        self._touch()
+            self._wait_for_space(lambda: self._engine.put(key, value, expires, waited=True))
+        self._schedule_flush()
 
     def put_many(self, items: Sequence[tuple[bytes, bytes]], expires: float) -> None:
-        """Put many keys and values with one expiry, several times as fast as one by one. All are refused with
-        StoreFullError if there is no room for all; they are durable one by one, as after as many `put`."""
+        """Put many keys and values with one expiry, several times as fast as one by one.
+
+        Raises StoreFullError, and then nothing has changed, if there is no space for all of them. They become durable
+        one by one, as with as many calls of `put`."""
         done = self._engine.put_many(items, expires)
         while done < len(items):
             rest = items[done:]
@@ -107,30 +119,30 @@
             def attempt(rest: Sequence[tuple[bytes, bytes]] = rest) -> int:
                 return self._engine.put_many(rest, expires, waited=True)
 
-            done += self._wait_for_room(attempt)
-        self._touch()
+            done += self._wait_for_space(attempt)
+        self._schedule_flush()
 
     def offer(self, key: bytes, value: bytes, expires: float) -> None:
-        """As `put`, but raises StoreBusyError where that would wait."""
+        """As `put`, but raises StoreBusyError instead of waiting."""
         if not self._engine.put(key, value, expires):
-            self._wake()
-            raise StoreBusyError(f"{self._engine.files.label}: {self._engine.book.queued} bytes wait for the disk")
-        self._touch()
+            self._wake_thread()
+            raise self._busy_error()
+        self._schedule_flush()
 
     def withdraw(self, key: bytes) -> None:
-        """As `delete`, but raises StoreBusyError where that would wait."""
+        """As `delete`, but raises StoreBusyError instead of waiting."""
         if not self._engine.delete(key):
-            self._wake()
-            raise StoreBusyError(f"{self._engine.files.label}: {self._engine.book.queued} bytes wait for the disk")
-        self._touch()
+            self._wake_thread()
+            raise self._busy_error()
+        self._schedule_flush()
 
     def delete(self, key: bytes) -> None:
-        """Forget a key; nothing happens if it is not there.
+        """Remove a key; nothing happens if it is not there.
 
-        As `put`, but never StoreFullError for what is remembered."""
+        As `put`, but never StoreFullError because of what is live."""
         if not self._engine.delete(key):
-            self._wait_for_room(lambda: self._engine.delete(key, waited=True))
-        self._touch()
+            self._wait_for_space(lambda: self._engine.delete(key, waited=True))
+        self._schedule_flush()
 
     def get(self, key: bytes) -> bytes | None:
         """The value, or None. Raises StoreDamagedError if it can't be read as it was written."""
@@ -144,89 +156,65 @@
                 yield key, value
 
     def __len__(self) -> int:
-        """Keys that have not expired. Costs a step for each that expired lately."""
+        """Number of keys that have not expired. Takes time for each key that expired lately."""
         return len(self._engine)
 
     def __contains__(self, key: bytes) -> bool:
         return self._engine.holds(key)
 
     def metrics(self) -> dict[str, int]:
-        """Sizes in bytes and counts, for an operator."""
+        """Sizes in bytes and counters, for an operator."""
         return self._engine.metrics()
 
-    # --- durability ---
+    # Durability
 
     def commit(self) -> None:
-        """Wait until all that this thread has put and deleted is durable. Raises StoreFailedError if it will not be."""
+        """Wait until everything this thread has put and deleted is durable. Raises StoreFailedError if it won't be."""
         if self._writing.acquire(blocking=False):
-            # Nobody writes: this thread would wait anyway, so it spares two changes of threads.
-            try:
-                if self._error is None:
-                    self._engine.flush()
-            except StoreError as error:
-                self._end(error)
-                raise
-            finally:
-                self._writing.release()
-            if self._waiting:
-                with self._changed:
-                    self._settle()
+            self._flush_here()
         with self._changed:
-            target = self._begin_commit()
-            while self._engine.durable < target:
+            target = self._request_flush()
+            while self._engine.log.durable_sequence < target:
                 if self._error is not None:
                     raise self._error
                 self._changed.wait()
 
     async def committed(self) -> None:
         """As `commit`, for an event loop."""
-        loop = asyncio.get_running_loop()
         with self._changed:
-            target = self._begin_commit()
-            if self._engine.durable >= target:
+            target = self._request_flush()
+            if self._engine.log.durable_sequence >= target:
                 return
-            future: asyncio.Future[None] = loop.create_future()
-            self._waiting.append((target, loop, future))
+            future = self._waiters.add(target, asyncio.get_running_loop())
         await future
 
     async def room(self) -> None:
-        """Wait until all that is laid out now is durable, and `offer` so finds room. Raises as `commit`."""
+        """Wait until everything appended so far is durable, so that `offer` finds space. Raises as `commit`."""
         await self.committed()
 
-    def _begin_commit(self) -> int:
-        if self._error is not None:
-            raise self._error
-        self._engine.check()
-        target = self._engine.sequence
-        if self._engine.durable < target:
-            self._flush_at = 0.0
-            self._changed.notify_all()
-        return target
-
     def compact(self) -> None:
-        """Leave behind all that is dead now.
+        """Leave behind all records that are dead now.
 
-        Raises StoreDamagedError if something can't be read, StoreFullError if there is no room to copy to,
+        Raises StoreDamagedError if something can't be read, StoreFullError if there is no space to copy to,
         StoreFailedError."""
+        context = self._engine.context
         with self._changed:
             self._engine.compact()
-            self._engine.damage = None
-            self._more = True
+            context.last_damage = None
+            self._has_background_work = True
             self._changed.notify_all()
-            while self._engine.compact_before:
+            while self._engine.is_compacting:
                 if self._error is not None:
                     raise self._error
-                if self._engine.at_rest:
-                    raise StoreFullError(
-                        f"{self._engine.files.label}: "
-                        f"{self._engine.no_room or 'no room to copy to'}; compaction can't end"
-                    )
+                if context.idle:
+                    reason = context.disk_full_reason or "no room to copy to"
+                    raise StoreFullError(f"{context.label}: {reason}; compaction can't end")
                 self._changed.wait()
-        if self._engine.damage is not None:
-            raise self._engine.damage
+        if context.last_damage is not None:
+            raise context.last_damage
 
     def close(self) -> None:
-        """Make all durable, end the thread and give the directory back. Raises StoreFailedError if that fails."""
+        """Make everything durable, end the thread and unlock the directory. Raises StoreFailedError if that fails."""
         with self._changed:
             self._stopping = True
             self._changed.notify_all()
@@ -235,98 +223,113 @@
             self._engine.close()
         finally:
             with self._changed:
-                self._error = self._error or StoreClosedError(f"{self._engine.files.label}: closed")
-                self._settle()
+                self._error = self._error or StoreClosedError(f"{self._engine.context.label}: closed")
+                self._notify_waiters()
 
-    # --- the thread ---
+    def _flush_here(self) -> None:
+        """Flush on the caller's thread, which holds `_writing` and would wait anyway: saves two thread switches."""
+        try:
+            if self._error is None:
+                self._engine.flush()
+        except StoreError as error:
+            self._end(error)
+            raise
+        finally:
+            self._writing.release()
+        if self._waiters:
+            with self._changed:
+                self._notify_waiters()
 
-    def _touch(self) -> None:
-        """Something was laid out: it is written after `sync_every` at the latest."""
+    def _request_flush(self) -> int:
+        """Have everything appended so far flushed at once; the last sequence number of it."""
+        if self._error is not None:
+            raise self._error
+        self._engine.context.check_usable()
+        target = self._engine.log.last_sequence
+        if self._engine.log.durable_sequence < target:
+            self._flush_at = 0.0
+            self._changed.notify_all()
+        return target
+
+    # Waking and waiting for the thread
+
+    def _schedule_flush(self) -> None:
+        """Something was appended: it is written after the sync interval at the latest."""
         if self._flush_at == math.inf:
             with self._changed:
                 if self._flush_at == math.inf:
-                    self._flush_at = time.monotonic() + self._sync_every
+                    self._flush_at = time.monotonic() + self._sync_interval_s
                     self._changed.notify_all()
 
-    def _wake(self) -> None:
+    def _wake_thread(self) -> None:
         with self._changed:
-            self._flush_at, self._more = 0.0, True
+            self._flush_at = 0.0
+            self._has_background_work = True
             self._changed.notify_all()
 
-    def _wait_for_room(self, attempt: Callable[[], int]) -> int:
-        """Make a change of room happen, then try again, until the attempt gets something done."""
+    def _wait_for_space(self, attempt: Callable[[], int]) -> int:
+        """Have the thread make space, then try again, until the attempt gets something done."""
         while True:
             with self._changed:
-                self._flush_at, self._more = 0.0, True
-                self._changed.notify_all()
+                self._wake_thread()
                 if self._error is not None:
                     raise self._error
                 self._changed.wait()
             if done := attempt():
                 return done
 
-    def _work(self) -> None:
+    def _busy_error(self) -> StoreBusyError:
+        queued_bytes = self._engine.log.queue.bytes
+        return StoreBusyError(f"{self._engine.context.label}: {queued_bytes} bytes wait for the disk")
+
+    # The thread
+
+    def _run(self) -> None:
         try:
             while self._wait_for_work():
                 with self._writing:
-                    written = self._engine.flush() if self._flushes() else 0
+                    written = self._engine.flush() if self._take_flush_request() else 0
                 if written:
                     with self._changed:
-                        self._settle()
+                        self._notify_waiters()
                 with self._writing:
                     more = self._engine.step(compaction_read_bytes(written))
                 with self._changed:
-                    self._more = more
-                    self._settle()
+                    self._has_background_work = more
+                    self._notify_waiters()
         except StoreError as error:
             self._end(error)
-        except Exception as error:  # guards those who wait: a fault of ours must not leave them waiting for ever
-            self._engine.failed = repr(error)
-            self._end(StoreError(f"{self._engine.files.label}: {error!r}"))
+        except Exception as error:  # without this, a programming error would leave callers waiting for ever
+            self._engine.context.failure = repr(error)
+            self._end(StoreError(f"{self._engine.context.label}: {error!r}"))
 
     def _wait_for_work(self) -> bool:
         """Wait until there is something to do; False once the store is to be closed."""
         with self._changed:
-            while not self._stopping and not self._more:
+            while not self._stopping and not self._has_background_work:
                 now = time.monotonic()
-                until = min(self._flush_at, now + max(0.0, self._engine.next_due() - self._engine.now() / 1000))
+                expiry_delay = self._engine.next_expiry() - self._engine.context.now_ms() / 1000
+                until = min(self._flush_at, now + max(0.0, expiry_delay))
                 if until <= now:
                     break
                 self._changed.wait(None if until == math.inf else until - now)
             return not self._stopping
 
-    def _flushes(self) -> bool:
+    def _take_flush_request(self) -> bool:
+        """Whether a flush is due; if so the next one is not scheduled yet."""
         with self._changed:
             if self._flush_at > time.monotonic():
                 return False
-            # Before the batch is taken: a put that comes later sets the time anew.
+            # Reset before the batches are taken, so that a put which comes later schedules a flush again.
             self._flush_at = math.inf
             return True
 
     def _end(self, error: StoreError) -> None:
         with self._changed:
             self._error = error
-            self._settle()
+            self._notify_waiters()
 
-    def _settle(self) -> None:
-        """Tell everybody who waits how far all is durable, or that it will not be."""
+    def _notify_waiters(self) -> None:
+        """Tell everybody who waits how far the log is durable, or that it will not be. Called with `_changed` held."""
         self._changed.notify_all()
-        durable, error = self._engine.durable, self._error
-        done = [entry for entry in self._waiting if entry[0] <= durable or error is not None]
-        if not done:
-            return
-        self._waiting = [entry for entry in self._waiting if not (entry[0] <= durable or error is not None)]
-        for loop in {entry[1] for entry in done}:
-            futures = [(future, target <= durable) for target, its, future in done if its is loop]
-            with contextlib.suppress(RuntimeError):  # that loop is closed: nobody waits there any more
-                loop.call_soon_threadsafe(_resolve, futures, error)
-
-
-def _resolve(futures: list[tuple[asyncio.Future[None], bool]], error: StoreError | None) -> None:
-    for future, durable in futures:
-        if future.done():
-            continue
-        if durable or error is None:
-            future.set_result(None)
-        else:
-            future.set_exception(error)
+        self._waiters.resolve(self._engine.log.durable_sequence, self._error)
--- a/tests/data/make_stored_bytes.py
+++ b/tests/data/make_stored_bytes.py
@@ -32,9 +32,9 @@
 from chutepin.facade import End
 from chutepin.handover.frames import frame, key_frame
 from chutepin.idempotency import IdempotencyRecord as KeyEntry
-from chutepin.store.compaction_plan import Limits
 from chutepin.store.engine import Engine
 from chutepin.store.file_system import LocalFileSystem
+from chutepin.store.limits import Limits
 
 from ..helper import Core
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -21,9 +21,10 @@
     StoreFullError,
     StoreLockedError,
     inspection,
+    repair,
 )
-from chutepin.store.compaction_plan import Limits
 from chutepin.store.engine import Engine
+from chutepin.store.limits import Limits
 
 from .helper import STEPS
 from .powercut import PowerCut, SimulatedFileSystem
@@ -176,7 +177,7 @@
     engine.compact()
     engine.settle()
     engine.close()
-    again = Engine.open(engine.files, world.limits, lambda: world.time, lambda *_, **__: None)
+    again = Engine.open(engine.context.file_system, world.limits, lambda: world.time, lambda *_, **__: None)
     assert contents(again) == before | {b"later": b"v" * 100}
 
 
@@ -276,7 +277,7 @@
     world.files.cut_at = world.files.operations + 2  # inside the sync of the batch
     with pytest.raises(PowerCut):
         world.flush()
-    number = world.open.book.active
+    number = world.open.log.active
     assert number is not None
     # Of the record all but its last sector's end is on the disk.
     files = world.files.after("all")
@@ -296,7 +297,7 @@
     for key in (b"a", b"b", b"c"):
         world.put(key, key * 20)
         world.flush()
-    active = world.open.book.active
+    active = world.open.log.active
     assert active is not None
     files = world.files.copy()
     files.seen["ACKED"].seen[:] = bytes(8192)  # as if no mark had reached the disk
@@ -325,7 +326,7 @@
             with pytest.raises(StoreFailedError, match="until it is opened again"):
                 world.open.put(b"x", b"", math.inf)
         except StoreError:
-            assert number == errno.ENOSPC and world.engine is not None and not world.open.failed
+            assert number == errno.ENOSPC and world.engine is not None and not world.open.context.failure
         # The pages that a failed sync left may be all there is of them: see them lost, or read on.
         world.check_recovered(world.files.copy(), at)
         for how in ("none", "all"):
@@ -336,7 +337,7 @@
 def test_a_directory_that_can_not_be_written_is_refused_and_given_back(at: int) -> None:
     made, empty = World(), World()
     made.start()
-    made.put(b"a", b"1") if made.open.book.active else made.settle()
+    made.put(b"a", b"1") if made.open.log.active else made.settle()
     made.settle()
     made.open.close()
     for world in (made, empty):
@@ -440,10 +441,10 @@
     for index in range(40):
         world.put(b"%d" % index, b"v" * 100, world.time + 5)
     world.settle()
-    before = len(world.open.book.segments)
+    before = len(world.open.log.segments)
     world.time += 10
     world.settle()
-    assert len(world.open.book.segments) <= 2 < before and not world.open.counts["copied_bytes"]
+    assert len(world.open.log.segments) <= 2 < before and not world.open.counts["copied_bytes"]
     assert len(world.open) == 0
 
 
@@ -498,7 +499,7 @@
         try:
             self.world.put(b"%d" % key, bytes([key]) * size, self.world.time + life)
         except StoreFullError:
-            assert self.world.open.book.live > LIMITS.capacity / 2
+            assert self.world.open.log.index.live_bytes > LIMITS.capacity / 2
 
     @rule(
         first=st.integers(0, 12),
@@ -543,7 +544,7 @@
     def compact(self) -> None:
         self.world.open.compact()
         self.world.settle()
-        assert all(not segment.dead for segment in self.world.open.book.segments.values())
+        assert all(not segment.dead_records for segment in self.world.open.log.segments.values())
 
     @rule(seconds=st.sampled_from([0.1, 1.0, 10.0]))
     def wait(self, seconds: float) -> None:
@@ -584,9 +585,9 @@
     def holds(self) -> None:
         if self.world.engine is not None:
             self.world.check()
-            book = self.world.open.book
-            assert book.live == sum(segment.live for segment in book.segments.values())
-            assert book.disk <= LIMITS.max_bytes
+            log = self.world.open.log
+            assert log.index.live_bytes == sum(segment.live_bytes for segment in log.segments.values())
+            assert log.disk_bytes <= LIMITS.max_bytes
 
 
 Model.TestCase.settings = settings(
@@ -617,9 +618,9 @@
         world.time += 0.05
         if step % 5 == 0:
             engine.settle()
-            book = engine.book
-            most_live = max(most_live, book.live)
-            assert book.disk <= 2 * book.live + 5 * SEGMENT
+            log = engine.log
+            most_live = max(most_live, log.index.live_bytes)
+            assert log.disk_bytes <= 2 * log.index.live_bytes + 5 * SEGMENT
     figures = engine.metrics()
     assert figures["segments.dropped"] > 50
     assert figures.get("copied_bytes", 0) <= figures["put_bytes"] + most_live
@@ -644,18 +645,18 @@
             data[64 + 20] ^= 1  # the first record of each segment
         (damaged / name).write_bytes(data)
     (damaged / "LOCK").touch()
-    with inspection.directory(damaged) as files:
+    with inspection.locked_directory(damaged) as files:
         checked = inspection.check(files)
         assert not checked.sound and len({finding.file for finding in checked.findings if finding.loss}) >= 2
-        salvaged = inspection.repair(files, tmp_path / "new", lambda: world.time, 2**20)
+        salvaged = repair.repair(files, tmp_path / "new", lambda: world.time, 2**20)
     assert 2 <= salvaged.missing <= len(salvaged.gaps)  # of an open segment it can't be told what came first
     with Store.open(tmp_path / "new", max_bytes=2**20, clock=lambda: world.time) as store:
         found = dict(store.items())
     assert len(found) == salvaged.kept and found
     assert all(value == intact.get(key, value) for key, value in found.items())
     assert 2 <= len(set(intact) - set(found)) <= len(salvaged.gaps)
-    with pytest.raises(StoreError, match="not empty"), inspection.directory(damaged) as files:
-        inspection.repair(files, tmp_path / "new", lambda: world.time, 2**20)
+    with pytest.raises(StoreError, match="not empty"), inspection.locked_directory(damaged) as files:
+        repair.repair(files, tmp_path / "new", lambda: world.time, 2**20)
 
 
 def test_check_lists_nothing_for_a_sound_store_and_changes_nothing(tmp_path: Any) -> None:
@@ -663,10 +664,10 @@
         for index in range(500):
             store.put(b"%d" % (index % 70), bytes(100), math.inf)
     before = {path.name: path.read_bytes() for path in tmp_path.iterdir()}
-    with inspection.directory(tmp_path) as files:
+    with inspection.locked_directory(tmp_path) as files:
         assert inspection.check(files).findings == []
-        assert inspection.stat(files)["keys"] == 70
-        assert len([*inspection.dump(files)]) == 70 < len([*inspection.dump(files, every=True)])
+        assert inspection.statistics(files)["keys"] == 70
+        assert len([*inspection.dump(files)]) == 70 < len([*inspection.dump(files, include_dead=True)])
         with pytest.raises(StoreLockedError):
             Store.open(tmp_path)
     assert {path.name: path.read_bytes() for path in tmp_path.iterdir()} == before
