--- a/chutepin/config/platform.py
+++ b/chutepin/config/platform.py
@@ -55,7 +55,7 @@
         raise ConfigError("limits: not an object")
     try:
         settings = wire.parse_settings(raw.get("settings"))
-    except (wire.WireError, ValueError, TypeError, OverflowError) as error:
+    except (decision.DecisionError, ValueError, TypeError, OverflowError) as error:
         raise ConfigError(f"settings: {error}") from None
     below, control = raw.get("records"), raw.get("control")
     ops = raw.get("ops", environment.get("LB_OPS"))
--- a/chutepin/decision/__init__.py
+++ b/chutepin/decision/__init__.py
@@ -20,6 +20,7 @@
     SkipCall,
     Stop,
 )
+from .errors import DecisionError, SettingsError, UsageError
 from .events import (
     CallerGone,
     CallNeeded,
@@ -31,10 +32,9 @@
     PeerProcessUsage,
     Request,
     TimerFired,
-    UsageError,
 )
 from .policy import Policy
-from .settings import Cancellation, Idempotency, LoadSignal, RequestClass, Settings, SettingsError, Tenant
+from .settings import Cancellation, Idempotency, LoadSignal, RequestClass, Settings, Tenant
 from .snapshot import Snapshot
 
 __all__ = [
@@ -45,6 +45,7 @@
     "CallReturned",
     "CallerGone",
     "Cancellation",
+    "DecisionError",
     "DrainNotice",
     "Event",
     "Fail",
--- a/chutepin/decision/events.py
+++ b/chutepin/decision/events.py
@@ -8,10 +8,6 @@
 from enum import Enum
 
 
-class UsageError(ValueError):
-    """The host broke the contract: an unknown request id, or time running backwards."""
-
-
 class Outcome(Enum):
     """How a run, a shared answer or a call ended."""
 
--- a/chutepin/decision/policy.py
+++ b/chutepin/decision/policy.py
@@ -11,7 +11,6 @@
 import random
 from collections import deque
 from collections.abc import Sequence
-from enum import Enum
 
 from .actions import (
     Action,
@@ -30,6 +29,8 @@
     SkipCall,
     Stop,
 )
+from .aimd_limit import AimdLimit
+from .errors import UsageError
 from .events import (
     CallerGone,
     CallNeeded,
@@ -41,15 +42,14 @@
     PeerProcessUsage,
     Request,
     TimerFired,
-    UsageError,
 )
+from .job import Job, State
 from .settings import Cancellation, Idempotency, LoadSignal, RequestClass, Settings
 from .snapshot import Snapshot
 
 # Tuned values: ratios and shares, none of them a figure of one deployment.
 AVERAGE_WEIGHT = 0.1  # weight of a new run in the averages
 RISING_SHARE_WEIGHT = 0.5  # weight of a look that shows more of the runs on the cores than before
-THRESHOLD_DEVIATIONS = 0.5  # threshold: this many mean deviations of the run time ...
 RELATIVE_MARGIN = 0.1  # ... and at least this share of the average
 USED_LIMIT_SHARE = 0.85  # share of a told ceiling (memory, crowd, calls) that is used
 PARKED_SHARE = 0.3  # share of the crowd ceiling kept for requests parked at calls
@@ -103,99 +103,7 @@
     "usual_use",
     "again_share",
 )
-LIMITS = ("limit", "average", "deviation", "time")
-
-
-class State(Enum):
-    """Where a request stands."""
-
-    QUEUED = 0
-    RUNNING = 1
-    AWAITING_CALL = 2  # waits for its call to be made; keeps its memory
-    CALLING = 3
-    AWAITING_RESULT = 4  # waits for the answer of the request that it repeats
-
-
-class Job:
-    """One request from its reading to its end."""
-
-    __slots__ = (
-        "answered",
-        "arrived_at",
-        "call_attempts",
-        "call_wait",
-        "call_wait_began",
-        "class_index",
-        "due_at",
-        "has_key",
-        "id",
-        "objective_at",
-        "ran",
-        "request",
-        "reserved_call_time",
-        "run_started",
-        "state",
-        "tenant_index",
-        "work",
-    )
-
-    def __init__(self, request: Request, class_index: int, tenant_index: int, arrived_at: float, work: float) -> None:
-        self.request = request
-        self.id = request.id
-        self.class_index = class_index
-        self.tenant_index = tenant_index  # -1: none
-        self.arrived_at = arrived_at
-        self.work = work  # expected, in seconds on a standard core
-        self.state = State.QUEUED
-        self.answered = False
-        self.ran = False
-        self.has_key = False
-        self.due_at = 0.0  # the final answer is owed by then
-        self.objective_at = 0.0  # an answer by then earns the full weight
-        self.run_started = 0.0
-        self.call_wait_began = 0.0
-        self.call_wait = 0.0  # time spent at calls
-        self.reserved_call_time = 0.0  # the longest that the call in flight may keep the dependency busy
-        self.call_attempts = 0
-
-
-class AimdLimit:
-    """The limit of RFC 1858, on run time relative to the expected work, so that classes share one average."""
-
-    def __init__(self, floor: int, ceiling: int, slowness: float, time: float) -> None:
-        self.floor, self.ceiling, self.limit = floor, max(floor, ceiling), floor
-        self.average, self.deviation, self.time = slowness, slowness * 0.5, time
-        self.next_update = 0.0
-
-    def finished(
-        self, now: float, rtt: float, work: float, in_use: int, pressure: bool, full: bool = False, idle: bool = False
-    ) -> None:
-        """A run succeeded: at most once per average run time the limit moves, then the averages do.
-
-        While the cores are full no run can be added without slowing the others: then it does not grow. While
-        they idle no run was slowed by the others, however long it took: then it does not shrink."""
-        ratio = rtt / work
-        if now >= self.next_update:
-            slow = ratio > self.average + max(THRESHOLD_DEVIATIONS * self.deviation, RELATIVE_MARGIN * self.average)
-            if (slow or pressure) and not idle:
-                self.limit = max(self.floor, (self.limit + 1) // 2)
-            elif self.limit < self.ceiling and ratio <= self.average and not full:
-                self.limit = max(self.floor, min(in_use, self.limit) + 1)
-            self.next_update = now + self.time
-        self.deviation += AVERAGE_WEIGHT * (abs(ratio - self.average) - self.deviation)
-        self.average += AVERAGE_WEIGHT * (ratio - self.average)
-        self.time += AVERAGE_WEIGHT * (rtt - self.time)
-
-    def pushed_back(self, now: float) -> None:
-        """Back pressure without a run time: halve, at most once per average run time."""
-        if now >= self.next_update:
-            self.limit = max(self.floor, (self.limit + 1) // 2)
-            self.next_update = now + self.time
-
-    def set_ceiling(self, ceiling: int) -> None:
-        """The ceiling moved (a server warms up)."""
-        self.ceiling = max(self.floor, ceiling)
-        self.limit = min(self.limit, self.ceiling)
+LIMIT_FIELDS = {"limit": "limit", "average": "average_ratio", "deviation": "deviation", "time": "average_time"}
 
 
 class Policy:
@@ -290,7 +198,7 @@
             self.in_use,
             self.parked,
             len(self.held),
-            self.runs.time,
+            self.runs.average_time,
             self.slowness,
             self.limited,
             self.announced,
@@ -302,14 +210,18 @@
         """What another process may begin with."""
         learned: dict[str, object] = {name: getattr(self, name) for name in LEARNED}
         for owner in ("runs", "calls"):
-            learned |= {f"{owner}.{part}": getattr(getattr(self, owner), part) for part in LIMITS}
+            limit = getattr(self, owner)
+            learned |= {f"{owner}.{outside}": getattr(limit, field) for outside, field in LIMIT_FIELDS.items()}
         return learned
 
     def adopt(self, learned: dict[str, object]) -> None:
         """Begin with what another process had learned about the same cores and callers."""
         for name, value in learned.items():
             owner, _, part = name.rpartition(".")
-            setattr(getattr(self, owner) if owner else self, part, value)
+            if owner:
+                setattr(getattr(self, owner), LIMIT_FIELDS[part], value)
+            else:
+                setattr(self, name, value)
         self.runs.set_ceiling(self._limit_ceiling())
 
     def _dispatch(self, event: Event) -> None:
@@ -630,12 +542,12 @@
         """Feed the limit with the run time, call waits taken out."""
         rtt = max(1e-6, self.now - job.run_started - job.call_wait)
         over = self.now - job.arrived_at > cls.latency_objective and job.arrived_at >= self.moved
-        late = over or self.unread > UNREAD_PRESSURE_SHARE * self.runs.time
+        late = over or self.unread > UNREAD_PRESSURE_SHARE * self.runs.average_time
         if job.request.hint is None:
             own = rtt * min(1.0, self.settings.cores / max(1, self.in_use + self.other_use))
             self.work[job.class_index] += AVERAGE_WEIGHT * (own - self.work[job.class_index])
         self.waits[job.class_index] += AVERAGE_WEIGHT * (job.call_wait - self.waits[job.class_index])
-        self.runs.finished(
+        self.runs.record_success(
             self.now,
             rtt,
             job.work,
@@ -661,20 +573,20 @@
             self.call_queue.append(job)
             cls = self.settings.classes[job.class_index]
             if not (cls.late_weight or cls.weight_without_call):  # given up once no call can end in time
-                self._push_timer(job.objective_at - self.calls.time, "spent", job)
+                self._push_timer(job.objective_at - self.calls.average_time, "spent", job)
 
     def _on_call_returned(self, job: Job, event: CallReturned) -> None:
         if job.state is not State.CALLING:
             return
         self._end_call(job, abandoned=event.outcome is Outcome.TIMEOUT)
         if event.outcome is Outcome.OK:
-            self.calls.finished(self.now, max(1e-6, event.elapsed), 1.0, self.calling + 1, False)
+            self.calls.record_success(self.now, max(1e-6, event.elapsed), 1.0, self.calling + 1, False)
             self._resume(job)
             return
         self._enter(job, State.AWAITING_CALL)
         if event.outcome in (Outcome.BUSY, Outcome.TIMEOUT):
-            self.calls.pushed_back(self.now)
-            self.runs.pushed_back(self.now)
+            self.calls.record_back_pressure(self.now)
+            self.runs.record_back_pressure(self.now)
         if job.answered:
             return
         proof = event.outcome in (Outcome.BUSY, Outcome.CONNECT_FAILED)
@@ -746,7 +658,7 @@
         while self.call_queue and self.calling < self.calls.limit and self._cores_admit():
             job = max(self.call_queue, key=self._weight_density)
             time_out = min(job.due_at - self.now, self._remaining_call_time() / 2 - linger)
-            if time_out < min(self.calls.time, job.due_at - self.now, max(tick, most)):
+            if time_out < min(self.calls.average_time, job.due_at - self.now, max(tick, most)):
                 break
             self.call_queue.remove(job)
             job.reserved_call_time = max(tick, time_out) + linger
@@ -799,7 +711,7 @@
             self.grown = self.now
             # As many more as the idle part of the cores could run, halved: what they wait for is not known.
             spare = self.in_use * (1 - RELATIVE_MARGIN - self.core_use) / max(MIN_CORE_USE, self.core_use)
-            self.runs.limit = min(self.runs.ceiling, self.runs.limit + max(1, int(spare / 2)))
+            self.runs.raise_by(max(1, int(spare / 2)))
 
     def _account_for_pause(self, now: float) -> None:
         """A timer that comes late proves that the process, runs and reading included, stood still.
@@ -914,12 +826,12 @@
         running = [job for job in self.jobs.values() if job.state is State.RUNNING]
         spent = sum(self.now - job.run_started - job.call_wait for job in running)
         work = sum(job.work for job in running)
-        prior = PRIOR_RUNS * self.runs.time / self.runs.average
+        prior = PRIOR_RUNS * self.runs.average_time / self.runs.average_ratio
         spent, work_seen = spent + self.cut_spent, work + self.cut_work
-        self.slowness = max(self.runs.average, (prior * self.runs.average + spent) / (prior + work_seen))
+        self.slowness = max(self.runs.average_ratio, (prior * self.runs.average_ratio + spent) / (prior + work_seen))
         if not running or self.hung:
             return
-        usual = max(self.runs.time, work / len(running) * self.runs.average) * (1 + 2 / len(running))
+        usual = max(self.runs.average_time, work / len(running) * self.runs.average_ratio) * (1 + 2 / len(running))
         # Where requests wait unread, reading has the cores: slow, and no hang, which leaves reading alone.
         if self.now - self.progress > HANG_RUN_TIMES * usual and self.unread < UNREAD_PRESSURE_SHARE * usual:
             self._on_hang(running)
--- a/chutepin/decision/settings.py
+++ b/chutepin/decision/settings.py
@@ -7,9 +7,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-
-class SettingsError(ValueError):
-    """Settings that contradict themselves; the message names the field."""
+from .errors import SettingsError
 
 
 class Idempotency(Enum):
--- a/chutepin/decision/simulator_adapter.py
+++ b/chutepin/decision/simulator_adapter.py
@@ -7,7 +7,8 @@
 
 from . import simulator_protocol as wire
 from .actions import Action
-from .events import Event, UsageError
+from .errors import DecisionError
+from .events import Event
 from .policy import Policy
 
 
@@ -25,8 +26,8 @@
                 continue
             try:
                 pending = self._line(wire.parse_line(line), pending, sink)
-            except (wire.WireError, UsageError) as error:
-                raise wire.WireError(f"line {count}: {error}") from None
+            except DecisionError as error:
+                raise wire.WireError(f"line {count}: {error}") from error
         if pending is not None:
             raise wire.WireError("the input ends inside a batch")
 
--- a/chutepin/decision/simulator_protocol.py
+++ b/chutepin/decision/simulator_protocol.py
@@ -23,13 +23,14 @@
     SkipCall,
     Stop,
 )
+from .errors import DecisionError, SettingsError
 from .events import CallerGone, CallNeeded, CallReturned, DrainNotice, Event, Finished, Outcome, Request, TimerFired
-from .settings import Cancellation, Idempotency, LoadSignal, RequestClass, Settings, SettingsError, Tenant
+from .settings import Cancellation, Idempotency, LoadSignal, RequestClass, Settings, Tenant
 
 Obj = dict[str, Any]
 
 
-class WireError(ValueError):
+class WireError(DecisionError):
     """Malformed input; the message says what and where."""
 
 
@@ -58,7 +59,7 @@
     try:
         message = json.loads(line)
     except ValueError as error:
-        raise WireError(f"not JSON: {error}") from None
+        raise WireError(f"not JSON: {error}") from error
     if not isinstance(message, dict) or not isinstance(message.get("op"), str):
         raise WireError("a message is an object with a text field 'op'")
     return message
@@ -228,7 +229,7 @@
             tick=number(env, "tick", 0.001),
         )
     except SettingsError as error:
-        raise WireError(_told(str(error))) from None
+        raise WireError(_told(str(error))) from error
 
 
 def _request(m: Obj) -> Request:
--- a/tests/test_decision_policy.py
+++ b/tests/test_decision_policy.py
@@ -9,15 +9,15 @@
 
 from chutepin import decision
 from chutepin.decision import Idempotency, LoadSignal, Outcome, RequestClass, Settings, Tenant
+from chutepin.decision.aimd_limit import AimdLimit
+from chutepin.decision.job import State
 from chutepin.decision.policy import (
     MAX_CALLERS,
     MAX_WAIT_SHARES,
     MIN_ANNOUNCED_SHARE,
     MIN_COMPACTED_TIMERS,
     SHORT_IDLE_TIMEOUT_S,
-    AimdLimit,
     Policy,
-    State,
 )
 
 VIEW = RequestClass("view", Idempotency.IDEMPOTENT, 1.0, 1.0, 4.0)
@@ -66,36 +66,36 @@
 def test_limit_halves_on_a_slow_run_and_grows_to_one_above_use() -> None:
     limit = AimdLimit(2, 20, 1.0, 0.1)
     limit.limit = 9
-    limit.finished(1.0, 9.0, 1.0, 9, False)
+    limit.record_success(1.0, 9.0, 1.0, 9, False)
     assert limit.limit == 5
-    limit.finished(20.0, 0.5, 1.0, 3, False)
+    limit.record_success(20.0, 0.5, 1.0, 3, False)
     assert limit.limit == 4
 
 
 def test_limit_moves_once_per_average_run() -> None:
     limit = AimdLimit(1, 20, 1.0, 1.0)
-    limit.finished(1.0, 0.5, 1.0, 1, False)
-    limit.finished(1.1, 0.5, 1.0, 9, False)
+    limit.record_success(1.0, 0.5, 1.0, 1, False)
+    limit.record_success(1.1, 0.5, 1.0, 9, False)
     assert limit.limit == 2
 
 
 def test_limit_keeps_floor_and_ceiling() -> None:
     limit = AimdLimit(2, 3, 1.0, 0.1)
     for at in range(10):
-        limit.finished(float(10 * at), 0.1, 1.0, 10, False)
+        limit.record_success(float(10 * at), 0.1, 1.0, 10, False)
     assert limit.limit == 3
-    limit.finished(200.0, 0.1, 1.0, 3, True)
-    limit.finished(300.0, 0.1, 1.0, 3, True)
+    limit.record_success(200.0, 0.1, 1.0, 3, True)
+    limit.record_success(300.0, 0.1, 1.0, 3, True)
     assert limit.limit == 2
 
 
 def test_failed_runs_do_not_sink_the_average() -> None:
     policy = started()
-    before = policy.runs.average
+    before = policy.runs.average_ratio
     for at in range(20):
         policy.handle(float(at), [req(f"r{at}", at + 4.0)])
         policy.handle(at + 0.001, [decision.Finished(f"r{at}", Outcome.ERROR)])
-    assert policy.runs.average == before
+    assert policy.runs.average_ratio == before
 
 
 def test_ceiling_rises_with_the_warm_up() -> None:
@@ -126,7 +126,7 @@
 def test_idle_server_runs_what_looks_hopeless() -> None:
     """The first version's spiral: slow-looking, ran nothing, never measured again."""
     policy = started()
-    policy.runs.average = policy.slowness = 1000.0
+    policy.runs.average_ratio = policy.slowness = 1000.0
     assert ids(policy.handle(0.0, [req("a")]), decision.Run) == ["a"]
 
 
@@ -208,7 +208,7 @@
         policy.handle(4.0 * at + 3.9, [decision.TimerFired(0)])
         policy.handle(4.0 * at + 3.95, [decision.Finished(f"r{at}", Outcome.CANCELLED)])
     policy.handle(24.0, [decision.TimerFired(0)])
-    assert policy.runs.average == 1.0 and policy.slowness > 3.0
+    assert policy.runs.average_ratio == 1.0 and policy.slowness > 3.0
 
 
 def test_repeat_that_reached_the_machine_earlier_shares() -> None:
@@ -325,7 +325,7 @@
         )
     )
     if usual is not None:
-        policy.calls.time = usual
+        policy.calls.average_time = usual
     made = 0
     for turn in range(20):
         now, id = turn * 20.0, f"r{turn}"  # the window is free each time
@@ -456,7 +456,7 @@
     actions = policy.handle(
         5.3, [decision.TimerFired(policy.token), req("b", 9.0, unread=4.0), decision.Finished("a", Outcome.OK)]
     )
-    assert policy.runs.limit == 8 and policy.runs.time < 0.3 and policy.unread < 0.01
+    assert policy.runs.limit == 8 and policy.runs.average_time < 0.3 and policy.unread < 0.01
     assert decision.SetHealth(False) not in actions
 
 
@@ -503,13 +503,13 @@
     """No call could end in time by what earlier ones took: all were given up, and no call ever told that the
     dependency had got well."""
     policy = started(replace(PLAIN, cores=4, classes=(CALLING,), has_dependency=True))
-    policy.calls.time = 5.0
+    policy.calls.average_time = 5.0
     for name in "ab":
         policy.handle(0.0, [req(name, cls="calling")])
     assert ids(policy.handle(0.1, [decision.CallNeeded("a")]), decision.Call) == ["a"]
     assert ids(policy.handle(0.1, [decision.CallNeeded("b")]), decision.Fail) == ["b"]  # one at a time finds out
     policy.handle(0.2, [decision.CallReturned("a", decision.Outcome.OK, 0.1)])
-    assert policy.calls.time < 5.0
+    assert policy.calls.average_time < 5.0
 
 
 def test_parked_after_the_aim_is_answered_in_the_same_batch() -> None:
@@ -554,7 +554,7 @@
 
 def test_limit_does_not_grow_on_full_cores_and_by_the_gauge_once_in_its_span() -> None:
     limit = AimdLimit(2, 20, 1.0, 0.1)
-    limit.finished(1.0, 0.5, 1.0, 2, False, full=True)
+    limit.record_success(1.0, 0.5, 1.0, 2, False, cores_full=True)
     assert limit.limit == 2
     policy = started(replace(PLAIN, gauges=("core_use",)))
     policy.handle(0.0, [req(f"r{at}", hint=0.01) for at in range(9)])
@@ -614,7 +614,7 @@
     """On the bench it stood at its floor with half the cores idle: every third run is above the average."""
     limit = AimdLimit(2, 20, 1.0, 0.1)
     limit.limit = 9
-    limit.finished(1.0, 9.0, 1.0, 9, True, idle=True)
+    limit.record_success(1.0, 9.0, 1.0, 9, True, cores_idle=True)
     assert limit.limit == 9
     policy = started(replace(PLAIN, gauges=("core_use",)))
     policy.runs.limit = 9
--- a/tests/test_decision_rules.py
+++ b/tests/test_decision_rules.py
@@ -10,7 +10,9 @@
 
 from chutepin import decision
 from chutepin.decision import Cancellation, LoadSignal, Settings, Tenant
-from chutepin.decision.policy import MAX_CALLERS, MAX_WAIT_SHARES, AimdLimit, Job, Policy
+from chutepin.decision.aimd_limit import AimdLimit
+from chutepin.decision.job import Job
+from chutepin.decision.policy import MAX_CALLERS, MAX_WAIT_SHARES, Policy
 from tests.decision_world import BASE, KEYED, SAFE, UNSAFE, RuleBrokenError, cold, play
 
 ODD: dict[str, Settings] = {
