--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -21,8 +21,8 @@
 from benchmarks.store import table
 from chutepin.admission import Rules, Table
 from chutepin.admission.addresses import Networks
-from chutepin.lab.known import Known
-from chutepin.lab.standins import EXAMPLE, ROOT, Standins
+from chutepin.testbench.standins.known_client import Known
+from chutepin.testbench.standins.platform import EXAMPLE, ROOT, Standins
 
 KINDS = ("none", "one", "block", "spread", "sound", "storm")
 SECONDS = 8.0
@@ -63,7 +63,7 @@
             flood = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
-                "chutepin.lab.flood",
+                "chutepin.testbench.standins.flood",
                 kind,
                 str(world.port),
                 str(SECONDS + 2),
--- a/benchmarks/capacity/drawing.py
+++ b/benchmarks/capacity/drawing.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from benchmarks.fleet_size import TARGET
-from chutepin.lab import charts
+from chutepin.testbench import charts
 
 from .results import ROOT, Result, find
 from .roles import CONTROL_BYTES, CONTROL_MEMORY, NODE_CORE
--- a/benchmarks/capacity/measure/keys.py
+++ b/benchmarks/capacity/measure/keys.py
@@ -6,7 +6,7 @@
 import random
 from contextlib import AsyncExitStack
 
-from chutepin.lab.standins import EXAMPLE, Balancer
+from chutepin.testbench.standins.platform import EXAMPLE, Balancer
 
 from .tools import SETTLE_S, Measured, Table, node, pid, resident_bytes
 
--- a/benchmarks/capacity/measure/log.py
+++ b/benchmarks/capacity/measure/log.py
@@ -13,9 +13,9 @@
 from benchmarks.fleet_size import ASSUMPTIONS, TARGET
 from chutepin.consensus.codec import encode
 from chutepin.consensus.settings import RaftSettings
-from chutepin.lab.claims import Record, broken
-from chutepin.lab.faults import Schedule
-from chutepin.lab.quorum import SETTINGS, WAY, WRITE, Simulator
+from chutepin.testbench.checks.consensus_invariants import Record, broken
+from chutepin.testbench.faults.schedule import Schedule
+from chutepin.testbench.simulators.consensus import SETTINGS, WAY, WRITE, Simulator
 
 from .request import quantile
 from .tools import Measured, Table
--- a/benchmarks/capacity/measure/member.py
+++ b/benchmarks/capacity/measure/member.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from benchmarks.fleet_size import MEGABYTE
-from chutepin.lab.scale.workload import Scenario
+from chutepin.testbench.scale.workload import Scenario
 
 from ..results import RESULTS, ResultError
 from .tools import Measured, Table
--- a/benchmarks/capacity/measure/member_runs.py
+++ b/benchmarks/capacity/measure/member_runs.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 from benchmarks.fleet_size import TARGET
-from chutepin.lab.scale.workload import Scenario
+from chutepin.testbench.scale.workload import Scenario
 
 from ..results import ROOT
 from .member import FILES
--- a/benchmarks/capacity/measure/request.py
+++ b/benchmarks/capacity/measure/request.py
@@ -12,9 +12,9 @@
 from collections.abc import Callable
 from contextlib import AsyncExitStack
 
-from chutepin.lab.standins import Standins
 from chutepin.net.lines import LineParser, line
 from chutepin.net.resp import RespParser, array
+from chutepin.testbench.standins.platform import Standins
 
 from .tools import Measured, Scheduled, Table, node, pid, scheduled
 
--- a/benchmarks/capacity/measure/tenants.py
+++ b/benchmarks/capacity/measure/tenants.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from chutepin.decision.policy import CONTROL_INTERVAL_S
-from chutepin.lab.standins import EXAMPLE
+from chutepin.testbench.standins.platform import EXAMPLE
 
 from .tools import Measured, Table, in_fresh_process
 
--- a/benchmarks/capacity/measure/tools.py
+++ b/benchmarks/capacity/measure/tools.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from chutepin.lab.standins import EXAMPLE, Standins
+from chutepin.testbench.standins.platform import EXAMPLE, Standins
 
 from ..results import ROOT, Point, Series
 
--- a/benchmarks/capacity/roles.py
+++ b/benchmarks/capacity/roles.py
@@ -10,7 +10,7 @@
 from chutepin.cluster.frames import MAX_STREAM_FRAME_BYTES
 from chutepin.consensus.key_value import MAX_NAMES
 from chutepin.consensus.replica import MAX_SNAPSHOT_BYTES
-from chutepin.lab.scale.traffic import WINDOW
+from chutepin.testbench.scale.traffic import WINDOW
 
 from .bounds import most_members
 from .model import Aspect, Bound, Condition, Demand, Limit, Load, Role
--- a/benchmarks/consensus.py
+++ b/benchmarks/consensus.py
@@ -21,11 +21,11 @@
 from pathlib import Path
 from typing import Any
 
-from chutepin.lab import charts
-from chutepin.lab.assembly import Assembly, play
-from chutepin.lab.claims import broken
-from chutepin.lab.faults import Fault, Schedule, draw
-from chutepin.lab.quorum import SETTINGS, Simulator
+from chutepin.testbench import charts
+from chutepin.testbench.checks.consensus_invariants import broken
+from chutepin.testbench.faults.consensus_fleet import Assembly, play
+from chutepin.testbench.faults.schedule import Fault, Schedule, draw
+from chutepin.testbench.simulators.consensus import SETTINGS, Simulator
 
 from .parts import Part, Row, quantile, run_parts
 
--- a/benchmarks/equality.py
+++ b/benchmarks/equality.py
@@ -18,12 +18,12 @@
 from typing import Any
 
 from chutepin.decision.simulator_protocol import format_action
-from chutepin.lab import quorum
-from chutepin.lab.faults import draw
-from chutepin.lab.quorum import Simulator as ConsensusSimulator
-from chutepin.lab.scale.virtual import simulate as simulate_scale
-from chutepin.lab.scale.workload import Load
-from chutepin.lab.simulator import Simulator as MembershipSimulator
+from chutepin.testbench.faults.schedule import draw
+from chutepin.testbench.scale.virtual import simulate as simulate_scale
+from chutepin.testbench.scale.workload import Load
+from chutepin.testbench.simulators import consensus as quorum
+from chutepin.testbench.simulators.consensus import Simulator as ConsensusSimulator
+from chutepin.testbench.simulators.membership import Simulator as MembershipSimulator
 from tests.decision_world import play
 from tests.test_decision_rules import ODD
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -18,13 +18,13 @@
 from typing import Any
 
 from chutepin.cluster import Detector
-from chutepin.lab import charts
-from chutepin.lab.baseline import Heartbeats
-from chutepin.lab.faults import Fault, Schedule, split
-from chutepin.lab.fleet import Fleet
-from chutepin.lab.history import History
-from chutepin.lab.invariants import broken
-from chutepin.lab.simulator import Make, Simulator
+from chutepin.testbench import charts
+from chutepin.testbench.checks.history import History
+from chutepin.testbench.checks.membership_invariants import broken
+from chutepin.testbench.faults.fleet import Fleet
+from chutepin.testbench.faults.schedule import Fault, Schedule, split
+from chutepin.testbench.simulators.heartbeat_baseline import Heartbeats
+from chutepin.testbench.simulators.membership import Make, Simulator
 
 from .parts import Part, Row, quantile, run_parts
 
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -10,7 +10,7 @@
 from contextlib import AsyncExitStack
 from pathlib import Path
 
-from chutepin.lab.standins import EXAMPLE, Standins
+from chutepin.testbench.standins.platform import EXAMPLE, Standins
 
 
 async def at_rest(*options: str) -> int:
--- a/benchmarks/operation.py
+++ b/benchmarks/operation.py
@@ -23,8 +23,8 @@
 
 from chutepin.handover.frames import FrameReader, encode_record
 from chutepin.idempotency import IdempotencyRecord
-from chutepin.lab.known import Known
-from chutepin.lab.standins import EXAMPLE, Balancer, Standins
+from chutepin.testbench.standins.known_client import Known
+from chutepin.testbench.standins.platform import EXAMPLE, Balancer, Standins
 
 CALLS = 300  # of operators, for each row
 UPGRADES, KILLS = 8, 20
@@ -100,7 +100,13 @@
     await row(world, "load")
     print(f"(load: {(cpu(world) - before) / (time.monotonic() - begun):.2f} of a core)")
     flood = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "chutepin.lab.flood", "storm", str(world.port), "8", stdout=asyncio.subprocess.DEVNULL
+        sys.executable,
+        "-m",
+        "chutepin.testbench.standins.flood",
+        "storm",
+        str(world.port),
+        "8",
+        stdout=asyncio.subprocess.DEVNULL,
     )
     await asyncio.sleep(1)
     await row(world, "flood")
--- a/chutepin/cli/demo.py
+++ b/chutepin/cli/demo.py
@@ -9,7 +9,7 @@
 
 import click
 
-from ..lab.demo import OUTCOMES, Demo, Tally
+from chutepin.testbench.standins.demo import OUTCOMES, Demo, Tally
 
 if TYPE_CHECKING:
     from rich.table import Table
--- a/chutepin/cli/lab.py
+++ b/chutepin/cli/lab.py
@@ -8,9 +8,10 @@
 
 import click
 
-from ..lab.faults import Schedule, draw, load_schedule, smallest
-from ..lab.history import History
-from ..lab.invariants import broken
+from chutepin.testbench.checks.history import History
+from chutepin.testbench.checks.membership_invariants import broken
+from chutepin.testbench.faults.schedule import Schedule, draw, load_schedule, smallest
+
 from . import scale
 from .output import as_json, show_json, show_table
 
@@ -52,7 +53,7 @@
         (out / "history.jsonl").write_text(history.text())
         (out / "schedule.json").write_text(history.schedule.as_json())
         try:
-            from ..lab import charts
+            from chutepin.testbench import charts
 
             charts.alive(out / "alive.svg", history)
         except ImportError:
@@ -106,7 +107,7 @@
 )
 def fleet(schedule: str, seed: int, out: Path | None, json_asked: bool, slack: float) -> int:
     """Play SCHEDULE (a file, or `draw`) on real processes; exit code 1 if an invariant is broken."""
-    from ..lab.fleet import play
+    from chutepin.testbench.faults.fleet import play
 
     asked = schedule_of(schedule, seed)
     return result(asyncio.run(play(asked, seed, note=_note)), slack, out, json_asked)
@@ -119,7 +120,7 @@
 @JSON
 def simulate(schedule: str, seed: int, out: Path | None, json_asked: bool) -> int:
     """Play SCHEDULE (a file, or `draw`) in the simulator: one seed, one history, byte for byte."""
-    from ..lab.simulator import Simulator
+    from chutepin.testbench.simulators.membership import Simulator
 
     asked = schedule_of(schedule, seed)
     history = Simulator(asked, seed).run()
@@ -154,8 +155,8 @@
     """Drive the real consensus through all interleavings of a scope; exit code 1 if an invariant is broken."""
     import time
 
-    from ..lab.explorer import Scope
-    from ..lab.explorer import explore as explored
+    from chutepin.testbench.checks.model_checker import Scope
+    from chutepin.testbench.checks.model_checker import explore as explored
 
     found = explored(
         Scope(voters, elections, proposals, beats, crashes, twice, snapshots=snapshots),
--- a/chutepin/cli/scale.py
+++ b/chutepin/cli/scale.py
@@ -10,11 +10,12 @@
 
 import click
 
-from ..lab.scale.guard import MEGABYTE, MemoryExceededError
-from ..lab.scale.realtime import ScaleRunError, check, play
-from ..lab.scale.report import ScaleReport, keep
-from ..lab.scale.virtual import simulate
-from ..lab.scale.workload import Load, Scenario
+from chutepin.testbench.scale.guard import MEGABYTE, MemoryExceededError
+from chutepin.testbench.scale.realtime import ScaleRunError, check, play
+from chutepin.testbench.scale.report import ScaleReport, keep
+from chutepin.testbench.scale.virtual import simulate
+from chutepin.testbench.scale.workload import Load, Scenario
+
 from .output import as_json, show_json, show_table
 
 MOST_MEMBERS = 4000
@@ -147,7 +148,7 @@
     """Results and charts in a folder."""
     path = keep(out, reports)
     try:
-        from ..lab.scale.drawing import draw
+        from chutepin.testbench.scale.drawing import draw
     except ImportError:
         raise click.ClickException("the chart needs requirements-tools.txt") from None
     draw(out)
--- a/chutepin/lab/charts.py
+++ b/chutepin/testbench/charts.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from .history import History
+from chutepin.testbench.checks.history import History
 
 STYLE: dict[str, Any] = {
     "width": 900,
--- a/chutepin/lab/history.py
+++ b/chutepin/testbench/checks/history.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from .faults import Fault, Schedule
+from chutepin.testbench.faults.schedule import Fault, Schedule
 
 
 @dataclass(frozen=True, slots=True)
--- a/chutepin/lab/invariants.py
+++ b/chutepin/testbench/checks/membership_invariants.py
@@ -8,7 +8,7 @@
 import bisect
 from collections.abc import Callable
 
-from .history import History, Truth
+from chutepin.testbench.checks.history import History, Truth
 
 SETTLED = 10.0  # within which views are equal once nothing happens
 KNOWN = 10.0  # within which a crash is known to all
@@ -188,7 +188,7 @@
 def traffic_is_bounded(history: History, slack: float = 1.0) -> list[str]:
     """Updates are told on a bounded number of times, datagrams keep their size, and members in all their trouble send
     no more than so many a second."""
-    from ..cluster.gossip import repeats
+    from chutepin.cluster.gossip import repeats
 
     found = []
     members = history.schedule.members
@@ -205,7 +205,7 @@
 
 def bytes_are_within_budget(history: History, slack: float = 1.0) -> list[str]:
     """What a member sends in ten seconds is what its budget and its probes allow, whatever happens."""
-    from ..cluster.budget import BURST_S, BYTES_PER_SECOND
+    from chutepin.cluster.budget import BURST_S, BYTES_PER_SECOND
 
     allowed = BYTES_PER_SECOND * (1 + BURST_S / WINDOW) + PROBE_BYTES
     if history.peak > allowed:
@@ -215,7 +215,7 @@
 
 def repairs_move_only_differences(history: History, slack: float = 1.0) -> list[str]:
     """What anti-entropy brings grows with what has changed lately, not with the number of members."""
-    from ..cluster.anti_entropy import NAMES_PER_BUCKET
+    from chutepin.cluster.anti_entropy import NAMES_PER_BUCKET
 
     found = []
     events = sorted((seen.at, seen.subject) for seen in history.seen)
@@ -246,7 +246,7 @@
 
 def the_departed_are_forgotten(history: History, slack: float = 1.0) -> list[str]:
     """Who left in order and did not come back is shown for minutes, not for a day."""
-    from ..cluster.member_table import LEFT_RETENTION_S
+    from chutepin.cluster.member_table import LEFT_RETENTION_S
 
     latest = {name: fault.at for fault in history.done if fault.what == "leave" for name in fault.members}
     return [
--- a/chutepin/lab/explorer.py
+++ b/chutepin/testbench/checks/model_checker.py
@@ -16,8 +16,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
 
-from ..consensus.errors import RejectedError
-from ..consensus.messages import (
+from chutepin.consensus.errors import RejectedError
+from chutepin.consensus.messages import (
     AppendEntries,
     AppendEntriesReply,
     Apply,
@@ -34,11 +34,11 @@
     Send,
     TimeoutNow,
 )
-from ..consensus.persistent_state import PersistentState
-from ..consensus.progress import Progress
-from ..consensus.raft import RaftNode
-from ..consensus.settings import RaftSettings
-from ..consensus.state import Role
+from chutepin.consensus.persistent_state import PersistentState
+from chutepin.consensus.progress import Progress
+from chutepin.consensus.raft import RaftNode
+from chutepin.consensus.settings import RaftSettings
+from chutepin.consensus.state import Role
 
 Packet = tuple[str, str, RaftMessage]  # to, from, what
 MESSAGE_ORDER: tuple[type, ...] = (
--- a/chutepin/lab/assembly.py
+++ b/chutepin/testbench/faults/consensus_fleet.py
@@ -12,9 +12,9 @@
 from collections.abc import Callable
 from contextlib import AsyncExitStack
 
-from .claims import Asked, Record, Showed
-from .faults import Schedule
-from .fleet import Fleet
+from chutepin.testbench.checks.consensus_invariants import Asked, Record, Showed
+from chutepin.testbench.faults.fleet import Fleet
+from chutepin.testbench.faults.schedule import Schedule
 
 AGREES_BY = 30.0  # seconds in which the log must have begun
 LOOK = 0.1  # seconds between looks at what a process shows
--- a/chutepin/lab/fleet.py
+++ b/chutepin/testbench/faults/fleet.py
@@ -19,10 +19,10 @@
 from pathlib import Path
 from typing import Any
 
-from .faults import Fault, Schedule
-from .history import History, Seen, Shown, Truth
-from .relay import Relay
-from .standins import EXAMPLE, Standins, free_port
+from chutepin.testbench.checks.history import History, Seen, Shown, Truth
+from chutepin.testbench.faults.relay import Relay
+from chutepin.testbench.faults.schedule import Fault, Schedule
+from chutepin.testbench.standins.platform import EXAMPLE, Standins, free_port
 
 LOOK = 0.25  # seconds between looks at what a process shows
 ASK_BY = 5.0  # seconds that an operator's call may take here
--- a/chutepin/lab/relay.py
+++ b/chutepin/testbench/faults/relay.py
@@ -11,7 +11,7 @@
 import socket
 from typing import cast
 
-from .history import Truth
+from chutepin.testbench.checks.history import Truth
 
 CONNECTIONS = 32  # of one link, at once
 STALL = 10.0  # seconds for which a connection over a cut link hangs at the most
--- a/chutepin/lab/scale/drawing.py
+++ b/chutepin/testbench/scale/drawing.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from .. import charts
+from chutepin.testbench import charts
 
 Points = dict[str, list[tuple[float, float]]]
 CHARTS = (
--- a/chutepin/lab/scale/hollow.py
+++ b/chutepin/testbench/scale/hollow.py
@@ -11,17 +11,17 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ...clock import Clock
-from ...config import Config, parse, parse_setup
-from ...counters import Counters
-from ...logs import Log
-from ...node import descriptors, shares
-from ...registry import build_subsystems
-from ...subsystem import Subsystem
-from ..standins import EXAMPLE
-from .places import Place
-from .traffic import Direction, Kind
-from .workload import LINGER
+from chutepin.clock import Clock
+from chutepin.config import Config, parse, parse_setup
+from chutepin.counters import Counters
+from chutepin.logs import Log
+from chutepin.node import descriptors, shares
+from chutepin.registry import build_subsystems
+from chutepin.subsystem import Subsystem
+from chutepin.testbench.scale.places import Place
+from chutepin.testbench.scale.traffic import Direction, Kind
+from chutepin.testbench.scale.workload import LINGER
+from chutepin.testbench.standins.platform import EXAMPLE
 
 SOCKETS = 1024  # descriptors that a node may have
 NOWHERE = "127.0.0.1:1"  # stands in the configuration where a hollow node neither listens nor connects
--- a/chutepin/lab/scale/messages.py
+++ b/chutepin/testbench/scale/messages.py
@@ -7,8 +7,8 @@
 from enum import Enum
 from typing import Any
 
-from .hollow import Death, ViewSummary
-from .places import Place
+from chutepin.testbench.scale.hollow import Death, ViewSummary
+from chutepin.testbench.scale.places import Place
 
 
 class Action(Enum):
--- a/chutepin/lab/scale/places.py
+++ b/chutepin/testbench/scale/places.py
@@ -5,8 +5,8 @@
 from dataclasses import asdict, dataclass
 from typing import Any
 
-from ..faults import Schedule
-from .workload import REGIONS
+from chutepin.testbench.faults.schedule import Schedule
+from chutepin.testbench.scale.workload import REGIONS
 
 CLUSTER = "scale"
 MOST_NAMES = 2048  # that the operator's file allows
--- a/chutepin/lab/scale/program.py
+++ b/chutepin/testbench/scale/program.py
@@ -9,11 +9,11 @@
 from contextlib import AsyncExitStack
 from pathlib import Path
 
-from ..fleet import Process
-from ..standins import eventually, free_port
-from .guard import cpu_ns
-from .hollow import COUNTERS, Death, ViewSummary, digest_shown
-from .places import Place
+from chutepin.testbench.faults.fleet import Process
+from chutepin.testbench.scale.guard import cpu_ns
+from chutepin.testbench.scale.hollow import COUNTERS, Death, ViewSummary, digest_shown
+from chutepin.testbench.scale.places import Place
+from chutepin.testbench.standins.platform import eventually, free_port
 
 END_BY = 5.0  # seconds after the notice to leave
 
--- a/chutepin/lab/scale/realtime.py
+++ b/chutepin/testbench/scale/realtime.py
@@ -15,19 +15,19 @@
 from pathlib import Path
 from typing import Any
 
-from ..faults import Fault
-from ..history import History, Seen
-from ..standins import ROOT, free_port
-from .guard import MOST_PROCESSES, MemoryGuard
-from .hollow import COUNTERS, Death, ViewSummary
-from .messages import Action, Command, Job, Sample, command_line, job_line, read_sample
-from .places import Place, places, spread
-from .program import Program
-from .report import Observed, ScaleReport, commit, report
-from .traffic import TrafficMeter
-from .virtual import STABLE, Progress
-from .worker import LINE
-from .workload import Load, Scenario, plan
+from chutepin.testbench.checks.history import History, Seen
+from chutepin.testbench.faults.schedule import Fault
+from chutepin.testbench.scale.guard import MOST_PROCESSES, MemoryGuard
+from chutepin.testbench.scale.hollow import COUNTERS, Death, ViewSummary
+from chutepin.testbench.scale.messages import Action, Command, Job, Sample, command_line, job_line, read_sample
+from chutepin.testbench.scale.places import Place, places, spread
+from chutepin.testbench.scale.program import Program
+from chutepin.testbench.scale.report import Observed, ScaleReport, commit, report
+from chutepin.testbench.scale.traffic import TrafficMeter
+from chutepin.testbench.scale.virtual import STABLE, Progress
+from chutepin.testbench.scale.worker import LINE
+from chutepin.testbench.scale.workload import Load, Scenario, plan
+from chutepin.testbench.standins.platform import ROOT, free_port
 
 HOLLOW_PER_WORKER = 64
 JOIN_BY = 120.0  # seconds in which all must have found each other
@@ -56,7 +56,7 @@
             sys.executable,
             "-O",
             "-m",
-            "chutepin.lab.scale.worker",
+            "chutepin.testbench.scale.worker",
             cwd=ROOT,
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
--- a/chutepin/lab/scale/report.py
+++ b/chutepin/testbench/scale/report.py
@@ -11,10 +11,10 @@
 from pathlib import Path
 from typing import Any
 
-from ..history import History, Truth
-from ..invariants import SUSPICION
-from .traffic import Direction, Figures, Kind, Span, TrafficMeter, figures, quantile
-from .workload import WARM_UP, Load
+from chutepin.testbench.checks.history import History, Truth
+from chutepin.testbench.checks.membership_invariants import SUSPICION
+from chutepin.testbench.scale.traffic import Direction, Figures, Kind, Span, TrafficMeter, figures, quantile
+from chutepin.testbench.scale.workload import WARM_UP, Load
 
 PEAK_WIDTHS = (1.0, 10.0)  # seconds of the windows in which the busiest member is looked for
 ROOT = Path(__file__).parents[3]
--- a/chutepin/lab/scale/virtual.py
+++ b/chutepin/testbench/scale/virtual.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..faults import Schedule
-from ..simulator import EPOCH, Simulator
-from .report import Observed, ScaleReport, commit, report
-from .traffic import TrafficMeter
-from .workload import LINGER, REGIONS, Load, plan
+from chutepin.testbench.faults.schedule import Schedule
+from chutepin.testbench.scale.report import Observed, ScaleReport, commit, report
+from chutepin.testbench.scale.traffic import TrafficMeter
+from chutepin.testbench.scale.workload import LINGER, REGIONS, Load, plan
+from chutepin.testbench.simulators.membership import EPOCH, Simulator
 
 LOOK = 0.25  # seconds between looks at whether all views are equal
 STABLE = 5.0  # seconds for which views are equal until a run may end
--- a/chutepin/lab/scale/worker.py
+++ b/chutepin/testbench/scale/worker.py
@@ -1,4 +1,4 @@
-"""A process full of hollow nodes: `python -m chutepin.lab.scale.worker`, steered over its standard input.
+"""A process full of hollow nodes: `python -m chutepin.testbench.scale.worker`, steered over its standard input.
 
 It ends with its input, and after the seconds of its job at the latest."""
 
@@ -8,8 +8,8 @@
 import sys
 import time
 
-from .hollow import Death, HollowNode, ViewSummary, platform_config
-from .messages import Action, Command, Job, Sample, read_command, read_job, sample_line
+from chutepin.testbench.scale.hollow import Death, HollowNode, ViewSummary, platform_config
+from chutepin.testbench.scale.messages import Action, Command, Job, Sample, read_command, read_job, sample_line
 
 SAMPLE_EVERY = 0.5  # seconds
 START_EVERY = 0.02  # seconds between members at the start, lest the seeds are asked by all at once
--- a/chutepin/lab/scale/workload.py
+++ b/chutepin/testbench/scale/workload.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from ..faults import Fault, Schedule, split
+from chutepin.testbench.faults.schedule import Fault, Schedule, split
 
 REGIONS = 9
 ZONES = 22
--- a/chutepin/lab/quorum.py
+++ b/chutepin/testbench/simulators/consensus.py
@@ -12,20 +12,20 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from ..consensus.codec import Hello, WireMessage, decode, encode
-from ..consensus.errors import RejectedError
-from ..consensus.identity import Identity, StoreAcknowledgement, StoreAnnouncement, StoreStatus, node_name
-from ..consensus.journal import Journal, Operation
-from ..consensus.key_value import KeyValueMachine, pack_assignment
-from ..consensus.messages import Apply, Membership, Persist, ReadReady, Restore
-from ..consensus.participant import Effect, Participant, RequestCompleted, Send
-from ..consensus.raft import RaftNode
-from ..consensus.replica import Outcome, OutcomeState
-from ..consensus.settings import RaftSettings
-from ..consensus.state import Role
-from .claims import Asked, Record, Showed
-from .faults import Fault, Schedule
-from .history import Truth
+from chutepin.consensus.codec import Hello, WireMessage, decode, encode
+from chutepin.consensus.errors import RejectedError
+from chutepin.consensus.identity import Identity, StoreAcknowledgement, StoreAnnouncement, StoreStatus, node_name
+from chutepin.consensus.journal import Journal, Operation
+from chutepin.consensus.key_value import KeyValueMachine, pack_assignment
+from chutepin.consensus.messages import Apply, Membership, Persist, ReadReady, Restore
+from chutepin.consensus.participant import Effect, Participant, RequestCompleted, Send
+from chutepin.consensus.raft import RaftNode
+from chutepin.consensus.replica import Outcome, OutcomeState
+from chutepin.consensus.settings import RaftSettings
+from chutepin.consensus.state import Role
+from chutepin.testbench.checks.consensus_invariants import Asked, Record, Showed
+from chutepin.testbench.checks.history import Truth
+from chutepin.testbench.faults.schedule import Fault, Schedule
 
 SETTINGS = RaftSettings(
     election_timeout_s=1.0,
--- a/chutepin/lab/baseline.py
+++ b/chutepin/testbench/simulators/heartbeat_baseline.py
@@ -6,10 +6,10 @@
 
 import random
 
-from ..cluster.detector import Detector, Effect, Send
-from ..cluster.messages import Gossip, Packet
-from ..cluster.records import Status
-from ..config.cluster import ClusterSetup
+from chutepin.cluster.detector import Detector, Effect, Send
+from chutepin.cluster.messages import Gossip, Packet
+from chutepin.cluster.records import Status
+from chutepin.config.cluster import ClusterSetup
 
 EVERY = 0.5  # seconds, as the probes of the detector
 DEAD_AFTER = 3.0  # seconds: the time in which the detector is to know of a crash
--- a/chutepin/lab/simulator.py
+++ b/chutepin/testbench/simulators/membership.py
@@ -13,16 +13,16 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..cluster.detector import Answer, Detector, Effect, Send
-from ..cluster.frames import cluster_id, decode, encode, stream_frame
-from ..cluster.membership_view import MembershipEvent, PersistIncarnation
-from ..cluster.messages import BucketRecords, Gossip, Packet
-from ..cluster.records import Record, ShortRecord, Status, Update
-from ..config import Address
-from ..config.cluster import ClusterSetup
-from .faults import Fault, Schedule
-from .history import History, Repair, Seen, Shown, Truth
-from .scale.traffic import Direction, Kind, Span, TrafficMeter
+from chutepin.cluster.detector import Answer, Detector, Effect, Send
+from chutepin.cluster.frames import cluster_id, decode, encode, stream_frame
+from chutepin.cluster.membership_view import MembershipEvent, PersistIncarnation
+from chutepin.cluster.messages import BucketRecords, Gossip, Packet
+from chutepin.cluster.records import Record, ShortRecord, Status, Update
+from chutepin.config import Address
+from chutepin.config.cluster import ClusterSetup
+from chutepin.testbench.checks.history import History, Repair, Seen, Shown, Truth
+from chutepin.testbench.faults.schedule import Fault, Schedule
+from chutepin.testbench.scale.traffic import Direction, Kind, Span, TrafficMeter
 
 BUFFER = 256  # datagrams that wait in a socket's buffer
 TURN = 0.00005  # seconds that a member takes for a datagram
--- a/chutepin/lab/demo.py
+++ b/chutepin/testbench/standins/demo.py
@@ -10,7 +10,7 @@
 from contextlib import AsyncExitStack
 from dataclasses import dataclass, field
 
-from .standins import EXAMPLE, Balancer, Standins
+from chutepin.testbench.standins.platform import EXAMPLE, Balancer, Standins
 
 CALLERS = 4  # connections of balancers
 RATE = 60.0  # requests a second, all callers together
--- a/chutepin/lab/dependency.py
+++ b/chutepin/testbench/standins/dependency.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..net.lines import LineParser, line
-from .standins import Balancer, Standins
+from chutepin.net.lines import LineParser, line
+from chutepin.testbench.standins.platform import Balancer, Standins
 
 
 class CallLoad:
--- a/chutepin/lab/flood.py
+++ b/chutepin/testbench/standins/flood.py
@@ -1,6 +1,6 @@
 """A stand-in flood: peers on loopback addresses that take connections and give nothing, for a bounded time.
 
-    python -m chutepin.lab.flood KIND PORT SECONDS
+    python -m chutepin.testbench.standins.flood KIND PORT SECONDS
 
 `one` keeps 600 connections from one address, `block` three each from 200 addresses of one block, `spread` the same
 from 200 blocks, `sound` sends one sound request on each of these, and `storm` connects and closes 2,000 times a second.
@@ -18,7 +18,7 @@
 
 import click
 
-from ..net.resp import array
+from chutepin.net.resp import array
 
 HELD = 600  # connections at a time
 STORM = 2000  # a second
--- a/chutepin/lab/known.py
+++ b/chutepin/testbench/standins/known_client.py
@@ -7,7 +7,7 @@
 import time
 from dataclasses import dataclass, field
 
-from .standins import Balancer
+from chutepin.testbench.standins.platform import Balancer
 
 PATIENCE = 1.0  # seconds in which an answer must come
 
--- a/chutepin/lab/standins.py
+++ b/chutepin/testbench/standins/platform.py
@@ -19,10 +19,10 @@
 from pathlib import Path
 from typing import IO, Any
 
-from ..net.lines import LineParser, line
-from ..net.resp import RespParser, array
+from chutepin.net.lines import LineParser, line
+from chutepin.net.resp import RespParser, array
 
-ROOT = Path(__file__).parents[2]
+ROOT = Path(__file__).parents[3]
 EXAMPLE: dict[str, Any] = json.loads((ROOT / "deploy" / "example.json").read_text())
 PATIENCE = 60.0  # seconds
 PORTS = range(12_000, 30_000)  # that `free_port` gives; who runs rigs side by side gives each its own
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from chutepin.lab import standins
+from chutepin.testbench.standins import platform as standins
 
 from .known_red import known_failures
 
--- a/tests/consensus_mutants.py
+++ b/tests/consensus_mutants.py
@@ -9,7 +9,7 @@
 from chutepin.consensus.messages import RequestVote
 from chutepin.consensus.participant import Participant
 from chutepin.consensus.replica import Replica, StateMachine, new_proposal_id
-from chutepin.lab.quorum import Parts
+from chutepin.testbench.simulators.consensus import Parts
 
 
 class NoPreVote(RaftNode):
--- a/tests/data/make_platform_bytes.py
+++ b/tests/data/make_platform_bytes.py
@@ -21,8 +21,8 @@
 from typing import Any
 
 from chutepin.broker import Answer, Verdict
-from chutepin.lab.standins import free_port
 from chutepin.net.resp import format_answer
+from chutepin.testbench.standins.platform import free_port
 
 ROOT = Path(__file__).parents[2]
 KEPT = Path(__file__).with_name("platform.json")
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -16,9 +16,9 @@
 from chutepin.counters import Counters
 from chutepin.decision import simulator_protocol as wire
 from chutepin.facade import End
-from chutepin.lab import standins
-from chutepin.lab.standins import EXAMPLE
 from chutepin.logs import Log
+from chutepin.testbench.standins import platform as standins
+from chutepin.testbench.standins.platform import EXAMPLE
 
 ROOT = Path(__file__).parent.parent
 # The same steps every time: CI must give the same verdict on the same text.
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -17,11 +17,11 @@
 
 import pytest
 
-from chutepin.lab.dependency import ColdDependency, ColdServer, RecordsProxy, WarmUp
-from chutepin.lab.flood import Flood
-from chutepin.lab.standins import Balancer, eventually
 from chutepin.net.control import REPORT_INTERVAL_S, REPORT_TIMEOUT_S
 from chutepin.net.resp import array
+from chutepin.testbench.standins.dependency import ColdDependency, ColdServer, RecordsProxy, WarmUp
+from chutepin.testbench.standins.flood import Flood
+from chutepin.testbench.standins.platform import Balancer, eventually
 
 from .helper import ENV, ROOT, Standins
 from .test_node import on_sockets
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -41,11 +41,11 @@
 from chutepin.clock import Clock
 from chutepin.config import ConfigError, parse_setup
 from chutepin.counters import Counters
-from chutepin.lab.standins import eventually, free_port
 from chutepin.lifecycle import Lifecycle
 from chutepin.logs import Log
 from chutepin.node import rules_of
 from chutepin.request_metrics import RequestMetrics
+from chutepin.testbench.standins.platform import eventually, free_port
 
 from .helper import ROOT, STEPS
 from .test_setup import chutepin
--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -20,10 +20,10 @@
 from chutepin.config import Address, ConfigError, load_amqp
 from chutepin.decision import simulator_protocol as wire
 from chutepin.facade import End
-from chutepin.lab.standins import eventually
 from chutepin.logs import Log
 from chutepin.net.amqp import PROTOCOL_HEADER, Consumer, Content, FrameParser, Session, State, decode
 from chutepin.net.lines import ProtocolError
+from chutepin.testbench.standins.platform import eventually
 
 from .helper import ENV, ROOT, STEPS, Core, Standins
 
--- a/tests/test_assembly.py
+++ b/tests/test_assembly.py
@@ -19,11 +19,11 @@
 from chutepin.config.consensus import ConsensusSetup
 from chutepin.consensus.subsystem import ConsensusSubsystem
 from chutepin.counters import Counters
-from chutepin.lab.assembly import Assembly, play
-from chutepin.lab.claims import broken
-from chutepin.lab.faults import Fault, Schedule, split
 from chutepin.logs import Log
 from chutepin.store import Store, StoreFullError
+from chutepin.testbench.checks.consensus_invariants import broken
+from chutepin.testbench.faults.consensus_fleet import Assembly, play
+from chutepin.testbench.faults.schedule import Fault, Schedule, split
 
 from .helper import run_command
 from .powercut import SimulatedFileSystem
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -45,11 +45,11 @@
 from chutepin.cluster.records import BadLink, LinkReport, MergeResult, ShortRecord, compare_records
 from chutepin.config import Address, ConfigError, load_setup
 from chutepin.config.cluster import ClusterSetup
-from chutepin.lab.faults import Fault, Schedule, draw, load_schedule, smallest, split
-from chutepin.lab.history import History
-from chutepin.lab.invariants import broken
-from chutepin.lab.simulator import Simulator
 from chutepin.store import Store
+from chutepin.testbench.checks.history import History
+from chutepin.testbench.checks.membership_invariants import broken
+from chutepin.testbench.faults.schedule import Fault, Schedule, draw, load_schedule, smallest, split
+from chutepin.testbench.simulators.membership import Simulator
 
 from . import mutants
 from .helper import ROOT, STEPS
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -23,11 +23,11 @@
 from chutepin.config import Address
 from chutepin.config.cluster import ClusterSetup
 from chutepin.counters import Counters
-from chutepin.lab.faults import Fault, Schedule
-from chutepin.lab.invariants import broken
-from chutepin.lab.scale.traffic import TrafficMeter
-from chutepin.lab.simulator import Simulator
 from chutepin.logs import Log
+from chutepin.testbench.checks.membership_invariants import broken
+from chutepin.testbench.faults.schedule import Fault, Schedule
+from chutepin.testbench.scale.traffic import TrafficMeter
+from chutepin.testbench.simulators.membership import Simulator
 
 from . import mutants
 from .helper import STEPS
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -25,7 +25,6 @@
 from chutepin.config import Address
 from chutepin.counters import Counters
 from chutepin.facade import End
-from chutepin.lab.standins import eventually
 from chutepin.logs import Log
 from chutepin.net.executor import ExecutorLink, Session
 from chutepin.net.records import RecordsService
@@ -33,6 +32,7 @@
 from chutepin.net.resp.connection import MESSAGE_TIMEOUT_S
 from chutepin.net.resp.listener import FIRST_MESSAGE_TIMEOUT_S
 from chutepin.net.resp.timeouts import BYE_GRACE_S, DRAIN_READ_S
+from chutepin.testbench.standins.platform import eventually
 
 from .helper import ENV, Core, Hand
 from .test_standing import answer_all, asks, call, heard, on_front, on_links
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -16,9 +16,9 @@
 from chutepin.cluster.frames import cluster_id, encode
 from chutepin.cluster.messages import Gossip, Packet
 from chutepin.cluster.records import Record, Status
-from chutepin.lab.faults import Fault, Schedule, split
-from chutepin.lab.fleet import Fleet, play
-from chutepin.lab.invariants import broken
+from chutepin.testbench.checks.membership_invariants import broken
+from chutepin.testbench.faults.fleet import Fleet, play
+from chutepin.testbench.faults.schedule import Fault, Schedule, split
 
 from .helper import Standins, run_command
 from .test_node import on_sockets
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -16,11 +16,11 @@
 from chutepin.config import Address
 from chutepin.counters import Counters
 from chutepin.facade import End
-from chutepin.lab.flood import Flood
-from chutepin.lab.known import Known
-from chutepin.lab.standins import Balancer, eventually
 from chutepin.logs import Log
 from chutepin.net.records import RecordsService
+from chutepin.testbench.standins.flood import Flood
+from chutepin.testbench.standins.known_client import Known
+from chutepin.testbench.standins.platform import Balancer, eventually
 
 from .helper import Hand, Standins
 from .test_node import on_sockets
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -16,7 +16,7 @@
 
 from chutepin.handover import Rendezvous, rendezvous_path
 from chutepin.handover.frames import encode_frame
-from chutepin.lab.standins import PATIENCE, Balancer, eventually, free_port
+from chutepin.testbench.standins.platform import PATIENCE, Balancer, eventually, free_port
 
 from .helper import WINDOW, Standins
 from .test_operation import call
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -16,13 +16,13 @@
 from chutepin.config import Address
 from chutepin.counters import Counters
 from chutepin.facade import End
-from chutepin.lab.standins import eventually
 from chutepin.logs import Log
 from chutepin.net import records
 from chutepin.net.executor import ExecutorLink, Session
 from chutepin.net.lines import LineParser, ProtocolError, line
 from chutepin.net.records import RecordsService
 from chutepin.net.resp import Connection, RespListener, RespParser, array, format_answer, parse_call
+from chutepin.testbench.standins.platform import eventually
 
 from .helper import STEPS, Core, Hand
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -16,8 +16,8 @@
 
 import pytest
 
-from chutepin.lab.standins import Balancer, eventually
 from chutepin.net.resp import array
+from chutepin.testbench.standins.platform import Balancer, eventually
 
 from .helper import ROOT, Standins
 
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -13,11 +13,11 @@
 from chutepin.admin.commands import CommandTable
 from chutepin.admin.exposition import exposition
 from chutepin.admin.line_reader import MAX_LINE_BYTES, InvalidLineError, LineReader
-from chutepin.lab.standins import eventually
 from chutepin.lifecycle import TRANSITIONS, Lifecycle, State, Transition
 from chutepin.net.control import JITTER_SHARE, REPORT_INTERVAL_S
 from chutepin.net.resp import array
 from chutepin.request_metrics import RequestMetrics
+from chutepin.testbench.standins.platform import eventually
 
 from .helper import STEPS, Core, Standins
 from .test_node import on_sockets
--- a/tests/test_operator_names.py
+++ b/tests/test_operator_names.py
@@ -14,7 +14,7 @@
 import pytest
 
 from chutepin.config import load_setup
-from chutepin.lab.standins import free_port
+from chutepin.testbench.standins.platform import free_port
 
 from .data.make_platform_bytes import World, run_program
 
--- a/tests/test_pcap.py
+++ b/tests/test_pcap.py
@@ -17,9 +17,9 @@
 from chutepin.clock import Clock
 from chutepin.config import ConfigError
 from chutepin.counters import Counters
-from chutepin.lab.standins import eventually, free_port
 from chutepin.net.resp import RespParser, array
 from chutepin.pcap import Chunk, Recorder, Report, chunks
+from chutepin.testbench.standins.platform import eventually, free_port
 
 from .helper import STEPS, Standins
 
--- a/tests/test_quorum.py
+++ b/tests/test_quorum.py
@@ -19,9 +19,9 @@
 from chutepin.consensus.observer import FetchReply, FetchRequest
 from chutepin.consensus.participant import ForwardProposal, Greeting, ProposalRejected
 from chutepin.consensus.replica import Outcome, OutcomeState
-from chutepin.lab.claims import Record, broken
-from chutepin.lab.faults import Fault, Schedule, draw, split
-from chutepin.lab.quorum import WRITE, Disk, Parts, Simulator
+from chutepin.testbench.checks.consensus_invariants import Record, broken
+from chutepin.testbench.faults.schedule import Fault, Schedule, draw, split
+from chutepin.testbench.simulators.consensus import WRITE, Disk, Parts, Simulator
 
 from .consensus_mutants import PLANTED
 from .helper import STEPS
--- a/tests/test_repo.py
+++ b/tests/test_repo.py
@@ -55,7 +55,7 @@
     listed = deploy["policy"] + deploy["node"]
     files = {file for name in listed for file in ((ROOT / name).rglob("*.py") if name[-3:] != ".py" else [ROOT / name])}
     package = ROOT / "chutepin"
-    node = {file for file in package.rglob("*.py") if not file.is_relative_to(package / "lab")}
+    node = {file for file in package.rglob("*.py") if not file.is_relative_to(package / "testbench")}
     assert files == node - {package / "__init__.py"}
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -18,16 +18,16 @@
 from chutepin.cluster import Answer, Detector, Send
 from chutepin.cluster.frames import cluster_id, encode, stream_frame
 from chutepin.config.cluster import ClusterSetup
-from chutepin.lab.faults import Fault, Schedule
-from chutepin.lab.history import History, Seen
-from chutepin.lab.scale import realtime
-from chutepin.lab.scale.drawing import draw
-from chutepin.lab.scale.guard import MemoryExceededError
-from chutepin.lab.scale.report import crash_known, false_deaths, keep
-from chutepin.lab.scale.traffic import Direction, Kind, Span, TrafficMeter, figures
-from chutepin.lab.scale.virtual import simulate
-from chutepin.lab.scale.workload import AWAY, WARM_UP, Load, Scenario, plan
-from chutepin.lab.simulator import Simulator
+from chutepin.testbench.checks.history import History, Seen
+from chutepin.testbench.faults.schedule import Fault, Schedule
+from chutepin.testbench.scale import realtime
+from chutepin.testbench.scale.drawing import draw
+from chutepin.testbench.scale.guard import MemoryExceededError
+from chutepin.testbench.scale.report import crash_known, false_deaths, keep
+from chutepin.testbench.scale.traffic import Direction, Kind, Span, TrafficMeter, figures
+from chutepin.testbench.scale.virtual import simulate
+from chutepin.testbench.scale.workload import AWAY, WARM_UP, Load, Scenario, plan
+from chutepin.testbench.simulators.membership import Simulator
 
 from .helper import ROOT
 
@@ -311,6 +311,8 @@
 
 
 def test_a_node_loads_nothing_of_the_laboratory() -> None:
-    text = "import sys, chutepin.serve, chutepin.cluster.subsystem; print([m for m in sys.modules if '.lab' in m])"
+    text = (
+        "import sys, chutepin.serve, chutepin.cluster.subsystem; print([m for m in sys.modules if '.testbench' in m])"
+    )
     done = subprocess.run([sys.executable, "-c", text], cwd=ROOT, capture_output=True, text=True, timeout=60)
     assert done.stdout == "[]\n"
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -24,13 +24,13 @@
 from chutepin.config.platform import parse
 from chutepin.counters import Counters
 from chutepin.facade import End
-from chutepin.lab.standins import EXAMPLE, eventually, free_port
 from chutepin.logs import Log
 from chutepin.net import executor, records
 from chutepin.net.executor import ExecutorLink, Session
 from chutepin.net.records import RecordsService
 from chutepin.net.resp import BYE, RespListener, RespParser, array
 from chutepin.node import Node
+from chutepin.testbench.standins.platform import EXAMPLE, eventually, free_port
 
 from .helper import Core, Standins
 from .test_node import KEY, on_sockets
--- a/tests/test_store_threads.py
+++ b/tests/test_store_threads.py
@@ -18,9 +18,9 @@
 
 import pytest
 
-from chutepin.lab.standins import EXAMPLE, Standins
 from chutepin.store import Store, StoreBusyError, StoreClosedError, StoreError, StoreFailedError, StoreFullError
 from chutepin.store.file_system import LocalFile, LocalFileSystem
+from chutepin.testbench.standins.platform import EXAMPLE, Standins
 
 from .helper import ROOT
 from .test_node import on_sockets
