--- a/benchmarks/capacity/measure/start.py
+++ b/benchmarks/capacity/measure/start.py
@@ -16,7 +16,13 @@
 from chutepin.cluster.table import Table as Members
 from chutepin.consensus.key_value import KeyValueMachine, pack_assignment
 from chutepin.consensus.messages import Entry, EntryKind, Membership, Snapshot
-from chutepin.consensus.replica import DEDUPLICATION_WINDOW, Proposal, Replica, new_proposal_id, pack_proposal
+from chutepin.consensus.replicated_state import (
+    DEDUPLICATION_WINDOW,
+    Proposal,
+    ReplicatedState,
+    new_proposal_id,
+    pack_proposal,
+)
 
 from .tools import Measured, Table
 
@@ -63,7 +69,7 @@
 
 
 def _log(table: Table, facts: int, rng: random.Random) -> None:
-    replica = Replica(KeyValueMachine())
+    replica = ReplicatedState(KeyValueMachine())
     for number in range(facts):
         data = pack_assignment(f"tenant-{number:06d}", VALUE)
         proposal = Proposal(new_proposal_id(number, rng.getrandbits(64)), 1, data)
@@ -71,7 +77,7 @@
     state = replica.snapshot()
 
     def take_in() -> None:
-        Replica(KeyValueMachine()).restore(Snapshot(facts, 1, Membership(("a",)), state))
+        ReplicatedState(KeyValueMachine()).restore(Snapshot(facts, 1, Membership(("a",)), state))
 
     table.add(facts, log_state_bytes=len(replica.machine.snapshot()), log_take_in_cpu_ms=_timed(take_in))
 
--- a/benchmarks/capacity/roles.py
+++ b/benchmarks/capacity/roles.py
@@ -8,8 +8,8 @@
 
 from benchmarks.fleet_size import ASSUMPTIONS, MEGABYTE, TARGET
 from chutepin.cluster.frames import MAX_STREAM
-from chutepin.consensus.key_value import MAX_NAMES
-from chutepin.consensus.replica import MAX_SNAPSHOT_BYTES
+from chutepin.consensus.key_value import MAX_KEYS
+from chutepin.consensus.replicated_state import MAX_SNAPSHOT_BYTES
 from chutepin.lab.scale.traffic import WINDOW
 
 from .bounds import most_members
@@ -27,7 +27,7 @@
 ADDED = Limit(TARGET.added_p99_ms, "ms", "the operators")
 IN_FORCE = Limit(TARGET.config_in_force_s, "s", "a change is in force everywhere")
 IN_FORCE_CPU = Limit(1000 * TARGET.config_in_force_s, "ms", "a change is in force everywhere")
-LOG_STATE = Limit(MAX_SNAPSHOT_BYTES, "B", "chutepin.consensus.replica.MAX_SNAPSHOT_BYTES")
+LOG_STATE = Limit(MAX_SNAPSHOT_BYTES, "B", "chutepin.consensus.replicated_state.MAX_SNAPSHOT_BYTES")
 
 REQUEST_LOADS = {
     PEAK: Load(TARGET.requests_per_node_per_s),
@@ -227,7 +227,7 @@
             Aspect.STATE,
             "names in the machine: tenants and routes",
             LOG_ENTRIES,
-            Limit(MAX_NAMES, "names", "chutepin.consensus.key_value.MAX_NAMES"),
+            Limit(MAX_KEYS, "names", "chutepin.consensus.key_value.MAX_KEYS"),
             "a machine of policies and routes on the log (`policy/`, `routes/`)",
         ),
     ),
--- a/benchmarks/consensus.py
+++ b/benchmarks/consensus.py
@@ -188,7 +188,7 @@
         if host is not None and host.participant is not None and state["made"] < entries:
             from chutepin.consensus.key_value import pack_assignment
 
-            for _ in range(min(250, 250 - host.participant.waiting)):
+            for _ in range(min(250, 250 - host.participant.pending_requests)):
                 state["made"] += 1
                 host.participant.propose(
                     simulator.now,
@@ -202,15 +202,13 @@
     def look() -> None:
         host = simulator.hosts["n4"]
         others = [
-            other.participant.replica.applied_index
-            for other in simulator.hosts.values()
-            if other.participant is not None
+            other.participant.state.applied_index for other in simulator.hosts.values() if other.participant is not None
         ]
         if (
             host.participant is not None
             and simulator.now > 45.0
             and not state["done"]
-            and host.participant.replica.applied_index >= max(others) - 5
+            and host.participant.state.applied_index >= max(others) - 5
         ):
             state["done"] = simulator.now
         simulator._at(simulator.now + 0.005, look)
--- a/chutepin/cli/consensus.py
+++ b/chutepin/cli/consensus.py
@@ -159,7 +159,7 @@
     from ..consensus.errors import JournalError
     from ..consensus.identity import IDENTITY_KEY, Identity, StoredIdentity
     from ..consensus.journal import Journal
-    from ..consensus.subsystem import NO_EXPIRY
+    from ..consensus.store_writer import NO_EXPIRY
     from ..store import Store, StoreError
 
     try:
@@ -171,7 +171,7 @@
             durable, _ = journal.load(store.get)
             written = None
             if work is not None:
-                identity = Identity(owner.node, (), owner.born, owner.standing, {}).identity
+                identity = Identity(owner.node, (), owner.store_id, owner.status, {}).identity
                 written = work(identity, durable)
                 for key, value in journal.write(written):
                     store.delete(key) if value is None else store.put(key, value, NO_EXPIRY)
@@ -189,7 +189,7 @@
 def recover(directory: Path, cluster: str | None) -> int:
     """Make the store in DIRECTORY the only voter, after a majority of the voters is lost for good. The node must not
     run. Exit code 1 if the name was not the cluster's: nothing has changed."""
-    from ..consensus.recovery import alone
+    from ..consensus.recovery import make_only_voter
 
     owner, durable, _ = open_log(directory)
     click.echo(
@@ -202,7 +202,7 @@
     if (cluster or click.prompt("The cluster's name, to go on", err=True)) != owner.cluster:
         click.echo(f"that is not the name of the cluster of {directory}; nothing has changed", err=True)
         return 1
-    written = open_log(directory, alone).written
+    written = open_log(directory, make_only_voter).written
     assert written is not None
     click.echo(f"{owner.node} votes alone from its next start on, in term {written.term}")
     return 0
@@ -217,8 +217,8 @@
     found = {
         "cluster": owner.cluster,
         "node": owner.node,
-        "store": owner.born,
-        "standing": owner.standing.value,
+        "store": owner.store_id,
+        "standing": owner.status.value,
         "term": durable.term,
         "vote": durable.voted_for,
         "snapshot": durable.snapshot.up_to_index if durable.snapshot is not None else 0,
--- a/chutepin/consensus/codec.py
+++ b/chutepin/consensus/codec.py
@@ -1,6 +1,6 @@
-"""What members say to each other, as bytes of a stream: length, checksum, msgpack. Sans I/O; the wire knows no meaning.
+"""Frames of consensus connections: length, checksum and a message in msgpack. Sans I/O.
 
-A connection carries words in one direction only. It begins with a preface and one `Hello`."""
+A connection carries messages in one direction. It begins with PREFACE and one `Hello`."""
 
 from __future__ import annotations
 
@@ -25,8 +25,9 @@
     RequestVoteReply,
     TimeoutNow,
 )
-from .observer import FetchReply, FetchRequest
-from .participant import (
+from .protocol import (
+    FetchReply,
+    FetchRequest,
     ForwardProposal,
     Greeting,
     ParticipantMessage,
@@ -35,16 +36,16 @@
     ReadIndexRequest,
 )
 
-PREFACE = b"cpA\x01"  # what a connection of this kind begins with; its last byte is the format's version
-MAX_FRAME = 256 * 1024  # bytes: two pieces and a head
-MAX_NAME = 96  # characters of an identity
-MAX_ENTRIES = 4096  # in one word
+PREFACE = b"cpA\x01"  # the last byte is the version of the format
+MAX_FRAME_BYTES = 256 * 1024  # of a frame's content
+MAX_NAME_CHARACTERS = 96  # of an identity
+MAX_ENTRIES = 4096  # in one message
 
-_HEAD = struct.Struct(">II")
+_HEAD = struct.Struct(">II")  # length of the content, its CRC-32
 
 
 class Hello(NamedTuple):
-    """Who speaks on this connection, to whom, in which cluster; the version of entries that it knows."""
+    """The sender of a connection, its receiver, their cluster, and the entry version that the sender reads."""
 
     cluster: str
     name: str
@@ -55,6 +56,7 @@
 
 WireMessage = ParticipantMessage | Hello | StoreAnnouncement | StoreAcknowledgement
 
+# A type's place is its tag on the wire.
 MESSAGE_TYPES: tuple[type[Any], ...] = (
     Hello,
     RequestVote,
@@ -76,19 +78,19 @@
 )
 
 
-def _whole(raw: Any) -> int:
+def _read_integer(raw: Any) -> int:
     if type(raw) is not int or not -1 <= raw < 2**63:
         raise CodecError("malformed")
     return raw
 
 
-def _text(raw: Any) -> str:
-    if not isinstance(raw, str) or len(raw) > MAX_NAME or not raw.isprintable():
+def _read_text(raw: Any) -> str:
+    if not isinstance(raw, str) or len(raw) > MAX_NAME_CHARACTERS or not raw.isprintable():
         raise CodecError("malformed")
     return raw
 
 
-def _exactly(kind: type[Any]) -> Callable[[Any], Any]:
+def _reader_of(kind: type[Any]) -> Callable[[Any], Any]:
     def read(raw: Any) -> Any:
         if type(raw) is not kind:
             raise CodecError("malformed")
@@ -97,29 +99,32 @@
     return read
 
 
-def _entries(raw: Any) -> tuple[Entry, ...]:
+def _read_entries(raw: Any) -> tuple[Entry, ...]:
     if len(raw) > MAX_ENTRIES:
         raise CodecError("too_long")
-    return tuple(unpack_entry(part) for part in raw)
+    return tuple(unpack_entry(packed) for packed in raw)
 
 
-def _members(raw: Any) -> Membership:
+def _read_membership(raw: Any) -> Membership:
     voters, learners = raw
-    return Membership(tuple(map(_text, voters)), tuple(map(_text, learners)))
+    return Membership(tuple(map(_read_text, voters)), tuple(map(_read_text, learners)))
 
 
 _READERS: dict[Any, Callable[[Any], Any]] = {
-    int: _whole,
-    str: _text,
-    bytes: _exactly(bytes),
-    bool: _exactly(bool),
-    tuple[Entry, ...]: _entries,
-    Membership: _members,
+    int: _read_integer,
+    str: _read_text,
+    bytes: _reader_of(bytes),
+    bool: _reader_of(bool),
+    tuple[Entry, ...]: _read_entries,
+    Membership: _read_membership,
+}
+_FIELD_READERS = {
+    message_type: tuple(_READERS[kind] for kind in get_type_hints(message_type).values())
+    for message_type in MESSAGE_TYPES
 }
-_FIELDS = {word: tuple(_READERS[kind] for kind in get_type_hints(word).values()) for word in MESSAGE_TYPES}
 
 
-def _plain(value: Any) -> Any:
+def _pack_field(value: Any) -> Any:
     if isinstance(value, Membership):
         return [list(names) for names in value]
     if isinstance(value, tuple):
@@ -127,49 +132,50 @@
     return value
 
 
-def encode(word: WireMessage) -> bytes:
-    """A word's frame."""
-    content = msgpack.packb([MESSAGE_TYPES.index(type(word)), *map(_plain, word)])
+def encode(message: WireMessage) -> bytes:
+    """Return a message's frame."""
+    content = msgpack.packb([MESSAGE_TYPES.index(type(message)), *map(_pack_field, message)])
     return _HEAD.pack(len(content), zlib.crc32(content)) + bytes(content)
 
 
 def decode(content: bytes) -> WireMessage:
-    """The word of a frame's content. Raises CodecError."""
+    """Return the message of a frame's content. Raises CodecError."""
     try:
-        kind, *fields = msgpack.unpackb(content, strict_map_key=True, max_map_len=0, max_ext_len=0)
-        word = MESSAGE_TYPES[_whole(kind)]
-        readers = _FIELDS[word]
-        if kind < 0 or len(fields) != len(readers):
+        tag, *fields = msgpack.unpackb(content, strict_map_key=True, max_map_len=0, max_ext_len=0)
+        message_type = MESSAGE_TYPES[_read_integer(tag)]
+        readers = _FIELD_READERS[message_type]
+        if tag < 0 or len(fields) != len(readers):
             raise CodecError("malformed")
-        made: WireMessage = word(*(read(raw) for read, raw in zip(readers, fields, strict=True)))
-        return made
+        message: WireMessage = message_type(*(read(raw) for read, raw in zip(readers, fields, strict=True)))
+        return message
     except CodecError:
         raise
-    except Exception:  # whatever an unpacker may raise on hostile bytes costs the sender its connection, nothing else
+    except Exception:  # an unpacker may raise anything on hostile bytes; only the sender's connection ends
         raise CodecError("malformed") from None
 
 
 class FrameReader:
-    """Feed it bytes of a connection; it gives the words that are whole."""
+    """Splits a connection's bytes into messages."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[WireMessage]:
-        """Add what was read. Raises CodecError; nothing after that can be read."""
+        """Add received bytes; return the messages that are complete. Raises CodecError, which ends the connection."""
         self._buffer += data
-        words, at = list[WireMessage](), 0
-        while len(self._buffer) - at >= _HEAD.size:
-            length, check = _HEAD.unpack_from(self._buffer, at)
-            if length > MAX_FRAME:
+        messages = list[WireMessage]()
+        start = 0
+        while len(self._buffer) - start >= _HEAD.size:
+            length, checksum = _HEAD.unpack_from(self._buffer, start)
+            if length > MAX_FRAME_BYTES:
                 raise CodecError("too_long")
-            end = at + _HEAD.size + length
+            end = start + _HEAD.size + length
             if len(self._buffer) < end:
                 break
-            content = bytes(self._buffer[at + _HEAD.size : end])
-            if zlib.crc32(content) != check:
+            content = bytes(self._buffer[start + _HEAD.size : end])
+            if zlib.crc32(content) != checksum:
                 raise CodecError("checksum")
-            words.append(decode(content))
-            at = end
-        del self._buffer[:at]
-        return words
+            messages.append(decode(content))
+            start = end
+        del self._buffer[:start]
+        return messages
--- a/chutepin/consensus/identity.py
+++ b/chutepin/consensus/identity.py
@@ -1,8 +1,9 @@
-"""As whom a node takes part: a voter whose store was lost must never vote as the one that it was. Pure.
+"""Under which identity a node takes part: a voter whose store was lost must never vote as the one that it was. Pure.
 
-Each store is born with a number of chance. A voter that the operator's file names votes under its plain name, but only
-once *all* other voters of the file have met this very store: whoever met an earlier one under that name says so, and
-the node is `lost`. All others, and lost ones, are known as name~number; as such an operator may let them vote."""
+Each store is created with a random id. A voter that the operator's file names votes under its plain node name, but only
+once *all* other voters of the file have acknowledged the id of its store: one that knows an earlier store under this
+name says so, and the node's store counts as LOST. Nodes of a lost store, and nodes that the file does not name, take
+part as name~id; under that identity an operator may let them vote."""
 
 from __future__ import annotations
 
@@ -12,97 +13,108 @@
 import msgpack
 
 IDENTITY_KEY = b"agree/who"  # of the store, for a `StoredIdentity`
-MET_KEY = b"agree/met"  # for the numbers of the other voters' stores, by name
+KNOWN_STORES_KEY = b"agree/met"  # for the ids of the other voters' stores, by node name
+SEPARATOR = "~"
 
 
 class StoreAnnouncement(NamedTuple):
-    """A voter with a new store: know me by this number. `born`: of the sender's store."""
+    """A voter with a new store makes its id known."""
 
     name: str
-    born: str
+    store_id: str
 
 
 class StoreAcknowledgement(NamedTuple):
-    """The answer: the sender knows that voter by the number `known`."""
+    """The reply: the id under which the sender knows that voter's store."""
 
     name: str
-    known: str
+    known_store_id: str
 
 
 class StoreStatus(Enum):
-    """How far a node's store is known."""
+    """How far the other voters know a node's store."""
 
-    FORMING = "forming"  # not all other voters of the file have met it yet
-    CONFIRMED = "settled"  # it votes under its plain name
-    LOST = "lost"  # another store was known under this name
-    OBSERVER = "follows"  # the file does not name it
+    FORMING = "forming"  # not all other voters of the file have acknowledged it
+    CONFIRMED = "settled"  # the node votes under its plain name
+    LOST = "lost"  # another store is known under this name
+    OBSERVER = "follows"  # the file does not name the node
 
 
 class StoredIdentity(NamedTuple):
-    """Whose replicated log a store holds, and the number with which that store was born."""
+    """Whose replicated log a store holds, and the store's id."""
 
     cluster: str
     node: str
-    born: str
-    standing: StoreStatus
+    store_id: str
+    status: StoreStatus
 
     def pack(self) -> bytes:
         """Encode for the store."""
-        return bytes(msgpack.packb([self.cluster, self.node, self.born, self.standing.value]))
+        return bytes(msgpack.packb([self.cluster, self.node, self.store_id, self.status.value]))
 
     @classmethod
     def unpack(cls, data: bytes) -> StoredIdentity:
         """Decode what `pack` gave."""
-        cluster, node, born, standing = msgpack.unpackb(data)
-        return cls(cluster, node, born, StoreStatus(standing))
+        cluster, node, store_id, status = msgpack.unpackb(data)
+        return cls(cluster, node, store_id, StoreStatus(status))
 
 
 class Identity:
-    """Of one node. `standing`, `born` and `met` are durable; the edge keeps them where `changed` says so."""
+    """The identity of one node. The caller keeps `status`, `store_id` and `known_stores` in the store."""
 
     def __init__(
-        self, name: str, voters: tuple[str, ...], born: str, standing: StoreStatus | None, met: dict[str, str]
+        self,
+        name: str,
+        voters: tuple[str, ...],
+        store_id: str,
+        status: StoreStatus | None,
+        known_stores: dict[str, str],
     ) -> None:
-        """`standing`: as it was kept, None of a new store. `met`: other voters' numbers."""
-        self._name, self._voters, self.born, self.met = name, voters, born, met
-        if standing is None:
-            standing = StoreStatus.FORMING if name in voters else StoreStatus.OBSERVER
-        if standing is StoreStatus.FORMING and len(voters) == 1:
-            standing = StoreStatus.CONFIRMED
-        self.standing = standing
-        self._said: set[str] = set()  # who has met this store
+        """`status` as it was stored, None for a new store. `known_stores`: ids of other voters' stores, by name."""
+        self.name = name
+        self._voters = voters
+        self.store_id = store_id
+        self.known_stores = known_stores
+        if status is None:
+            status = StoreStatus.FORMING if name in voters else StoreStatus.OBSERVER
+        if status is StoreStatus.FORMING and len(voters) == 1:
+            status = StoreStatus.CONFIRMED
+        self.status = status
+        self._acknowledged_by: set[str] = set()
 
     @property
     def identity(self) -> str:
-        """Under which name this node speaks."""
-        node_name = self.standing in (StoreStatus.CONFIRMED, StoreStatus.FORMING)
-        return self._name if node_name else f"{self._name}~{self.born}"
+        """The name under which this node takes part."""
+        if self.status in (StoreStatus.CONFIRMED, StoreStatus.FORMING):
+            return self.name
+        return f"{self.name}{SEPARATOR}{self.store_id}"
 
     @property
-    def others(self) -> tuple[str, ...]:
-        """Voters that have yet to meet this store."""
-        return tuple(name for name in self._voters if name != self._name and name not in self._said)
+    def awaited(self) -> tuple[str, ...]:
+        """The voters that have yet to acknowledge this store."""
+        return tuple(name for name in self._voters if name != self.name and name not in self._acknowledged_by)
 
-    def meet(self, sender: str, word: StoreAnnouncement) -> StoreAcknowledgement | None:
-        """Another voter's store. What comes out may be said once `met` is durable."""
-        if word.name != sender or word.name not in self._voters or self._name not in self._voters:
+    def acknowledge(self, sender: str, message: StoreAnnouncement) -> StoreAcknowledgement | None:
+        """Take another voter's announcement. The reply may be sent once `known_stores` is durable."""
+        if message.name != sender or message.name not in self._voters or self.name not in self._voters:
             return None
-        return StoreAcknowledgement(word.name, self.met.setdefault(word.name, word.born))
+        known_store_id = self.known_stores.setdefault(message.name, message.store_id)
+        return StoreAcknowledgement(message.name, known_store_id)
 
-    def answered(self, sender: str, word: StoreAcknowledgement) -> bool:
-        """What another voter knows; whether the standing has changed, and must be durable before a word is said."""
-        if self.standing is not StoreStatus.FORMING or word.name != self._name or sender not in self._voters:
+    def receive_acknowledgement(self, sender: str, message: StoreAcknowledgement) -> bool:
+        """Take another voter's reply; whether the status has changed, which must be durable before it has effect."""
+        if self.status is not StoreStatus.FORMING or message.name != self.name or sender not in self._voters:
             return False
-        if word.known != self.born:
-            self.standing = StoreStatus.LOST
+        if message.known_store_id != self.store_id:
+            self.status = StoreStatus.LOST
             return True
-        self._said.add(sender)
-        if self.others:
+        self._acknowledged_by.add(sender)
+        if self.awaited:
             return False
-        self.standing = StoreStatus.CONFIRMED
+        self.status = StoreStatus.CONFIRMED
         return True
 
 
 def node_name(identity: str) -> str:
-    """The node's name."""
-    return identity.partition("~")[0]
+    """Return the name of the node that takes part under an identity."""
+    return identity.partition(SEPARATOR)[0]
--- a/chutepin/consensus/key_value.py
+++ b/chutepin/consensus/key_value.py
@@ -1,4 +1,4 @@
-"""The simplest machine on the log: names with values, which operators and tests can set and read. Pure."""
+"""A key-value state machine on the replicated log, which operators and tests can set and read. Pure."""
 
 from __future__ import annotations
 
@@ -6,46 +6,52 @@
 
 import msgpack
 
-MAX_NAMES = 256
-MAX_NAME = 64  # characters
-MAX_VALUE = 1024  # bytes
+from .errors import InvalidRequestError
+
+MAX_KEYS = 256
+MAX_KEY_CHARACTERS = 64
+MAX_VALUE_BYTES = 1024
 
 
 class StoredValue(NamedTuple):
-    """A value, the entry that set it, and how often the name was set in all."""
+    """A key's value, the index of the entry that set it, and how often the key was set in all."""
 
     value: bytes
-    at: int
-    times: int
+    at_index: int
+    times_set: int
 
 
-def pack_assignment(name: str, value: bytes) -> bytes:
-    """The data of a proposal that sets a name. Raises ValueError."""
-    if not 0 < len(name) <= MAX_NAME or len(value) > MAX_VALUE:
-        raise ValueError(f"a name of 1 to {MAX_NAME} characters, a value of up to {MAX_VALUE} bytes")
-    return bytes(msgpack.packb([name, value]))
+def pack_assignment(key: str, value: bytes) -> bytes:
+    """Return the data of a proposal that sets a key. Raises InvalidRequestError."""
+    if not 0 < len(key) <= MAX_KEY_CHARACTERS or len(value) > MAX_VALUE_BYTES:
+        raise InvalidRequestError(
+            f"a name of 1 to {MAX_KEY_CHARACTERS} characters, a value of up to {MAX_VALUE_BYTES} bytes"
+        )
+    return bytes(msgpack.packb([key, value]))
 
 
 class KeyValueMachine:
-    """Names with values (`replica.Machine`)."""
+    """Keys with values (`replicated_state.StateMachine`)."""
 
     version = 1
 
     def __init__(self) -> None:
-        self.known: dict[str, StoredValue] = {}
+        self.values: dict[str, StoredValue] = {}
 
     def apply(self, index: int, version: int, data: bytes) -> bytes:
-        """Set a name; `full` where there is no room for another one."""
-        name, value = msgpack.unpackb(data)
-        if name not in self.known and len(self.known) >= MAX_NAMES:
+        """Set a key; the result is `set`, or `full` where there is no room for another key."""
+        key, value = msgpack.unpackb(data)
+        former = self.values.get(key)
+        if former is None and len(self.values) >= MAX_KEYS:
             return b"full"
-        self.known[name] = StoredValue(value, index, self.known[name].times + 1 if name in self.known else 1)
+        times_set = former.times_set if former is not None else 0
+        self.values[key] = StoredValue(value, index, times_set + 1)
         return b"set"
 
     def snapshot(self) -> bytes:
-        """All facts, by name."""
-        return bytes(msgpack.packb([[name, *fact] for name, fact in sorted(self.known.items())]))
+        """Return all keys and values, sorted by key."""
+        return bytes(msgpack.packb([[key, *stored] for key, stored in sorted(self.values.items())]))
 
     def restore(self, version: int, data: bytes) -> None:
-        """Take over all facts."""
-        self.known = {name: StoredValue(value, at, times) for name, value, at, times in msgpack.unpackb(data)}
+        """Replace all keys and values by those of a snapshot."""
+        self.values = {key: StoredValue(value, index, times) for key, value, index, times in msgpack.unpackb(data)}
--- a/chutepin/consensus/operators.py
+++ b/chutepin/consensus/operators.py
@@ -1,6 +1,7 @@
 """Answers the operators' calls about the replicated log.
 
-It parses arguments, asks the member and renders its answer as text; what is allowed the member decides."""
+It parses arguments, asks the participant and renders its answer as text. Names and answers of the calls are fixed: they
+are used by operators' scripts."""
 
 from __future__ import annotations
 
@@ -8,22 +9,23 @@
 from typing import Protocol
 
 from ..subsystem import CommandHandler
-from .errors import RejectedError
+from .administration import AddedNode, TransferStarted, add_node, remove_node, transfer_leadership
+from .errors import InvalidRequestError, RejectedError
 from .identity import StoreStatus, node_name
 from .key_value import KeyValueMachine, pack_assignment
-from .participant import AddedNode, Participant, TransferStarted
-from .replica import Outcome, OutcomeState
+from .participant import Participant
+from .replicated_state import PROPOSAL_ID_BYTES, Outcome, OutcomeState
 from .state import Role
 from .wire import now
 
-CALL_TIMEOUT = 4.0  # seconds in which an operator's call is answered
+CALL_TIMEOUT_S = 4.0
+NO_ID = bytes(PROPOSAL_ID_BYTES)  # of a proposal that is rejected before it has one
 ROLE_NAMES = {
     Role.FOLLOWER: "follower",
     Role.PRE_CANDIDATE: "would",
     Role.CANDIDATE: "candidate",
     Role.LEADER: "leader",
 }
-NO_ID = bytes(16)  # of a proposal that is refused before it has one
 
 
 class ConsensusPart(Protocol):
@@ -31,25 +33,25 @@
 
     @property
     def participant(self) -> Participant | None:
-        """The member; None while the node takes no part."""
+        """The participant; None while the node takes no part."""
 
     @property
     def idle_reason(self) -> str:
         """Why the node takes no part."""
 
     @property
-    def standing(self) -> StoreStatus:
+    def store_status(self) -> StoreStatus:
         """How far the other voters know this node's store."""
 
     @property
     def machine(self) -> KeyValueMachine:
-        """The state that follows from the log."""
+        """The state machine on the log."""
 
     def pump(self) -> None:
-        """Carry out the member's new effects."""
+        """Carry out the participant's new effects."""
 
     async def outcome(self, begin: Callable[[Participant], int]) -> Outcome:
-        """Begin a request at the member, which returns its ticket, and wait for the outcome."""
+        """Begin a request at the participant, which returns its ticket, and wait for the outcome."""
 
 
 class OperatorCalls:
@@ -67,7 +69,7 @@
         return {
             "agree-set": _checked(2, 3, self._set),
             "agree-get": _checked(1, 1, self._get),
-            "agree-ask": _checked(1, 1, self._ask),
+            "agree-ask": _checked(1, 1, self._query),
             "agree-void": _checked(1, 1, self._void),
             "agree-add": _checked(1, 2, self._add),
             "agree-remove": _checked(1, 1, self._remove),
@@ -83,80 +85,85 @@
         participant = self._part.participant
         if participant is None:
             return self._idle()
-        lines = [*_member_lines(participant, self._part.standing), *_voter_lines(participant)]
+        lines = [*_participant_lines(participant, self._part.store_status), *_member_lines(participant)]
         return "\n".join(["SUCCESS", *lines, "EOT"]) + "\n"
 
-    # --- proposals and reads ---
-
     async def _set(self, arguments: list[str]) -> str:
-        name, value, *id = arguments
-        data = pack_assignment(name, value.encode())
-        return await self._propose(bytes.fromhex(id[0]) if id else None, data, void=False)
+        key, value, *proposal_id = arguments
+        data = pack_assignment(key, value.encode())
+        return await self._propose(_parse_id(proposal_id[0]) if proposal_id else None, data, void=False)
 
     async def _void(self, arguments: list[str]) -> str:
-        """Make sure that a proposal whose outcome is unknown is never agreed, if it was not by now."""
-        return await self._propose(bytes.fromhex(arguments[0]), b"", void=True)
+        """Make sure that a proposal whose outcome is unknown is never committed, if it is not by now."""
+        return await self._propose(_parse_id(arguments[0]), b"", void=True)
 
-    async def _propose(self, known: bytes | None, data: bytes, *, void: bool) -> str:
-        """Propose; `known` is the id of an earlier try."""
+    async def _propose(self, earlier_id: bytes | None, data: bytes, *, void: bool) -> str:
+        """Propose; `earlier_id` is that of an earlier attempt."""
         participant = self._part.participant
-        id = known or (participant.new_proposal_id() if participant is not None else NO_ID)
+        proposal_id = earlier_id or (participant.new_proposal_id() if participant is not None else NO_ID)
+        repeated = earlier_id is not None
 
         def begin(participant: Participant) -> int:
-            return participant.propose(now(), id, data, now() + CALL_TIMEOUT, repeated=known is not None, void=void)
+            deadline = now() + CALL_TIMEOUT_S
+            return participant.propose(now(), proposal_id, data, deadline, repeated=repeated, void=void)
 
-        return _render(id, await self._part.outcome(begin))
+        return _render(proposal_id, await self._part.outcome(begin))
 
     async def _read(self) -> Outcome:
-        return await self._part.outcome(lambda participant: participant.read(now(), now() + CALL_TIMEOUT))
+        return await self._part.outcome(lambda participant: participant.read(now(), now() + CALL_TIMEOUT_S))
 
-    async def _ask(self, arguments: list[str]) -> str:
-        """What has become of a proposal, as far as all that is agreed by now shows."""
-        id = bytes.fromhex(arguments[0])
+    async def _query(self, arguments: list[str]) -> str:
+        """Tell what became of a proposal, by all that is committed now."""
+        proposal_id = _parse_id(arguments[0])
         read = await self._read()
         participant = self._part.participant
         if read.state is not OutcomeState.COMMITTED or participant is None:
-            return _render(id, Outcome(OutcomeState.UNKNOWN, why=read.why, again=read.again))
-        missing = Outcome(OutcomeState.UNKNOWN, why=f"not agreed up to {read.at}; agree-void makes sure")
-        return _render(id, participant.replica.outcome(id) or missing)
+            unknown = Outcome(OutcomeState.UNKNOWN, reason=read.reason, retry_after_s=read.retry_after_s)
+            return _render(proposal_id, unknown)
+        missing = Outcome(OutcomeState.UNKNOWN, reason=f"not agreed up to {read.at_index}; agree-void makes sure")
+        return _render(proposal_id, participant.state.outcome(proposal_id) or missing)
 
     async def _get(self, arguments: list[str]) -> str:
         read = await self._read()
         participant = self._part.participant
         if read.state is not OutcomeState.COMMITTED or participant is None:
-            return f"FAILURE {read.why}; again in {read.again:.1f} s\n"
-        fact = self._part.machine.known.get(arguments[0])
-        shown = f"set-at {fact.at} times {fact.times} {fact.value.decode()}" if fact is not None else "not set"
-        return f"SUCCESS upto {participant.replica.applied_index} {shown}\n"
-
-    # --- who takes part, and who leads ---
+            return f"FAILURE {read.reason}; again in {read.retry_after_s:.1f} s\n"
+        stored = self._part.machine.values.get(arguments[0])
+        shown = "not set"
+        if stored is not None:
+            shown = f"set-at {stored.at_index} times {stored.times_set} {stored.value.decode()}"
+        return f"SUCCESS upto {participant.state.applied_index} {shown}\n"
 
     def _change(self, change: Callable[[Participant], str]) -> str:
-        """Have the member change something; the answer, also where it refuses."""
-        if (participant := self._part.participant) is None:
+        """Have the participant change something; return the answer, also where it is rejected."""
+        participant = self._part.participant
+        if participant is None:
             return self._idle()
         try:
             answer = change(participant)
         except RejectedError as error:
-            return f"FAILURE {error}{f'; the leader is {node_name(error.leader)}' if error.leader else ''}\n"
+            hint = f"; the leader is {node_name(error.leader)}" if error.leader else ""
+            return f"FAILURE {error}{hint}\n"
         self._part.pump()
         return f"{answer}\n"
 
     async def _add(self, arguments: list[str]) -> str:
-        """Make a node a learner; let it vote if it is a learner already."""
-        return self._change(lambda participant: _render_added(participant.add_node(now(), arguments[0])))
+        """Make a node a learner; make it a voter if it is a learner already."""
+        return self._change(lambda participant: _render_added(add_node(participant, now(), arguments[0])))
 
     async def _remove(self, arguments: list[str]) -> str:
-        """Let a node take no part any more; a leader hands over first."""
+        """Remove a node from the members; a leader transfers its leadership first."""
         name = arguments[0]
-        return self._change(lambda participant: _render_removed(name, participant.remove_node(now(), name)))
+        return self._change(lambda participant: _render_removed(name, remove_node(participant, now(), name)))
 
     async def _transfer(self, arguments: list[str]) -> str:
         """Have another voter lead."""
-        return self._change(lambda participant: f"SUCCESS {participant.transfer(now(), arguments[0])} is told to lead")
+        return self._change(
+            lambda participant: f"SUCCESS {transfer_leadership(participant, now(), arguments[0])} is told to lead"
+        )
 
     async def _snapshot(self, arguments: list[str]) -> str:
-        """Keep the state now, and let go of the log before it."""
+        """Keep a snapshot now, and drop the log before it."""
         participant = self._part.participant
         if participant is None:
             return self._idle()
@@ -165,64 +172,74 @@
         return f"SUCCESS upto {participant.raft.log.snapshot_index}\n"
 
 
-def _checked(least: int, most: int, order: CommandHandler) -> CommandHandler:
-    """Wrap a call: check the number of its arguments, and answer a ValueError as a failure."""
+def _checked(min_arguments: int, max_arguments: int, handler: CommandHandler) -> CommandHandler:
+    """Wrap a call: check the number of its arguments, and answer an argument of the wrong form as a failure."""
 
     async def checked(arguments: list[str]) -> str:
-        if not least <= len(arguments) <= most:
-            return f"FAILURE takes {least} to {most} words\n"
+        if not min_arguments <= len(arguments) <= max_arguments:
+            return f"FAILURE takes {min_arguments} to {max_arguments} words\n"
         try:
-            return await order(arguments)
-        except ValueError as error:
+            return await handler(arguments)
+        except (InvalidRequestError, UnicodeError) as error:
             return f"FAILURE {error}\n"
 
     return checked
 
 
-def _member_lines(participant: Participant, standing: StoreStatus) -> list[str]:
-    core = participant.raft
+def _parse_id(text: str) -> bytes:
+    """Return a proposal id. Raises InvalidRequestError."""
+    try:
+        return bytes.fromhex(text)
+    except ValueError as error:
+        raise InvalidRequestError(str(error)) from error
+
+
+def _participant_lines(participant: Participant, store_status: StoreStatus) -> list[str]:
+    raft = participant.raft
+    is_observer = not participant.receives_log
+    upstream = node_name(participant.observer.upstream) if is_observer else ""
     return [
         f"identity {participant.name}",
-        f"standing {standing.value}",
-        f"role {ROLE_NAMES[core.role] if participant.votes else 'observer'}",
-        f"term {core.term}",
+        f"standing {store_status.value}",
+        f"role {'observer' if is_observer else ROLE_NAMES[raft.role]}",
+        f"term {raft.term}",
         f"leader {node_name(participant.leader) or '-'}",
-        f"commit {core.log.commit_index}",
-        f"applied {participant.replica.applied_index}",
-        f"chain {participant.replica.chain.hex()}",
-        f"log-bytes {core.log.size_bytes}",
-        f"snapshot {participant.raft.log.snapshot_index}",
-        f"follows {node_name(participant.observer.upstream) or '-'}" if not participant.votes else "follows -",
+        f"commit {raft.log.commit_index}",
+        f"applied {participant.state.applied_index}",
+        f"chain {participant.state.log_digest.hex()}",
+        f"log-bytes {raft.log.size_bytes}",
+        f"snapshot {raft.log.snapshot_index}",
+        f"follows {upstream or '-'}",
     ]
 
 
-def _voter_lines(participant: Participant) -> list[str]:
+def _member_lines(participant: Participant) -> list[str]:
     """One line for each voter and learner, with the entries that it lacks where the leader is asked."""
     leads = participant.raft.role is Role.LEADER
     lines = []
     for name in participant.membership.everybody:
-        part = "voter" if name in participant.membership.voters else "learner"
-        lines.append(f"{part} {name} lag {participant.raft.lag(name) if leads else '-'}")
+        kind = "voter" if name in participant.membership.voters else "learner"
+        lines.append(f"{kind} {name} lag {participant.raft.lag(name) if leads else '-'}")
     return lines
 
 
-def _render(id: bytes, outcome: Outcome) -> str:
+def _render(proposal_id: bytes, outcome: Outcome) -> str:
     """The answer that tells the outcome of a proposal."""
-    again = f"; again in {outcome.again:.1f} s" if outcome.again else ""
+    again = f"; again in {outcome.retry_after_s:.1f} s" if outcome.retry_after_s else ""
     match outcome.state:
         case OutcomeState.COMMITTED:
-            return f"SUCCESS agreed {outcome.at} {id.hex()} {outcome.answer.decode()}\n"
+            return f"SUCCESS agreed {outcome.at_index} {proposal_id.hex()} {outcome.result.decode()}\n"
         case OutcomeState.REJECTED:
-            return f"FAILURE refused {id.hex()} {outcome.why}{again}\n"
+            return f"FAILURE refused {proposal_id.hex()} {outcome.reason}{again}\n"
         case _:
-            return f"FAILURE unknown {id.hex()} {outcome.why}{again}\n"
+            return f"FAILURE unknown {proposal_id.hex()} {outcome.reason}{again}\n"
 
 
 def _render_added(added: AddedNode) -> str:
     return f"SUCCESS {added.identity} {'votes' if added.votes else 'learns; call again to let it vote'}"
 
 
-def _render_removed(name: str, instead: TransferStarted | None) -> str:
-    if instead is not None:
-        return f"FAILURE it leads and hands over to {node_name(instead.to)}; call again there"
+def _render_removed(name: str, transfer: TransferStarted | None) -> str:
+    if transfer is not None:
+        return f"FAILURE it leads and hands over to {node_name(transfer.to)}; call again there"
     return f"SUCCESS {name} goes"
--- a/chutepin/consensus/participant.py
+++ b/chutepin/consensus/participant.py
@@ -1,606 +1,398 @@
-"""One node's part in the log in common: consensus, the state that follows, and who waits for what. Pure.
+"""One node's part in the replicated log: Raft, the state that follows from it, and the requests that wait for it.
 
-Times and chance are arguments; what is to be done comes out of `take`, in order. Nothing behind a `Persist` may be
-done before it is durable; `Apply`, `Restore` and `Readable` are to be given back by `done` when their turn has come.
-The same text runs in the node and in the simulator."""
+Pure: time and a random generator are arguments, and what is to be done comes out of `drain_effects`, in order. Nothing
+behind a `Persist` may be done before it is durable; `Apply`, `Restore` and `ReadReady` are given back by `done` when
+their turn has come. The same code runs in the node and in the simulator."""
 
 from __future__ import annotations
 
 import math
 import random
 from collections import Counter
-from dataclasses import dataclass
 from typing import NamedTuple
 
-from .errors import RejectedError
+from .directory import NodeDirectory
+from .errors import RejectedError, UnsupportedFormatError
+from .fetch_queue import FetchQueue, FetchSource
 from .identity import node_name
-from .messages import Apply, Entry, Membership, Persist, RaftMessage, ReadReady, Restore, Snapshot
-from .messages import Send as CoreSend
-from .observer import FetchReply, FetchRequest, Observer, PendingFetches
+from .messages import Apply, Entry, Membership, ReadReady, Restore, Snapshot
+from .messages import Send as RaftSend
+from .observer import Observer
+from .outbox import Effect, Outbox, Send
 from .persistent_state import PersistentState
+from .proposals import ProposalTracker
+from .protocol import (
+    FetchReply,
+    FetchRequest,
+    ForwardProposal,
+    Greeting,
+    ParticipantMessage,
+    ProposalRejected,
+    ReadIndexReply,
+    ReadIndexRequest,
+)
 from .raft import RaftNode
-from .replica import (
+from .reads import ReadTracker
+from .replicated_state import (
     MAX_PROPOSAL_BYTES,
+    PROPOSAL_ID_BYTES,
     Outcome,
     OutcomeState,
     Proposal,
-    Replica,
+    ReplicatedState,
     StateMachine,
     new_proposal_id,
     pack_proposal,
 )
+from .retry import RetrySchedule
 from .settings import RaftSettings
 from .state import Role
 
-MAX_WAITING = 256  # proposals and reads of this node that are not decided yet
-GREETED, GREET_EVERY = 4, 1.0  # nodes that a leader greets at once, seconds between
-MAX_FORWARDED = 1024  # reads of others that wait for their round
-
-
-class ForwardProposal(NamedTuple):
-    """Propose this for me; it is `replica.pack`ed."""
-
-    id: bytes
-    version: int
-    data: bytes
-
-
-class ProposalRejected(NamedTuple):
-    """Nothing was done about the proposal with that id. `final`: nor will be, whoever is asked."""
-
-    id: bytes
-    why: str
-    final: bool
-
-
-class ReadIndexRequest(NamedTuple):
-    """From which index on does a read see all that is agreed now?"""
-
-    number: int
-
-
-class ReadIndexReply(NamedTuple):
-    """From this one on; -1: ask elsewhere."""
-
-    number: int
-    up_to_index: int
-
-
-class Greeting(NamedTuple):
-    """A leader wants to know as whom a node takes part, and which entries it knows; `asked` is false in the answer.
-    Who speaks has said both when its connection began."""
-
-    asked: bool
-
-
-ParticipantMessage = (
-    RaftMessage
-    | Greeting
-    | ForwardProposal
-    | ProposalRejected
-    | ReadIndexRequest
-    | ReadIndexReply
-    | FetchRequest
-    | FetchReply
-)
-
-
-class Send(NamedTuple):
-    """A word for another member."""
-
-    to: str
-    message: ParticipantMessage
-
-
-class RequestCompleted(NamedTuple):
-    """To whoever holds this ticket."""
-
-    ticket: int
-    outcome: Outcome
-
-
-class LogEvent(NamedTuple):
-    """For the log and operators."""
-
-    what: str
-    fields: dict[str, object]
-
-
-class AddedNode(NamedTuple):
-    """A node takes part under `identity`: as a voter, or as a learner until it has caught up."""
-
-    identity: str
-    votes: bool
+MAX_PENDING_REQUESTS = 256  # proposals and reads of this node without an outcome
 
 
-class TransferStarted(NamedTuple):
-    """The leader hands over to the voter `to`."""
+class _Reported(NamedTuple):
+    """What was last logged of the leader."""
 
-    to: str
-
-
-Effect = Persist | Apply | Restore | ReadReady | Send | RequestCompleted | LogEvent
-
-
-@dataclass(slots=True)
-class _Proposed:
-    ticket: int
-    version: int
-    data: bytes
-    by: float
-    next: float  # ask again
-    repeated: bool  # an earlier try may be on its way
-
-
-@dataclass(slots=True)
-class _Read:
-    ticket: int
-    by: float
-    next: float
-    up_to_index: int = -1  # once it is known
+    leads: bool
+    leader: str
 
 
 class Participant:
-    """One node."""
+    """One node's part."""
 
     def __init__(
         self,
         name: str,
-        first: Membership,
-        durable: PersistentState,
+        initial_membership: Membership,
+        saved: PersistentState,
         machine: StateMachine,
         now: float,
         rng: random.Random,
         settings: RaftSettings,
+        raft_type: type[RaftNode] = RaftNode,
     ) -> None:
-        """`durable` is what the journal holds; `first` who votes before the log says otherwise."""
-        self.name, self._settings, self._rng = name, settings, rng
-        self.raft = RaftNode(name, first, durable, now, rng, settings)
-        self.replica = Replica(machine)
+        """`saved` is what the journal holds; `initial_membership` holds until the log says otherwise."""
+        self.name = name
+        self._settings = settings
+        self._rng = rng
+        self.raft = raft_type(name, initial_membership, saved, now, rng, settings)
+        self.state = ReplicatedState(machine)
         self.observer = Observer(name, now, rng, settings.heartbeat_interval_s)
-        self.subscribers = PendingFetches(settings.max_chunk_bytes, settings.heartbeat_interval_s)
-        self.alive: tuple[str, ...] = ()  # nodes that live; the edge keeps it
-        self.known: dict[str, tuple[str, int]] = {}  # a node to its identity and the version of entries that it knows
+        self.directory = NodeDirectory(name, now)
         self.counts: Counter[str] = Counter()
-        self._proposed: dict[bytes, _Proposed] = {}
-        self._reads: dict[int, _Read] = {}
-        self._forwarded: dict[int, tuple[str, int]] = {}  # a read of the core to who asked, and its number
-        self._number = self._ticket = 0
-        self._greet_at = now
-        self._was: tuple[Role, int, str] = (Role.FOLLOWER, 0, "")
-        self._members = self.raft.membership
-        self._effects: list[Effect] = []
-        self._from_core()
-
-    # --- in and out ---
+        self._outbox = Outbox()
+        retries = RetrySchedule(settings, rng)
+        self._proposals = ProposalTracker(self._outbox, retries)
+        self._reads = ReadTracker(name, self._outbox, retries)
+        self._fetches = FetchQueue(settings.max_chunk_bytes, settings.heartbeat_interval_s)
+        self._last_ticket = 0
+        self._reported = _Reported(False, "")
+        self._reported_membership = self.raft.membership
+        self._drain_raft()
 
     def drain_effects(self) -> list[Effect]:
-        """What is to be done since the last time, in order."""
-        effects, self._effects = self._effects, []
-        return effects
+        """Return what is to be done since the last call, in order."""
+        return self._outbox.drain()
 
     def next_deadline(self) -> float:
-        """When `tick` is due."""
-        at = min(self.raft.next_deadline() if self._active else math.inf, self.subscribers.next_deadline())
-        if not self.votes or self._orphaned:
-            at = min(at, self.observer.next_deadline())
+        """Return when `tick` is due."""
         return min(
-            (
-                at,
-                *(min(waiting.by, waiting.next) for waiting in self._proposed.values()),
-                *(min(waiting.by, waiting.next) for waiting in self._reads.values()),
-            )
+            self.raft.next_deadline() if self._runs_raft else math.inf,
+            self.observer.next_deadline() if self._fetches_entries else math.inf,
+            self._fetches.next_deadline(),
+            *self._proposals.deadlines(),
+            *self._reads.deadlines(),
         )
 
     @property
-    def votes(self) -> bool:
-        """It is told everything by the leader itself, as a voter or to become one."""
+    def receives_log(self) -> bool:
+        """Whether the leader itself replicates to it, as to a voter or a learner."""
         return self.name in self.membership.everybody
 
     @property
-    def _active(self) -> bool:
-        """Its core has times to keep; also a leader's that goes, until that is agreed."""
-        return self.votes or self.raft.role is Role.LEADER
+    def _runs_raft(self) -> bool:
+        """Whether Raft's timers run; also those of a leader until its own removal is committed."""
+        return self.receives_log or self.raft.role is Role.LEADER
 
     @property
-    def _orphaned(self) -> bool:
-        """It should hear a leader and does not: it was cut off, or removed without having been told."""
-        return self.raft.leader == ""
+    def _fetches_entries(self) -> bool:
+        """Whether it fetches entries; also a voter that hears no leader: it may be removed, or cut off from some."""
+        return not self.receives_log or self.raft.leader == ""
 
     @property
     def leader(self) -> str:
-        """Who leads, as far as is known here; empty for nobody."""
-        if self.raft.role is Role.LEADER:  # also one that goes, until that is agreed
+        """The leader, as far as is known here; empty if unknown."""
+        if self.raft.role is Role.LEADER:
             return self.name
-        return (self.raft.leader if self.votes else "") or self.observer.leader
+        return (self.raft.leader if self.receives_log else "") or self.observer.leader
 
     @property
     def membership(self) -> Membership:
-        """Who takes part, as far as is known here. The log's own word is older than that of others where they have
-        told more than it holds."""
-        ahead = self.replica.applied_index > self.raft.log.last_index and self.replica.membership.voters
-        return self.replica.membership if ahead else self.raft.membership
+        """Voters and learners, by its own log or by what it has fetched, whichever is newer."""
+        is_ahead_of_log = self.state.applied_index > self.raft.log.last_index
+        if is_ahead_of_log and self.state.membership.voters:
+            return self.state.membership
+        return self.raft.membership
 
     @property
-    def waiting(self) -> int:
-        """Proposals and reads that are not decided yet."""
-        return len(self._proposed) + len(self._reads)
+    def pending_requests(self) -> int:
+        """How many proposals and reads of this node have no outcome yet."""
+        return len(self._proposals) + len(self._reads)
+
+    def set_alive(self, names: tuple[str, ...]) -> None:
+        """Note which nodes are alive, sorted by name."""
+        voters = set(map(node_name, self.membership.voters))
+        self.directory.alive = names
+        self.observer.peers = tuple(name for name in names if name not in voters)
 
     def tick(self, now: float) -> None:
         """Do what is due."""
-        if self._active and now >= self.raft.next_deadline():
+        if self._runs_raft and now >= self.raft.next_deadline():
             self.raft.tick(now)
-            self._from_core()
-        if (not self.votes or self._orphaned) and now >= self.observer.next_deadline():
+            self._drain_raft()
+        if self._fetches_entries and now >= self.observer.next_deadline():
             voters = tuple(name for name in self.membership.voters if name != self.name)
-            if (pull := self.observer.pull(now, self.replica.applied_index, voters)) is not None:
-                self._effects.append(Send(*pull))
-        self._greet(now)
-        self._feed(now)
-        self._again(now)
-        self._changed(now)
-
-    def _greet(self, now: float) -> None:
-        """A leader must know all: whom an operator lets vote, and what it may agree on."""
-        if self.raft.role is not Role.LEADER or now < self._greet_at:
-            return
-        self._greet_at = now + GREET_EVERY
-        strangers = [name for name in self.alive if name not in self.known and name != node_name(self.name)]
-        for name in self._rng.sample(strangers, min(GREETED, len(strangers))):
-            self._effects.append(Send(name, Greeting(True)))
-
-    def met(self, identity: str, version: int) -> None:
-        """A node that speaks, as whom, and what it knows."""
-        if node_name(identity) in self.alive or node_name(identity) in self.known:
-            self.known[node_name(identity)] = identity, version
-
-    def receive(self, now: float, sender: str, word: ParticipantMessage) -> None:
-        """Take in what another member says."""
-        match word:
+            fetch = self.observer.next_fetch(now, self.state.applied_index, voters)
+            if fetch is not None:
+                self._outbox.add(Send(*fetch))
+        if self.raft.role is Role.LEADER:
+            self.directory.greet_unknown(now, self._rng, self._outbox)
+        self._answer_fetches(now)
+        self._proposals.retry(now, self._submit_proposal)
+        self._reads.retry(now, self._submit_read, self._settings.election_timeout_s)
+        self._report_changes(now)
+
+    def receive(self, now: float, sender: str, message: ParticipantMessage) -> None:
+        """Take a message of another member."""
+        match message:
             case ForwardProposal():
-                self._forward(now, sender, word)
+                self._accept_proposal(now, sender, message)
             case ProposalRejected():
-                self._rejected(now, word)
+                self._proposals.receive_rejection(now, message)
             case ReadIndexRequest():
-                self._asked(now, sender, word.number)
+                self._serve_read(sender, message.number)
             case ReadIndexReply():
-                self._readable(now, word.number, word.up_to_index)
+                self._reads.receive_index(now, message, self.state.applied_index)
             case Greeting():
-                if word.asked:
-                    self._effects.append(Send(sender, Greeting(False)))
+                if message.wants_reply:
+                    self._outbox.send(sender, Greeting(False))
             case FetchRequest():
-                self.subscribers.ask(now, sender, word)
-                self._feed(now)
+                self._fetches.add(now, sender, message)
+                self._answer_fetches(now)
             case FetchReply():
-                self._fed(now, sender, word)
+                self._receive_fetched(now, sender, message)
             case _:
-                self.raft.receive(now, sender, word)
+                self.raft.receive(now, sender, message)
                 self.raft.announce_commit()
-                self._from_core()
-        self._changed(now)
+                self._drain_raft()
+        self._report_changes(now)
 
     def done(self, now: float, effect: Apply | Restore | ReadReady) -> None:
-        """The turn of one of these effects has come: all before it is durable."""
+        """Carry out an effect whose turn has come: all before it is durable."""
         match effect:
             case Apply():
                 self._apply(now, effect.entries)
             case Restore():
                 self._restore(now, effect.snapshot)
             case ReadReady():
-                sender, number = self._forwarded.pop(effect.read_id, ("", -1))
-                if sender == self.name:
-                    self._readable(now, number, effect.index)
-                elif sender:
-                    self._effects.append(Send(sender, ReadIndexReply(number, effect.index)))
+                self._reads.finish(now, effect, self.state.applied_index)
 
-    def _from_core(self) -> None:
+    def _drain_raft(self) -> None:
         for effect in self.raft.drain_effects():
-            self._effects.append(Send(*effect) if isinstance(effect, CoreSend) else effect)
+            self._outbox.add(Send(*effect) if isinstance(effect, RaftSend) else effect)
 
-    def _changed(self, now: float) -> None:
-        """Say what an operator may want to know."""
-        core = self.raft
+    def _report_changes(self, now: float) -> None:
+        """Log a change of leader or membership; send again what the former leader may never answer."""
         leader = self.leader
-        if leader and leader != self._was[2]:  # what was said to the former one may never be answered
-            for proposed in self._proposed.values():
-                proposed.next = now
-            for read in self._reads.values():
-                read.next = now
-        if (core.role is Role.LEADER) != (self._was[0] is Role.LEADER) or leader != self._was[2]:
-            what = "leads" if core.role is Role.LEADER else "follows" if self.leader else "no_leader"
-            self.counts[what] += 1
-            self._effects.append(LogEvent(what, {"leader": leader, "term": core.term}))
-        self._was = core.role, core.term, leader
-        if self.membership != self._members:
-            self._members = self.membership
-            self._effects.append(
-                LogEvent(
-                    "members", {"voters": ",".join(self._members.voters), "learners": ",".join(self._members.learners)}
-                )
-            )
-
-    # --- the state ---
+        leads = self.raft.role is Role.LEADER
+        if leader and leader != self._reported.leader:
+            self._proposals.retry_at(now)
+            self._reads.retry_at(now)
+        if (leads, leader) != self._reported:
+            self._report_leader(leads, leader)
+        membership = self.membership
+        if membership != self._reported_membership:
+            self._reported_membership = membership
+            names = {"voters": ",".join(membership.voters), "learners": ",".join(membership.learners)}
+            self._outbox.log("membership_changed", {**names})
+
+    def _report_leader(self, leads: bool, leader: str) -> None:
+        self._reported = _Reported(leads, leader)
+        if leads:
+            event = "leader_elected"
+        elif leader:
+            event = "following_leader"
+        else:
+            event = "no_leader"
+        self.counts[event] += 1
+        self._outbox.log(event, {"leader": leader, "term": self.raft.term})
 
     def _apply(self, now: float, entries: tuple[Entry, ...]) -> None:
-        for id, outcome in self.replica.apply(entries):
-            if (proposed := self._proposed.pop(id, None)) is not None:
-                self._answer(proposed.ticket, outcome)
-        self._reads_done()
+        for proposal_id, outcome in self.state.apply(entries):
+            self._proposals.complete(proposal_id, outcome)
+        self._reads.complete(self.state.applied_index)
         self.raft.announce_commit()
-        self._from_core()
-        self._feed(now)
+        self._drain_raft()
+        self._answer_fetches(now)
 
     def _restore(self, now: float, snapshot: Snapshot) -> None:
         try:
-            if not self.replica.restore(snapshot):
+            if not self.state.restore(snapshot):
                 return
-        except ValueError as error:
-            self._effects.append(LogEvent("unknown_format", {"why": str(error)}))
+        except UnsupportedFormatError as error:
+            self._outbox.log("unsupported_format", {"why": str(error)})
             return
-        for id in list(self._proposed):  # what was decided by an entry that was never seen here
-            if (outcome := self.replica.outcome(id)) is not None:
-                self._answer(self._proposed.pop(id).ticket, outcome)
-        self._reads_done()
-        self._feed(now)
+        self._proposals.complete_decided(self.state)
+        self._reads.complete(self.state.applied_index)
+        self._answer_fetches(now)
 
     def compact(self, now: float) -> None:
-        """Keep the state, and let go of the log that led to it."""
-        if self.replica.applied_index == self.raft.log.commit_index:  # else effects of the core are on their way here
-            self.raft.compact(now, self.replica.snapshot())
-            self._from_core()
-
-    # --- proposals ---
+        """Keep a snapshot of the state and drop the log before it, unless committed entries are yet to be applied."""
+        if self.state.applied_index == self.raft.log.commit_index:
+            self.raft.compact(now, self.state.snapshot())
+            self._drain_raft()
 
     def new_proposal_id(self) -> bytes:
-        """For a proposal that is made now."""
-        return new_proposal_id(self.replica.applied_index, self._rng.getrandbits(64))
+        """Return an id for a proposal that is made now."""
+        return new_proposal_id(self.state.applied_index, self._rng.getrandbits(64))
 
     def propose(
         self,
         now: float,
-        id: bytes,
+        proposal_id: bytes,
         data: bytes,
-        by: float,
+        deadline: float,
         version: int = 1,
         *,
         repeated: bool = False,
         void: bool = False,
     ) -> int:
-        """Have something agreed. `repeated`: it was proposed before under this id, and may have been agreed; it counts
-        once. `void`: make sure that the one with this id never comes, if it has not yet. The ticket; its `Answer` comes
-        by `by` (unknown then), or at once where nothing can be done."""
+        """Propose; return the ticket of the answer, which comes by `deadline`, or at once where nothing can be done.
+
+        `repeated`: it was proposed before under this id, and counts once. `void`: make sure that the proposal with
+        this id is never committed, unless it is by now."""
         repeated = repeated or void
-        self._ticket += 1
-        if (outcome := self.replica.outcome(id)) is not None:
-            self._answer(self._ticket, outcome)
-        elif (why := self._why_not(id, data)) is not None:
-            self.counts["refused"] += 1
-            state = OutcomeState.UNKNOWN if repeated or id in self._proposed else OutcomeState.REJECTED
-            self._answer(self._ticket, Outcome(state, why=why, again=self._settings.election_timeout_s))
-        else:
-            packed = pack_proposal(Proposal(id, version, data, void))
-            self._proposed[id] = _Proposed(self._ticket, version, packed, by, now + self._later(), repeated)
-            self._say(now, id)
-        return self._ticket
-
-    def _why_not(self, id: bytes, data: bytes) -> str | None:
-        if len(id) != 16 or len(data) > MAX_PROPOSAL_BYTES:
-            return f"an id has 16 bytes, a proposal up to {MAX_PROPOSAL_BYTES}"
-        if id in self._proposed:
+        ticket = self._new_ticket()
+        outcome = self.state.outcome(proposal_id)
+        if outcome is not None:
+            self._outbox.complete(ticket, outcome)
+            return ticket
+        obstacle = self._obstacle(proposal_id, data)
+        if obstacle is not None:
+            self.counts["proposal_rejected"] += 1
+            state = OutcomeState.UNKNOWN if repeated or proposal_id in self._proposals else OutcomeState.REJECTED
+            retry_after_s = self._settings.election_timeout_s
+            self._outbox.complete(ticket, Outcome(state, reason=obstacle, retry_after_s=retry_after_s))
+            return ticket
+        packed = pack_proposal(Proposal(proposal_id, version, data, void))
+        message = ForwardProposal(proposal_id, version, packed)
+        self._proposals.add(now, ticket, message, deadline, repeated=repeated)
+        self._submit_proposal(now, message)
+        return ticket
+
+    def _new_ticket(self) -> int:
+        self._last_ticket += 1
+        return self._last_ticket
+
+    def _obstacle(self, proposal_id: bytes, data: bytes) -> str | None:
+        """Return why a proposal cannot be made now."""
+        if len(proposal_id) != PROPOSAL_ID_BYTES or len(data) > MAX_PROPOSAL_BYTES:
+            return f"an id has {PROPOSAL_ID_BYTES} bytes, a proposal up to {MAX_PROPOSAL_BYTES}"
+        if proposal_id in self._proposals:
             return "under way"
-        if self.waiting >= MAX_WAITING:
+        if self.pending_requests >= MAX_PENDING_REQUESTS:
             return "full"
         return None if self.leader else "no leader"
 
-    def _later(self) -> float:
-        return self._settings.election_timeout_s * (0.5 + 0.5 * self._rng.random())
-
-    def _say(self, now: float, id: bytes) -> None:
-        """Bring a proposal to the leader."""
-        proposed = self._proposed[id]
-        word = ForwardProposal(id, proposed.version, proposed.data)
+    def _submit_proposal(self, now: float, message: ForwardProposal) -> None:
         if self.raft.role is Role.LEADER:
-            self._forward(now, self.name, word)
+            self._accept_proposal(now, self.name, message)
         elif self.leader:
-            self._effects.append(Send(self.leader, word))
-
-    def _forward(self, now: float, sender: str, word: ForwardProposal) -> None:
-        """The leader's part."""
-        there = {*self.alive, *map(node_name, self.raft.membership.everybody)}
-        for name in self.known.keys() - there:
-            del self.known[name]
-        old = sorted(name for name, (_, version) in self.known.items() if version < word.version)
+            self._outbox.send(self.leader, message)
+
+    def _accept_proposal(self, now: float, sender: str, message: ForwardProposal) -> None:
+        """Append a proposal to the log, as the leader; it is skipped where its outcome is known already."""
+        self.directory.forget_departed(self.raft.membership)
+        outdated = self.directory.outdated(message.version)
         try:
-            if old:
-                raise RejectedError(f"{old[0]} does not know version {word.version}")
+            if outdated:
+                raise RejectedError(f"{outdated[0]} does not know version {message.version}")
             if self.raft.log.size_bytes > 2 * self._settings.max_log_bytes:
                 raise RejectedError("full")
-            if self.replica.outcome(word.id) is None:
-                self.raft.propose(word.data)
-                self._from_core()
+            if self.state.outcome(message.proposal_id) is None:
+                self.raft.propose(message.data)
+                self._drain_raft()
         except RejectedError as error:
-            rejected = ProposalRejected(word.id, str(error), bool(old))
+            rejection = ProposalRejected(message.proposal_id, str(error), bool(outdated))
             if sender == self.name:
-                self._rejected(now, rejected)
+                self._proposals.receive_rejection(now, rejection)
             else:
-                self._effects.append(Send(sender, rejected))
-
-    def _rejected(self, now: float, word: ProposalRejected) -> None:
-        """Ask again soon, or not at all. Where an earlier try may be on its way it stays unknown."""
-        proposed = self._proposed.get(word.id)
-        if proposed is None:
-            return
-        if word.final:
-            del self._proposed[word.id]
-            self._answer(
-                proposed.ticket,
-                Outcome(OutcomeState.UNKNOWN if proposed.repeated else OutcomeState.REJECTED, why=word.why),
-            )
+                self._outbox.send(sender, rejection)
+
+    def read(self, now: float, deadline: float) -> int:
+        """Have the state here come to show all that is committed now; return the ticket of the answer.
+
+        The answer is COMMITTED with the index that the state shows then, or REJECTED."""
+        ticket = self._new_ticket()
+        number = self._reads.new_number()
+        if self.pending_requests >= MAX_PENDING_REQUESTS or not self.leader:
+            reason = "no leader" if not self.leader else "full"
+            retry_after_s = self._settings.election_timeout_s
+            outcome = Outcome(OutcomeState.REJECTED, reason=reason, retry_after_s=retry_after_s)
+            self._outbox.complete(ticket, outcome)
         else:
-            proposed.next = min(proposed.next, now + self._settings.heartbeat_interval_s)
-
-    def _again(self, now: float) -> None:
-        """What was not decided in time is asked for again, or is unknown from now on."""
-        for id, proposed in list(self._proposed.items()):
-            if now >= proposed.by:
-                del self._proposed[id]
-                self._answer(proposed.ticket, Outcome(OutcomeState.UNKNOWN, why="not decided in time"))
-            elif now >= proposed.next:
-                proposed.next, proposed.repeated = now + self._later(), True
-                self._say(now, id)
-        for number, read in list(self._reads.items()):
-            if now >= read.by:
-                del self._reads[number]
-                self._answer(
-                    read.ticket,
-                    Outcome(
-                        OutcomeState.REJECTED, why="no leader answered in time", again=self._settings.election_timeout_s
-                    ),
-                )
-            elif now >= read.next:
-                read.next = now + self._later()
-                if read.up_to_index < 0:
-                    self._ask(now, number)
-
-    def _answer(self, ticket: int, outcome: Outcome) -> None:
-        self._effects.append(RequestCompleted(ticket, outcome))
-
-    # --- reads ---
-
-    def read(self, now: float, by: float) -> int:
-        """Have this copy come to where it shows all that is agreed at this moment; the ticket. The answer is `AGREED`
-        with the index up to which it then shows, or `REFUSED`."""
-        self._ticket += 1
-        self._number += 1
-        if self.waiting >= MAX_WAITING or not self.leader:
-            why = "no leader" if not self.leader else "full"
-            self._answer(self._ticket, Outcome(OutcomeState.REJECTED, why=why, again=self._settings.election_timeout_s))
-        else:
-            self._reads[self._number] = _Read(self._ticket, by, now + self._later())
-            self._ask(now, self._number)
-        return self._ticket
+            self._reads.add(now, number, ticket, deadline)
+            self._submit_read(now, number)
+        return ticket
 
-    def _ask(self, now: float, number: int) -> None:
+    def _submit_read(self, now: float, number: int) -> None:
         if self.raft.role is Role.LEADER:
-            self._asked(now, self.name, number)
+            self._serve_read(self.name, number)
         elif self.leader:
-            self._effects.append(Send(self.leader, ReadIndexRequest(number)))
-
-    def _asked(self, now: float, sender: str, number: int) -> None:
-        if len(self._forwarded) >= MAX_FORWARDED:
-            return
-        self._number += 1
-        try:
-            self._forwarded[self._number] = sender, number
-            self.raft.read(self._number)
-            self._from_core()
-        except RejectedError:
-            del self._forwarded[self._number]
-            if sender != self.name:
-                self._effects.append(Send(sender, ReadIndexReply(number, -1)))
-
-    def _readable(self, now: float, number: int, up_to_index: int) -> None:
-        read = self._reads.get(number)
-        if read is None:
-            return
-        if up_to_index < 0:
-            read.next = min(read.next, now + self._settings.heartbeat_interval_s)
-        elif read.up_to_index < 0:
-            read.up_to_index = up_to_index
-            self._reads_done()
-
-    def _reads_done(self) -> None:
-        for number, read in list(self._reads.items()):
-            if 0 <= read.up_to_index <= self.replica.applied_index:
-                del self._reads[number]
-                self._answer(read.ticket, Outcome(OutcomeState.COMMITTED, self.replica.applied_index))
-
-    # --- those that follow ---
-
-    def _feed(self, now: float) -> None:
-        """Tell those that asked what is new."""
-        fresh = (
-            now
-            if self.raft.role is Role.LEADER
-            else self.raft.election.last_leader_contact
-            if self.votes
-            else self.observer.fresh
+            self._outbox.send(self.leader, ReadIndexRequest(number))
+
+    def _serve_read(self, sender: str, number: int) -> None:
+        self._reads.serve(self.raft, sender, number)
+        self._drain_raft()
+
+    def _answer_fetches(self, now: float) -> None:
+        """Answer the members that follow this one, where there is something new."""
+        source = FetchSource(
+            log=self.raft.log,
+            retained=self.observer.retained,
+            applied_index=self.state.applied_index,
+            leader=self.leader,
+            last_leader_contact=self._last_leader_contact(now),
+            depth=0 if self.receives_log else self.observer.depth,
+            membership=self.membership,
+            make_snapshot=self._make_snapshot,
         )
-        for to, feed in self.subscribers.feeds(
-            now,
-            self.raft,
-            self.observer,
-            self.replica.applied_index,
-            self.leader,
-            fresh,
-            0 if self.votes else self.observer.depth,
-            self._state,
-            self.membership,
-        ):
-            self._effects.append(Send(to, feed))
-
-    def _state(self) -> Snapshot:
-        return Snapshot(self.replica.applied_index, 0, self.membership, self.replica.snapshot())
-
-    def _fed(self, now: float, sender: str, feed: FetchReply) -> None:
-        """News from whom this member follows."""
-        snapshot = self.observer.fed(now, sender, feed, self.replica.applied_index)
+        for to, reply in self._fetches.replies(now, source):
+            self._outbox.send(to, reply)
+
+    def _last_leader_contact(self, now: float) -> float:
+        if self.raft.role is Role.LEADER:
+            return now
+        return self.raft.election.last_leader_contact if self.receives_log else self.observer.last_leader_contact
+
+    def _make_snapshot(self) -> Snapshot:
+        return Snapshot(self.state.applied_index, 0, self.membership, self.state.snapshot())
+
+    def _receive_fetched(self, now: float, sender: str, reply: FetchReply) -> None:
+        snapshot = self.observer.receive(now, sender, reply, self.state.applied_index)
         if snapshot is not None:
-            self._effects.append(Restore(snapshot))
-        if feed.entries:
-            self._effects.append(Apply(feed.entries))
-
-    # --- operators ---
-
-    def transfer_leadership(self, now: float, to: str) -> None:
-        """Have another voter lead. Raises RefusedError."""
-        self.raft.transfer_leadership(now, to)
-        self._from_core()
-
-    def transfer(self, now: float, name: str) -> str:
-        """Have the voter of this node name or identity lead; its identity. Raises RefusedError."""
-        voters = self.raft.membership.voters
-        identity = next((voter for voter in voters if name in (voter, node_name(voter))), name)
-        self.transfer_leadership(now, identity)
-        return identity
-
-    def add_node(self, now: float, name: str) -> AddedNode:
-        """Make a node a learner, or a voter where it is a learner already. Raises RefusedError."""
-        membership = self.raft.membership
-        if name in self.known:
-            identity, _ = self.known[name]
-        elif name == node_name(self.name):
-            identity = self.name
-        else:
-            raise RejectedError(f"{name} is not known here: only a leader has met all nodes that live")
-        votes = identity in membership.everybody
-        if votes:
-            learners = tuple(other for other in membership.learners if other != identity)
-            self.change_membership(now, Membership((*membership.voters, identity), learners))
-        else:
-            self.change_membership(now, Membership(membership.voters, (*membership.learners, identity)))
-        return AddedNode(identity, votes)
-
-    def remove_node(self, now: float, name: str) -> TransferStarted | None:
-        """Let the voter or learner of this node name or identity take no part any more. Raises RefusedError.
-
-        A leader does not remove itself: it hands over first, and the new leader is to be asked."""
-        if name in (self.name, node_name(self.name)) and self.raft.role is Role.LEADER:
-            to = next(iter(self.raft.voters_by_lag()), "")
-            self.transfer_leadership(now, to)
-            return TransferStarted(to)
-        membership = self.raft.membership
-        rest = Membership(
-            tuple(other for other in membership.voters if name not in (other, node_name(other))),
-            tuple(other for other in membership.learners if name not in (other, node_name(other))),
-        )
-        if rest == membership:
-            raise RejectedError(f"{name} takes no part")
-        self.change_membership(now, rest)
-        return None
+            self._outbox.add(Restore(snapshot))
+        if reply.entries:
+            self._outbox.add(Apply(reply.entries))
+
+    def transfer_leadership(self, now: float, target: str) -> None:
+        """Have the voter of this identity lead. Raises RejectedError."""
+        self.raft.transfer_leadership(now, target)
+        self._drain_raft()
 
     def change_membership(self, now: float, membership: Membership) -> None:
-        """Change who takes part. Raises RefusedError."""
+        """Change who takes part. Raises RejectedError."""
         self.raft.change_membership(membership)
-        self._from_core()
-        self._changed(now)
+        self._drain_raft()
+        self._report_changes(now)
--- /dev/null
+++ b/chutepin/consensus/proposals.py
@@ -0,0 +1,86 @@
+"""Proposals of this node that have no outcome yet: attempts, time limits and answers."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterator
+from dataclasses import dataclass
+
+from .outbox import Outbox
+from .protocol import ForwardProposal, ProposalRejected
+from .replicated_state import Outcome, OutcomeState, ReplicatedState
+from .retry import PendingRequest, RetrySchedule
+
+
+@dataclass(slots=True)
+class PendingProposal(PendingRequest):
+    """A proposal that has no outcome yet."""
+
+    message: ForwardProposal
+    repeated: bool  # an earlier attempt may still be committed
+
+
+class ProposalTracker:
+    """The pending proposals of one node, by id."""
+
+    def __init__(self, outbox: Outbox, retries: RetrySchedule) -> None:
+        self._outbox = outbox
+        self._retries = retries
+        self._pending: dict[bytes, PendingProposal] = {}
+
+    def __len__(self) -> int:
+        """Return how many proposals have no outcome yet."""
+        return len(self._pending)
+
+    def __contains__(self, proposal_id: bytes) -> bool:
+        """Whether a proposal with this id has no outcome yet."""
+        return proposal_id in self._pending
+
+    def deadlines(self) -> Iterator[float]:
+        """Iterate over the times at which `retry` is due."""
+        return (pending.wakes_at for pending in self._pending.values())
+
+    def add(self, now: float, ticket: int, message: ForwardProposal, deadline: float, *, repeated: bool) -> None:
+        """Wait for the outcome of a proposal that is about to be sent."""
+        next_attempt = self._retries.next_attempt(now)
+        self._pending[message.proposal_id] = PendingProposal(ticket, deadline, next_attempt, message, repeated)
+
+    def complete(self, proposal_id: bytes, outcome: Outcome) -> None:
+        """Answer a proposal that an applied entry has decided, if it is one of this node."""
+        pending = self._pending.pop(proposal_id, None)
+        if pending is not None:
+            self._outbox.complete(pending.ticket, outcome)
+
+    def complete_decided(self, state: ReplicatedState) -> None:
+        """Answer all proposals that the state knows: entries that decided them came within a snapshot."""
+        for proposal_id in list(self._pending):
+            outcome = state.outcome(proposal_id)
+            if outcome is not None:
+                self.complete(proposal_id, outcome)
+
+    def receive_rejection(self, now: float, message: ProposalRejected) -> None:
+        """Try again soon, or not at all. An attempt before this one may still be committed: then it is unknown."""
+        pending = self._pending.get(message.proposal_id)
+        if pending is None:
+            return
+        if message.final:
+            del self._pending[message.proposal_id]
+            state = OutcomeState.UNKNOWN if pending.repeated else OutcomeState.REJECTED
+            self._outbox.complete(pending.ticket, Outcome(state, reason=message.reason))
+        else:
+            pending.next_attempt = min(pending.next_attempt, self._retries.after_rejection(now))
+
+    def retry_at(self, now: float) -> None:
+        """Have all proposals sent again: what was sent to the former leader may never be answered."""
+        for pending in self._pending.values():
+            pending.next_attempt = now
+
+    def retry(self, now: float, submit: Callable[[float, ForwardProposal], None]) -> None:
+        """Send what is due again; answer what has run out of time."""
+        for proposal_id, pending in list(self._pending.items()):
+            if now >= pending.deadline:
+                del self._pending[proposal_id]
+                self._outbox.complete(pending.ticket, Outcome(OutcomeState.UNKNOWN, reason="not decided in time"))
+            elif now >= pending.next_attempt:
+                pending.next_attempt = self._retries.next_attempt(now)
+                pending.repeated = True
+                submit(now, pending.message)
--- a/chutepin/consensus/recovery.py
+++ b/chutepin/consensus/recovery.py
@@ -1,7 +1,7 @@
-"""Going on after a majority of the voters is lost for good: one store is made the only voter. Pure.
+"""Recovery after a majority of the voters is lost for good: one store becomes the only voter. Pure.
 
-What only the lost ones had is lost, also where it was agreed; what this one holds is agreed from then on, also where it
-never was. It must happen on one store only, and none of the other old voters may ever start with theirs again."""
+Entries that only the lost voters had are lost, also committed ones; entries of this store count as committed, also
+those that never were. It must happen on one store only, and no other former voter may ever start with its store."""
 
 from __future__ import annotations
 
@@ -9,8 +9,9 @@
 from .persistent_state import PersistentState
 
 
-def alone(identity: str, durable: PersistentState) -> Persist:
-    """What makes `identity` the only voter of the log that its store holds."""
-    last = durable.base_index + len(durable.entries)
-    entry = Entry(last + 1, durable.term + 1, EntryKind.VOTERS, membership=Membership((identity,)))
-    return Persist(durable.term + 1, identity, last + 1, (entry,))
+def make_only_voter(identity: str, saved: PersistentState) -> Persist:
+    """Return the change that makes `identity` the only voter of the log in its store."""
+    last_index = saved.base_index + len(saved.entries)
+    term = saved.term + 1
+    entry = Entry(last_index + 1, term, EntryKind.VOTERS, membership=Membership((identity,)))
+    return Persist(term, identity, last_index + 1, (entry,))
--- a/chutepin/consensus/subsystem.py
+++ b/chutepin/consensus/subsystem.py
@@ -1,51 +1,42 @@
-"""Runs a node's part in the replicated log: its member, the journal on the store, messages on the cluster's links."""
+"""Runs a node's part in the replicated log: the participant, its journal on the store, its messages on the wire."""
 
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import random
 import socket
-from collections.abc import Callable, Iterable
-
-import msgpack
+from collections.abc import Callable
 
 from ..admission import DescriptorBudget
-from ..config import ConfigError
 from ..config.consensus import ConsensusSetup
 from ..counters import Counters
 from ..logs import Log
-from ..store import Store, StoreBusyError, StoreError
+from ..store import Store, StoreError
 from ..subsystem import CommandHandler
 from .codec import Hello, WireMessage
 from .errors import JournalError, RejectedError
-from .identity import (
-    IDENTITY_KEY,
-    MET_KEY,
-    Identity,
-    StoreAcknowledgement,
-    StoreAnnouncement,
-    StoredIdentity,
-    StoreStatus,
-    node_name,
-)
-from .journal import Journal, Operation
+from .identity import StoreAcknowledgement, StoreAnnouncement, StoreStatus, node_name
+from .identity_store import identity_operations, load_identity
+from .journal import Journal
 from .key_value import KeyValueMachine
 from .messages import Apply, Membership, Persist, ReadReady, Restore
 from .operators import OperatorCalls
-from .participant import Effect, LogEvent, Participant, RequestCompleted, Send
-from .replica import Outcome, OutcomeState
+from .outbox import Effect, LogEvent, RequestCompleted, Send
+from .participant import Participant
+from .replicated_state import Outcome, OutcomeState
 from .settings import RaftSettings
 from .state import Role
+from .store_writer import StoreWriter
 from .wire import Links, Wire, now
 
-NO_EXPIRY = float("inf")
-NO_MET = bytes(msgpack.packb({}))
-RETRY_AFTER = 5.0  # seconds after a fault of the store until it is tried again
-MEET_EVERY = 0.5  # seconds between questions whether the others have met this store
+RETRY_AFTER_S = 5.0  # after a fault of the store
+ANNOUNCE_INTERVAL_S = 0.5
+BUSY_TICK_DELAY_S = 0.001  # the shortest, while a write is under way
 
 
 class ConsensusSubsystem:
-    """This node's part in the replicated log (`subsystem.Subsystem`, `operators.Participant`)."""
+    """This node's part in the replicated log (`subsystem.Subsystem`, `operators.ConsensusPart`)."""
 
     def __init__(
         self,
@@ -57,239 +48,214 @@
         counters: Counters,
         log: Log,
     ) -> None:
-        self._setup, self._name, self._links, self._store = setup, name, links, store
+        """Raises ConfigError if the store belongs to another node or cluster."""
+        self._setup = setup
+        self._name = name
+        self._links = links
+        self._store = store
+        self._counters = counters
+        self._log = log
         # Not the configuration's seed: ids of proposals must not come again after a restart.
-        self._counters, self._log, self._rng = counters, log, random.Random(random.SystemRandom().getrandbits(64))
+        self._rng = random.Random(random.SystemRandom().getrandbits(64))
         self._settings = RaftSettings(
             setup.election, setup.heartbeat, max_log_bytes=4 * setup.log, retained_bytes=setup.log // 2
         )
         self.machine = KeyValueMachine()
-        self._identity = self._load_identity()
+        self._identity = load_identity(store, links.cluster, name, setup.voters)
+        self._writer = StoreWriter(store, self._settings.election_timeout_s, counters, log)
         self.participant: Participant | None = None
         self._journal = Journal()
         self._wire = Wire(links, self._hello, self._deliver, descriptors, counters)
         self.idle_reason = "starts"  # why it takes no part
         self._queue: list[Effect] = []
-        self._more, self._wanted = asyncio.Event(), asyncio.Event()
-        self._busy = False  # effects are being carried out; who does it takes up new ones, too
+        self._has_work = asyncio.Event()
+        self._started = asyncio.Event()
+        self._busy = False  # effects are being carried out; whoever does it takes up new ones, too
         self._timer: asyncio.TimerHandle | None = None
         self._tickets: dict[int, asyncio.Future[Outcome]] = {}
-        self._slowest = 0.0  # seconds that a write took, since it was last told
-
-    # --- who this is ---
-
-    def _load_identity(self) -> Identity:
-        """Read the identity from the store, or draw one for a new store. Raises ConfigError for another node's."""
-        try:
-            raw = self._store.get(IDENTITY_KEY)
-            met = msgpack.unpackb(self._store.get(MET_KEY) or NO_MET)
-        except StoreError as error:
-            raise ConfigError(f"store.directory: {error}") from None
-        if raw is None:
-            born = f"{random.SystemRandom().getrandbits(48):012x}"
-            return Identity(self._name, self._setup.voters, born, None, met)
-        stored = StoredIdentity.unpack(raw)
-        if (stored.cluster, stored.node) != (self._links.cluster, self._name):
-            raise ConfigError(
-                f"store.directory: the log in it is that of {stored.node} in cluster {stored.cluster}, not of "
-                f"{self._name} in {self._links.cluster}"
-            )
-        return Identity(self._name, self._setup.voters, stored.born, stored.standing, met)
-
-    def _identity_operations(self) -> list[Operation]:
-        """What the store is to hold of the identity."""
-        identity = self._identity
-        stored = StoredIdentity(self._links.cluster, self._name, identity.born, identity.standing)
-        return [(IDENTITY_KEY, stored.pack()), (MET_KEY, bytes(msgpack.packb(identity.met)))]
+        self._acknowledgements: set[asyncio.Task[None]] = set()
 
     def _hello(self, to: str) -> Hello:
         return Hello(self._links.cluster, self._name, self._identity.identity, node_name(to), self.machine.version)
 
-    # --- subsystem.Subsystem ---
-
     def adopt(self, sockets: list[socket.socket]) -> list[socket.socket]:
-        """It has none of its own."""
+        """Return all sockets: it has none of its own."""
         return sockets
 
     def sockets(self) -> list[socket.socket]:
-        """None."""
+        """Return no socket."""
         return []
 
     def start(self) -> None:
         """Take part from now on."""
-        self._wanted.set()
+        self._started.set()
 
     async def run(self) -> None:
         """Work until cancelled. A fault of the store ends its part until the store works again."""
-        await self._wanted.wait()
+        await self._started.wait()
         try:
             while True:
                 try:
-                    await self._begin()
+                    await self._join()
                     await self._work()
                 except (StoreError, JournalError) as error:
                     self._halt(str(error))
-                    await asyncio.sleep(RETRY_AFTER)
+                    await asyncio.sleep(RETRY_AFTER_S)
         finally:
             self._halt("ended")
             self._wire.close()
 
     def yield_ownership(self) -> None:
-        """A successor serves; it can't have the store before this process has ended, so the log is left here."""
+        """Do nothing: a successor can't open the store before this process has ended."""
 
     def resume_ownership(self) -> None:
-        """Nothing was given."""
+        """Do nothing, as nothing was yielded."""
 
     def leave(self) -> None:
-        """Have somebody else lead before this process ends."""
+        """Have another voter lead before this process ends."""
         participant = self.participant
         if participant is None or participant.raft.role is not Role.LEADER:
             return
-        if not (others := participant.raft.voters_by_lag()):
+        others = participant.raft.voters_by_lag()
+        if not others:
             return
         try:
             participant.transfer_leadership(now(), others[0])
-        except RejectedError:  # it hands over already
+        except RejectedError:  # a transfer is under way
             return
         self.pump()
 
     def metrics(self) -> dict[str, int]:
-        """Counts of the member."""
+        """Return the participant's counters, by name."""
         participant = self.participant
         if participant is None:
-            return {"agree.member": 0}
-        return {f"agree.{name}": count for name, count in sorted(participant.counts.items())} | {
-            "agree.member": 1,
-            "agree.term": participant.raft.term,
-            "agree.applied": participant.replica.applied_index,
-            "agree.doubles": participant.replica.doubles,
-            "agree.log_bytes": participant.raft.log.size_bytes,
+            return {"consensus.participates": 0}
+        return {f"consensus.{name}": count for name, count in sorted(participant.counts.items())} | {
+            "consensus.participates": 1,
+            "consensus.term": participant.raft.term,
+            "consensus.applied_index": participant.state.applied_index,
+            "consensus.duplicate_proposals": participant.state.duplicates,
+            "consensus.log_bytes": participant.raft.log.size_bytes,
         }
 
-    # --- life ---
-
-    async def _begin(self) -> None:
-        """Come back as what the store says, once it is durable there who this is."""
-        await self._durable(self._identity_operations())
-        while self._identity.standing is StoreStatus.FORMING:
-            self.idle_reason = f"forms: {' '.join(self._identity.others)} must have met this store"
-            for name in self._identity.others:
-                self._wire.send(name, StoreAnnouncement(self._name, self._identity.born))
-            self._more.clear()
-            try:
-                async with asyncio.timeout_at(asyncio.get_running_loop().time() + MEET_EVERY):
-                    await self._more.wait()
-            except TimeoutError:
-                pass
-        await self._durable(self._identity_operations())
-        self._wire.renew()
+    async def _join(self) -> None:
+        """Take part as what the store says, once the identity is durable and the other voters know the store."""
+        await self._write_identity()
+        while self._identity.status is StoreStatus.FORMING:
+            await self._announce_store()
+        await self._write_identity()
+        self._wire.reconnect()
         self._journal = Journal()
-        durable, rest = self._journal.load(self._store.get)
-        await self._durable(rest)
+        saved, leftovers = self._journal.load(self._store.get)
+        await self._writer.write(leftovers)
         self._queue.clear()
         self.machine = KeyValueMachine()
-        first = Membership(self._setup.voters)
-        self.participant = Participant(
-            self._identity.identity, first, durable, self.machine, now(), self._rng, self._settings
-        )
+        membership = Membership(self._setup.voters)
+        identity = self._identity.identity
+        self.participant = Participant(identity, membership, saved, self.machine, now(), self._rng, self._settings)
         self._log.event(
-            "agree.takes_part",
-            identity=self._identity.identity,
-            term=durable.term,
-            applied=self.participant.replica.applied_index,
-            standing=self._identity.standing.value,
+            "consensus.joined",
+            identity=identity,
+            term=saved.term,
+            applied=self.participant.state.applied_index,
+            status=self._identity.status.value,
         )
         self.pump()
 
-    def _halt(self, why: str) -> None:
-        """Take no part. What was not carried out never was: it is as after a crash."""
-        self._log.event("agree.halted", why=why)
-        self._counters.add("agree.halted")
-        self.idle_reason, self.participant, self._busy = why, None, False
+    async def _write_identity(self) -> None:
+        await self._writer.write(identity_operations(self._links.cluster, self._identity))
+
+    async def _announce_store(self) -> None:
+        """Ask the voters that have yet to acknowledge this store, and wait a while for news."""
+        self.idle_reason = f"forms: {' '.join(self._identity.awaited)} must have met this store"
+        for name in self._identity.awaited:
+            self._wire.send(name, StoreAnnouncement(self._name, self._identity.store_id))
+        self._has_work.clear()
+        with contextlib.suppress(TimeoutError):
+            async with asyncio.timeout_at(asyncio.get_running_loop().time() + ANNOUNCE_INTERVAL_S):
+                await self._has_work.wait()
+
+    def _halt(self, reason: str) -> None:
+        """Take no part. Effects that were not carried out never will be, as after a crash."""
+        self._log.event("consensus.halted", why=reason)
+        self._counters.add("consensus.halted")
+        self.idle_reason = reason
+        self.participant = None
+        self._busy = False
         self._queue.clear()
-        if self._timer is not None:
-            self._timer.cancel()
-            self._timer = None
+        self._cancel_timer()
         for future in self._tickets.values():
             if not future.done():
-                future.set_result(Outcome(OutcomeState.UNKNOWN, why=why))
+                future.set_result(Outcome(OutcomeState.UNKNOWN, reason=reason))
         self._tickets.clear()
 
-    async def _durable(self, operations: Iterable[Operation]) -> None:
-        """Write, in this order, and wait until it is on the disk. Raises StoreError."""
-        begun = now()
-        for key, value in operations:
-            while True:
-                try:
-                    if value is None:
-                        self._store.withdraw(key)
-                    else:
-                        self._store.offer(key, value, NO_EXPIRY)
-                    break
-                except StoreBusyError:
-                    await self._store.room()
-        await self._store.committed()
-        self._slowest = max(self._slowest, now() - begun)
-        if self._slowest > self._settings.election_timeout_s:
-            # Nothing was sent meanwhile: the others may have a new leader.
-            self._log.event("agree.slow_disk", seconds=round(self._slowest, 3))
-            self._counters.add("agree.slow_disk")
-            self._slowest = 0.0
+    def _cancel_timer(self) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+
+    def _set_timer(self, participant: Participant, min_delay_s: float) -> None:
+        loop = asyncio.get_running_loop()
+        delay_s = max(min_delay_s, participant.next_deadline() - now())
+        self._timer = loop.call_at(loop.time() + delay_s, self._tick)
 
     async def _work(self) -> None:
-        """Make durable what must be, one write for all that has come together, and then do what stood behind it."""
+        """Write what must be durable, one write for all that has come together, then do what stood behind it."""
         while True:
-            await self._more.wait()
-            self._more.clear()
+            await self._has_work.wait()
+            self._has_work.clear()
             self._busy = True
             while (participant := self.participant) is not None and (self._queue or self._collect(participant)):
                 self._collect(participant)
-                queue, self._queue = self._queue, []
-                operations = [
-                    part for effect in queue if isinstance(effect, Persist) for part in self._journal.write(effect)
-                ]
-                if operations:
-                    await self._durable(operations)
-                for effect in queue:
-                    self._carry_out(participant, effect)
+                await self._write_and_carry_out(participant)
             self._busy = False
             self.pump()
 
+    async def _write_and_carry_out(self, participant: Participant) -> None:
+        queue = self._queue
+        self._queue = []
+        operations = [
+            operation for effect in queue if isinstance(effect, Persist) for operation in self._journal.write(effect)
+        ]
+        if operations:
+            await self._writer.write(operations)
+        for effect in queue:
+            self._carry_out(participant, effect)
+
     def _collect(self, participant: Participant) -> list[Effect]:
+        """Queue the participant's new effects; return the queue."""
         if participant.raft.log.bytes_since_snapshot > self._setup.log:
             participant.compact(now())
         self._queue += participant.drain_effects()
         return self._queue
 
     def pump(self) -> None:
-        """Carry out what needs no disk at once; leave the rest to the worker."""
+        """Carry out what needs no write at once; leave the rest to the worker."""
         participant = self.participant
         if participant is None or self._busy:
             return
         self._busy = True
         while self._collect(participant) and not any(isinstance(effect, Persist) for effect in self._queue):
-            queue, self._queue = self._queue, []
+            queue = self._queue
+            self._queue = []
             for effect in queue:
                 self._carry_out(participant, effect)
         self._busy = False
         if self._queue:
-            self._more.set()
-        if self._timer is not None:
-            self._timer.cancel()
-        loop = asyncio.get_running_loop()
-        self._timer = loop.call_at(loop.time() + max(0.0, participant.next_deadline() - now()), self._tick)
+            self._has_work.set()
+        self._cancel_timer()
+        self._set_timer(participant, 0.0)
 
     def _tick(self) -> None:
         self._timer = None
-        if (participant := self.participant) is not None:
-            participant.alive = tuple(self._links.alive())
-            voters = set(map(node_name, participant.membership.voters))
-            participant.observer.others = tuple(name for name in participant.alive if name not in voters)
-            participant.tick(now())
-            self.pump()
-            if self._timer is None:  # the worker is at the disk; time goes on
-                loop = asyncio.get_running_loop()
-                self._timer = loop.call_at(loop.time() + max(0.001, participant.next_deadline() - now()), self._tick)
+        participant = self.participant
+        if participant is None:
+            return
+        participant.set_alive(tuple(self._links.alive()))
+        participant.tick(now())
+        self.pump()
+        if self._timer is None:  # a write is under way
+            self._set_timer(participant, BUSY_TICK_DELAY_S)
 
     def _carry_out(self, participant: Participant, effect: Effect) -> None:
         match effect:
@@ -298,55 +264,64 @@
             case Apply() | Restore() | ReadReady():
                 participant.done(now(), effect)
             case RequestCompleted():
-                if (future := self._tickets.pop(effect.ticket, None)) is not None and not future.done():
+                future = self._tickets.pop(effect.ticket, None)
+                if future is not None and not future.done():
                     future.set_result(effect.outcome)
             case LogEvent():
-                self._log.event(f"agree.{effect.what}", **effect.fields)
+                self._log.event(f"consensus.{effect.name}", **effect.fields)
             case _:
                 pass
 
-    def _deliver(self, hello: Hello, word: WireMessage) -> None:
-        if isinstance(word, StoreAnnouncement | StoreAcknowledgement):
-            self._met(hello, word)
-        elif not isinstance(word, Hello) and (participant := self.participant) is not None:
-            participant.met(hello.identity, hello.version)
-            participant.receive(now(), hello.identity, word)
-            self.pump()
-
-    def _met(self, hello: Hello, word: StoreAnnouncement | StoreAcknowledgement) -> None:
-        if isinstance(word, StoreAcknowledgement):
-            if self._identity.answered(hello.name, word):
-                self._log.event(
-                    "agree.standing", standing=self._identity.standing.value, identity=self._identity.identity
-                )
-                self._more.set()
-            return
-        new = hello.name not in self._identity.met
-        if (answer := self._identity.meet(hello.name, word)) is not None:
-            asyncio.get_running_loop().create_task(self._say_met(hello.name, answer, new))
-
-    async def _say_met(self, to: str, answer: StoreAcknowledgement, new: bool) -> None:
-        """Say whom this node has met, after that is durable: it holds for ever."""
+    def _deliver(self, hello: Hello, message: WireMessage) -> None:
+        match message:
+            case Hello():
+                pass
+            case StoreAnnouncement():
+                self._receive_announcement(hello, message)
+            case StoreAcknowledgement():
+                self._receive_acknowledgement(hello, message)
+            case _:
+                participant = self.participant
+                if participant is not None:
+                    participant.directory.learn(hello.identity, hello.version)
+                    participant.receive(now(), hello.identity, message)
+                    self.pump()
+
+    def _receive_announcement(self, hello: Hello, message: StoreAnnouncement) -> None:
+        is_new = hello.name not in self._identity.known_stores
+        reply = self._identity.acknowledge(hello.name, message)
+        if reply is not None:
+            task = asyncio.get_running_loop().create_task(self._acknowledge(hello.name, reply, is_new))
+            self._acknowledgements.add(task)
+            task.add_done_callback(self._acknowledgements.discard)
+
+    def _receive_acknowledgement(self, hello: Hello, message: StoreAcknowledgement) -> None:
+        if self._identity.receive_acknowledgement(hello.name, message):
+            identity = self._identity
+            self._log.event("consensus.store_status", status=identity.status.value, identity=identity.identity)
+            self._has_work.set()
+
+    async def _acknowledge(self, to: str, reply: StoreAcknowledgement, is_new: bool) -> None:
+        """Send the reply once it is durable here, as it holds for ever."""
         try:
-            if new:
-                await self._durable(self._identity_operations())
+            if is_new:
+                await self._write_identity()
             else:
                 await self._store.committed()
         except StoreError:
             return
-        self._wire.send(to, answer)
-
-    # --- operators ---
+        self._wire.send(to, reply)
 
     @property
-    def standing(self) -> StoreStatus:
+    def store_status(self) -> StoreStatus:
         """How far the other voters know this node's store."""
-        return self._identity.standing
+        return self._identity.status
 
     async def outcome(self, begin: Callable[[Participant], int]) -> Outcome:
-        """Begin a request at the member, which returns its ticket, and wait for the outcome."""
-        if (participant := self.participant) is None:
-            return Outcome(OutcomeState.REJECTED, why=self.idle_reason, again=RETRY_AFTER)
+        """Begin a request at the participant, which returns its ticket, and wait for the outcome."""
+        participant = self.participant
+        if participant is None:
+            return Outcome(OutcomeState.REJECTED, reason=self.idle_reason, retry_after_s=RETRY_AFTER_S)
         future: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
         self._tickets[begin(participant)] = future
         self.pump()
--- a/chutepin/consensus/wire.py
+++ b/chutepin/consensus/wire.py
@@ -1,7 +1,7 @@
-"""Words between members over TCP: one connection for each direction, from the one who speaks. What does not arrive is
-lost, and said again by those who need it.
+"""Messages between members over TCP: one connection for each direction, opened by the sender.
 
-Each peer has a queue of bounded bytes; one that does not read costs its own queue only."""
+What does not arrive is lost; the algorithms send again what they need. Each peer has a queue of bounded size, so one
+that does not read costs its own queue only."""
 
 from __future__ import annotations
 
@@ -20,49 +20,49 @@
 from .errors import CodecError
 from .identity import node_name
 
-MAX_QUEUE = 2**20  # bytes for one peer
-MOST_PEERS = 80
-BY = 3.0  # seconds in which a connection must stand, and one piece must have left
-IDLE = 30.0  # seconds after which a connection that nobody needs is closed; the other side waits twice as long
-AGAIN = 0.2  # seconds between tries
-PIECE = 65536
+MAX_QUEUE_BYTES = 2**20  # for one peer
+MAX_PEERS = 80
+IO_TIMEOUT_S = 3.0  # to connect, and to send one chunk
+IDLE_TIMEOUT_S = 30.0  # until an unused connection is closed; the receiver waits twice as long
+RECONNECT_DELAY_S = 0.2
+CHUNK_BYTES = 65536
 
 Handler = Callable[[socket.socket, bytes], Coroutine[object, object, None]]
 
 
 class Links(Protocol):
-    """What is needed of the cluster."""
+    """What the wire needs of the cluster."""
 
     @property
     def cluster(self) -> str:
         """The cluster's name."""
 
     def address(self, name: str) -> str | None:
-        """Where a member is dialled."""
+        """Return the address of a member."""
 
     def alive(self) -> list[str]:
-        """Members that live."""
+        """Return the members that are alive."""
 
     def takes(self, preface: bytes, handler: Handler) -> None:
-        """Who takes over connections that begin so."""
+        """Have a handler take over connections that begin with a preface."""
 
 
 class _Peer:
-    """What is to be said to one member."""
+    """The frames that wait for one member, and the task that sends them."""
 
     def __init__(self) -> None:
         self.frames: deque[bytes] = deque()
-        self.size = 0
-        self.more = asyncio.Event()
+        self.size_bytes = 0
+        self.has_frames = asyncio.Event()
         self.task: asyncio.Task[None] | None = None
 
     def clear(self) -> None:
         self.frames.clear()
-        self.size = 0
+        self.size_bytes = 0
 
 
 class Wire:
-    """All connections of one member."""
+    """All consensus connections of one node."""
 
     def __init__(
         self,
@@ -72,131 +72,141 @@
         descriptors: DescriptorBudget,
         counters: Counters,
     ) -> None:
-        """`hello` is what a connection to a member begins with; `deliver` takes a word and who said it."""
-        self._links, self._hello, self._deliver = links, hello, deliver
-        self._descriptors, self._counters = descriptors, counters
+        """`hello` makes the first message of a connection; `deliver` takes a received message and its sender."""
+        self._links = links
+        self._hello = hello
+        self._deliver = deliver
+        self._descriptors = descriptors
+        self._counters = counters
         self._peers: dict[str, _Peer] = {}
         self._open = True
         links.takes(PREFACE, self._serve)
 
-    def send(self, to: str, word: WireMessage) -> None:
-        """Say something, if there is room; `to` is an identity."""
+    def send(self, to: str, message: WireMessage) -> None:
+        """Queue a message for an identity; it is dropped where there is no room."""
         name = node_name(to)
         peer = self._peers.get(name)
         if peer is None:
-            if len(self._peers) >= MOST_PEERS or not self._open:
-                self._counters.add("agree.no_peer")
+            if len(self._peers) >= MAX_PEERS or not self._open:
+                self._counters.add("consensus.peer_limit")
                 return
             peer = self._peers[name] = _Peer()
-        frame = encode(word)
-        if peer.size + len(frame) > MAX_QUEUE:
-            self._counters.add("agree.queue_full")
+        frame = encode(message)
+        if peer.size_bytes + len(frame) > MAX_QUEUE_BYTES:
+            self._counters.add("consensus.queue_full")
             return
         peer.frames.append(frame)
-        peer.size += len(frame)
-        peer.more.set()
-        self._counters.add("agree.words_out")
+        peer.size_bytes += len(frame)
+        peer.has_frames.set()
+        self._counters.add("consensus.messages_sent")
         if peer.task is None:
-            peer.task = asyncio.get_running_loop().create_task(self._speak(name, peer))
+            peer.task = asyncio.get_running_loop().create_task(self._run_sender(name, peer))
             peer.task.add_done_callback(lambda _: self._peers.pop(name, None))
 
-    def renew(self) -> None:
-        """Speak as somebody else from now on: all connections begin anew."""
+    def reconnect(self) -> None:
+        """Close all connections to members, as this node has another identity now."""
         for peer in self._peers.values():
             if peer.task is not None:
                 peer.task.cancel()
         self._peers = {}
 
     def close(self) -> None:
-        """Say no more."""
+        """Send nothing any more."""
         self._open = False
-        self.renew()
+        self.reconnect()
 
-    async def _speak(self, name: str, peer: _Peer) -> None:
-        """Say all that is to be said to one member, as long as there is something."""
-        while peer.frames or await self._waited(peer):
+    async def _run_sender(self, name: str, peer: _Peer) -> None:
+        """Send to one member, until there is nothing to send for a while."""
+        while peer.frames or await self._wait_for_frames(peer):
             if not self._descriptors.acquire(PART):
-                self._counters.add("agree.no_descriptor")
+                self._counters.add("consensus.no_descriptor")
                 peer.clear()
-                await asyncio.sleep(AGAIN)
+                await asyncio.sleep(RECONNECT_DELAY_S)
                 continue
             try:
-                await self._connected(name, peer)
+                await self._run_connection(name, peer)
                 continue
-            except (OSError, ValueError, TimeoutError):  # also an address that is none
-                self._counters.add("agree.broken")
+            except (OSError, ValueError, TimeoutError):  # ValueError: the member's address is none
+                self._counters.add("consensus.send_failed")
             finally:
                 self._descriptors.release(PART)
-            peer.clear()  # what was on its way may be lost, so what stands behind it is old
-            await asyncio.sleep(AGAIN)
+            peer.clear()  # what was in flight may be lost, so what stands behind it is out of date
+            await asyncio.sleep(RECONNECT_DELAY_S)
 
-    async def _waited(self, peer: _Peer) -> bool:
-        """Wait for something to say; false where nothing came for long."""
-        peer.more.clear()
+    async def _wait_for_frames(self, peer: _Peer) -> bool:
+        """Wait for something to send; return whether there is any."""
+        peer.has_frames.clear()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout_at(asyncio.get_running_loop().time() + IDLE):
-                await peer.more.wait()
+            async with asyncio.timeout_at(asyncio.get_running_loop().time() + IDLE_TIMEOUT_S):
+                await peer.has_frames.wait()
         return bool(peer.frames)
 
-    async def _connected(self, name: str, peer: _Peer) -> None:
+    async def _run_connection(self, name: str, peer: _Peer) -> None:
         loop = asyncio.get_running_loop()
         host, port = numeric(self._links.address(name) or "")
         with socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM) as sock:
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            async with asyncio.timeout_at(loop.time() + BY):
+            async with asyncio.timeout_at(loop.time() + IO_TIMEOUT_S):
                 await loop.sock_connect(sock, (host, port))
                 await loop.sock_sendall(sock, PREFACE + encode(self._hello(name)))
-            # They say nothing here, so this ends when they are gone: a word for the connection's dead end would be
-            # lost without an error, and with a voter's first question an election.
-            gone = loop.create_task(loop.sock_recv(sock, 1))
-            gone.add_done_callback(lambda _: peer.more.set())
+            # The receiver sends nothing, so this ends when it has closed: a message for a dead connection would be
+            # lost without an error, and an election with a voter's first request.
+            closed = loop.create_task(loop.sock_recv(sock, 1))
+            closed.add_done_callback(lambda _: peer.has_frames.set())
             try:
-                while (peer.frames or await self._waited(peer)) and not gone.done():
-                    await self._say(sock, peer)
+                while (peer.frames or await self._wait_for_frames(peer)) and not closed.done():
+                    await self._send_frames(sock, peer)
             finally:
-                gone.cancel()
-                await asyncio.gather(gone, return_exceptions=True)  # before the descriptor is another one's
+                closed.cancel()
+                # Before the descriptor's number is given to another socket.
+                await asyncio.gather(closed, return_exceptions=True)
 
-    async def _say(self, sock: socket.socket, peer: _Peer) -> None:
-        loop, data = asyncio.get_running_loop(), bytearray()
-        while peer.frames and len(data) < PIECE:
+    async def _send_frames(self, sock: socket.socket, peer: _Peer) -> None:
+        loop = asyncio.get_running_loop()
+        data = bytearray()
+        while peer.frames and len(data) < CHUNK_BYTES:
             data += peer.frames.popleft()
-        peer.size -= len(data)
-        async with asyncio.timeout_at(loop.time() + BY):
+        peer.size_bytes -= len(data)
+        async with asyncio.timeout_at(loop.time() + IO_TIMEOUT_S):
             await loop.sock_sendall(sock, data)
 
-    async def _serve(self, sock: socket.socket, begun: bytes) -> None:
-        """Take in what a member says; the cluster's transport closes the connection."""
-        loop, reader, hello, data = asyncio.get_running_loop(), FrameReader(), None, begun
+    async def _serve(self, sock: socket.socket, first_bytes: bytes) -> None:
+        """Receive from one member; the cluster's transport closes the connection."""
+        loop = asyncio.get_running_loop()
+        reader = FrameReader()
+        hello: Hello | None = None
+        data = first_bytes
         try:
             while self._open:
-                for word in reader.feed(data) if data else ():
+                for message in reader.feed(data) if data else ():
                     if hello is None:
-                        hello = self._welcome(word)
+                        hello = self._check_hello(message)
                     else:
-                        self._counters.add("agree.words_in")
-                        self._deliver(hello, word)
-                async with asyncio.timeout_at(loop.time() + (2 * IDLE if hello is not None else BY)):
-                    data = await loop.sock_recv(sock, PIECE)
+                        self._counters.add("consensus.messages_received")
+                        self._deliver(hello, message)
+                timeout_s = 2 * IDLE_TIMEOUT_S if hello is not None else IO_TIMEOUT_S
+                async with asyncio.timeout_at(loop.time() + timeout_s):
+                    data = await loop.sock_recv(sock, CHUNK_BYTES)
                 if not data:
                     return
         except CodecError as error:
-            self._counters.add(f"agree.drop.{error}")
+            self._counters.add(f"consensus.invalid.{error}")
         except (OSError, TimeoutError):
-            self._counters.add("agree.broken_in")
+            self._counters.add("consensus.receive_failed")
 
-    def _welcome(self, word: WireMessage) -> Hello:
-        if not isinstance(word, Hello):
+    def _check_hello(self, message: WireMessage) -> Hello:
+        """Check a connection's first message. Raises CodecError."""
+        if not isinstance(message, Hello):
             raise CodecError("no_hello")
-        mine = self._hello("")
-        if word.cluster != self._links.cluster:
+        own = self._hello("")
+        if message.cluster != self._links.cluster:
             raise CodecError("cluster")
-        if word.to != mine.name or word.name == mine.name or node_name(word.identity) != word.name:
+        if message.to != own.name or message.name == own.name or node_name(message.identity) != message.name:
             raise CodecError("misdirected")
-        return word
+        return message
 
 
 def now() -> float:
-    """The clock of the log: it does not run backwards."""
+    """Return the time by the consensus clock, which is monotonic."""
     return time.monotonic()
--- a/chutepin/lab/quorum.py
+++ b/chutepin/lab/quorum.py
@@ -18,9 +18,10 @@
 from ..consensus.journal import Journal, Operation
 from ..consensus.key_value import KeyValueMachine, pack_assignment
 from ..consensus.messages import Apply, Membership, Persist, ReadReady, Restore
-from ..consensus.participant import Effect, Participant, RequestCompleted, Send
+from ..consensus.outbox import Effect, RequestCompleted, Send
+from ..consensus.participant import Participant
 from ..consensus.raft import RaftNode
-from ..consensus.replica import Outcome, OutcomeState
+from ..consensus.replicated_state import Outcome, OutcomeState
 from ..consensus.settings import RaftSettings
 from ..consensus.state import Role
 from .claims import Asked, Record, Showed
@@ -94,8 +95,8 @@
 class Parts:
     """What a run is made of; a planted error takes one's place."""
 
-    core: type[RaftNode] = RaftNode
-    member: type[Participant] = Participant
+    raft: type[RaftNode] = RaftNode
+    participant: type[Participant] = Participant
     journal: type[Journal] = Journal
     identity: type[Identity] = Identity
     acknowledges_early: bool = False  # what stands behind a write is done before it is durable
@@ -176,8 +177,8 @@
         who = host.identity
         host.disk.lay(
             [
-                (b"who", f"{who.born} {who.standing.value}".encode()),
-                (b"met", " ".join(f"{name}={born}" for name, born in who.met.items()).encode()),
+                (b"who", f"{who.store_id} {who.status.value}".encode()),
+                (b"met", " ".join(f"{name}={born}" for name, born in who.known_stores.items()).encode()),
             ]
         )
         host.disk.sync(len(host.disk.pending))
@@ -186,11 +187,11 @@
         if host.life != life or host.name not in self.truth.up or host.participant is not None:
             return
         assert host.identity is not None
-        if host.identity.standing is not StoreStatus.FORMING:
+        if host.identity.status is not StoreStatus.FORMING:
             self._join(host)
             return
-        for name in host.identity.others:
-            self._say(host, name, StoreAnnouncement(host.name, host.identity.born))
+        for name in host.identity.awaited:
+            self._say(host, name, StoreAnnouncement(host.name, host.identity.store_id))
         self._at(self.now + MEET, self._form, host, life)
 
     def _join(self, host: _Host) -> None:
@@ -200,7 +201,7 @@
         host.disk.lay(rest)
         host.disk.sync(len(rest))
         host.machine = KeyValueMachine()
-        host.participant = self._parts.member(
+        host.participant = self._parts.participant(
             host.identity.identity,
             Membership(self.voters),
             durable,
@@ -208,19 +209,8 @@
             self.now,
             random.Random(self._rng.random()),
             self._settings,
+            self._parts.raft,
         )
-        if self._parts.core is not RaftNode:
-            core = self._parts.core(
-                host.identity.identity,
-                Membership(self.voters),
-                durable,
-                self.now,
-                random.Random(self._rng.random()),
-                self._settings,
-            )
-            host.participant.raft = core
-            host.participant._effects.clear()
-            host.participant._from_core()
         self._pump(host)
 
     def _fault(self, fault: Fault) -> None:
@@ -312,15 +302,15 @@
     def _show(self, host: _Host) -> None:
         member = host.participant
         assert member is not None
-        role = member.raft.role.name.lower() if member.votes else "observer"
+        role = member.raft.role.name.lower() if member.receives_log else "observer"
         showed = Showed(
             self.now,
             host.name,
             host.life,
             role,
             member.raft.term,
-            member.replica.applied_index,
-            member.replica.chain.hex(),
+            member.state.applied_index,
+            member.state.log_digest.hex(),
         )
         last = self.record.showed[-1] if self.record.showed else None
         if last is None or replace(showed, at=0.0) != replace(last, at=0.0):
@@ -334,9 +324,7 @@
                 self._at(int(self.now) + self.truth.slow[host.name] + 0.001, self._tick, host, timer)
             return
         member = host.participant
-        member.alive = tuple(sorted(self.truth.up))
-        voters = set(map(node_name, member.membership.voters))
-        member.observer.others = tuple(name for name in member.alive if name not in voters)
+        member.set_alive(tuple(sorted(self.truth.up)))
         member.tick(self.now)
         self._pump(host)
         if host.busy:
@@ -377,7 +365,7 @@
         if isinstance(word, StoreAnnouncement | StoreAcknowledgement):
             self._met(host, sender, word)
         elif host.participant is not None and not isinstance(word, Hello):
-            host.participant.met(sender, 1)
+            host.participant.directory.learn(sender, 1)
             host.participant.receive(self.now, sender, word)
             self._pump(host)
 
@@ -385,10 +373,10 @@
         who = host.identity
         assert who is not None
         if isinstance(word, StoreAcknowledgement):
-            if who.answered(node_name(sender), word):
+            if who.receive_acknowledgement(node_name(sender), word):
                 self._keep(host)
                 self._form(host, host.life)
-        elif (answer := who.meet(node_name(sender), word)) is not None:
+        elif (answer := who.acknowledge(node_name(sender), word)) is not None:
             self._keep(host)
             self._say(host, sender, answer)
 
@@ -420,10 +408,10 @@
 
     def _read(self, host: _Host, asked: Asked, outcome: Outcome) -> None:
         if outcome.state is OutcomeState.COMMITTED and host.participant is not None:
-            fact = host.machine.known.get(asked.name)
-            asked.up_to_index = host.participant.replica.applied_index  # by now it may show more than it had to
+            fact = host.machine.values.get(asked.name)
+            asked.up_to_index = host.participant.state.applied_index  # by now it may show more than it had to
             if fact is not None:
-                asked.value, asked.at, asked.times = fact.value.decode(), fact.at, fact.times
+                asked.value, asked.at, asked.times = fact.value.decode(), fact.at_index, fact.times_set
         asked.ended, asked.outcome = self.now, outcome.state.name.lower()
 
     def _proposed(self, host: _Host, asked: Asked, id: bytes, data: bytes, outcome: Outcome) -> None:
@@ -432,7 +420,7 @@
             other = host if self._rng.random() < 0.5 else self._rng.choice(list(self.hosts.values()))
             self._at(self.now + 0.5 * self._rng.random(), self._again, other, asked, id, data)
             return
-        asked.ended, asked.outcome, asked.at = self.now, outcome.state.name.lower(), outcome.at
+        asked.ended, asked.outcome, asked.at = self.now, outcome.state.name.lower(), outcome.at_index
 
     def _again(self, host: _Host, asked: Asked, id: bytes, data: bytes) -> None:
         member = host.participant
@@ -454,7 +442,11 @@
             if member is None or member.raft.role is not Role.LEADER or self._frozen(host):
                 continue
             members = member.raft.membership
-            outside = [member.known[name][0] for name in member.known if member.known[name][0] not in members.everybody]
+            outside = [
+                member.directory.known[name].identity
+                for name in member.directory.known
+                if member.directory.known[name].identity not in members.everybody
+            ]
             if members.learners:
                 new = Membership((*members.voters, members.learners[0]), members.learners[1:])
             elif len(members.voters) > 3 or not outside:
--- a/tests/consensus_mutants.py
+++ b/tests/consensus_mutants.py
@@ -8,7 +8,7 @@
 from chutepin.consensus.identity import Identity, StoreStatus
 from chutepin.consensus.messages import RequestVote
 from chutepin.consensus.participant import Participant
-from chutepin.consensus.replica import Replica, StateMachine, new_proposal_id
+from chutepin.consensus.replicated_state import ReplicatedState, StateMachine, new_proposal_id
 from chutepin.lab.quorum import Parts
 
 
@@ -36,45 +36,46 @@
     before = b""
 
     def _apply(self, now: float, entries: tuple[Entry, ...]) -> None:
-        self.before = self.replica.snapshot()
+        self.before = self.state.snapshot()
         super()._apply(now, entries)
 
     def compact(self, now: float) -> None:
-        if self.replica.applied_index == self.raft.log.commit_index and self.before:
+        if self.state.applied_index == self.raft.log.commit_index and self.before:
             self.raft.compact(now, self.before)
-            self._from_core()
+            self._drain_raft()
 
 
-class _Forgetful(Replica):
+class _Forgetful(ReplicatedState):
     def snapshot(self) -> bytes:
-        known, self._known = self._known, {}
+        decisions, self._decisions = self._decisions, {}
         data = super().snapshot()
-        self._known = known
+        self._decisions = decisions
         return data
 
 
 class SessionsForgotten(Participant):
-    """Which proposals were agreed is no part of the state that is kept."""
+    """Which proposals were committed is no part of the state that is kept."""
 
     def __init__(
         self,
         name: str,
         first: Membership,
-        durable: PersistentState,
+        saved: PersistentState,
         machine: StateMachine,
         now: float,
         rng: random.Random,
         settings: RaftSettings,
+        raft_type: type[RaftNode] = RaftNode,
     ) -> None:
-        super().__init__(name, first, durable, machine, now, rng, settings)
-        self.replica = _Forgetful(machine)
+        super().__init__(name, first, saved, machine, now, rng, settings, raft_type)
+        self.state = _Forgetful(machine)
 
 
 class IdsRepeat(Participant):
     """Chance begins anew with each process."""
 
     def new_proposal_id(self) -> bytes:
-        return new_proposal_id(self.replica.applied_index // 8 * 8, 7)
+        return new_proposal_id(self.state.applied_index // 8 * 8, 7)
 
 
 class LostDiskVotes(Identity):
@@ -85,29 +86,29 @@
     ) -> None:
         super().__init__(name, voters, born, standing, met)
         if name in voters:
-            self.standing = StoreStatus.CONFIRMED
+            self.status = StoreStatus.CONFIRMED
 
 
 class TellsUnagreed(Participant):
     """What it holds is told to those that follow, agreed or not."""
 
-    def _feed(self, now: float) -> None:
-        applied, self.replica.applied_index = (
-            self.replica.applied_index,
-            max(self.replica.applied_index, self.raft.log.last_index),
+    def _answer_fetches(self, now: float) -> None:
+        applied, self.state.applied_index = (
+            self.state.applied_index,
+            max(self.state.applied_index, self.raft.log.last_index),
         )
-        super()._feed(now)
-        self.replica.applied_index = applied
+        super()._answer_fetches(now)
+        self.state.applied_index = applied
 
 
 # A planted error, the schedule that brings it out, and the claim that must find it.
 PLANTED: dict[str, tuple[Parts, str, str]] = {
     "acknowledged before the sync": (Parts(acknowledges_early=True), "blackout", "one_state_at_an_index"),
-    "no pre-vote": (Parts(core=NoPreVote), "deaf", "a_leader_stands"),
-    "reads without a check": (Parts(core=ReadsAtOnce), "lone", "order_is_that_of_time"),
-    "a snapshot that skips one": (Parts(member=SnapshotSkips), "power", "one_state_at_an_index"),
-    "sessions forgotten": (Parts(member=SessionsForgotten), "lossy", "every_proposal_counts_once"),
-    "ids that repeat": (Parts(member=IdsRepeat), "calm", "every_entry_is_one_proposal"),
+    "no pre-vote": (Parts(raft=NoPreVote), "deaf", "a_leader_stands"),
+    "reads without a check": (Parts(raft=ReadsAtOnce), "lone", "order_is_that_of_time"),
+    "a snapshot that skips one": (Parts(participant=SnapshotSkips), "power", "one_state_at_an_index"),
+    "sessions forgotten": (Parts(participant=SessionsForgotten), "lossy", "every_proposal_counts_once"),
+    "ids that repeat": (Parts(participant=IdsRepeat), "calm", "every_entry_is_one_proposal"),
     "a lost disk votes": (Parts(identity=LostDiskVotes), "wiped", "one_state_at_an_index"),
-    "what is not agreed is told": (Parts(member=TellsUnagreed), "parted", "one_state_at_an_index"),
+    "what is not agreed is told": (Parts(participant=TellsUnagreed), "parted", "one_state_at_an_index"),
 }
--- a/tests/data/make_stored_bytes.py
+++ b/tests/data/make_stored_bytes.py
@@ -24,11 +24,11 @@
 from chutepin.cluster.records import BadLink, Links, Record, ShortRecord, Status
 from chutepin.consensus.codec import MESSAGE_TYPES, PREFACE
 from chutepin.consensus.codec import encode as consensus_frame
-from chutepin.consensus.identity import IDENTITY_KEY, MET_KEY, StoredIdentity, StoreStatus
+from chutepin.consensus.identity import IDENTITY_KEY, KNOWN_STORES_KEY, StoredIdentity, StoreStatus
 from chutepin.consensus.journal import Journal
 from chutepin.consensus.key_value import KeyValueMachine, pack_assignment
 from chutepin.consensus.messages import Entry, EntryKind, Membership, Persist, Snapshot
-from chutepin.consensus.replica import Proposal, Replica, new_proposal_id, pack_proposal
+from chutepin.consensus.replicated_state import Proposal, ReplicatedState, new_proposal_id, pack_proposal
 from chutepin.facade import End
 from chutepin.handover.frames import frame, key_frame
 from chutepin.idempotency import IdempotencyRecord as KeyEntry
@@ -136,7 +136,7 @@
     first = Entry(1, 1, EntryKind.VOTERS, b"", voters)
     empty = Entry(2, 2, EntryKind.NO_OP)
     entries = [proposal(index, f"key {index % 3}", f"value {index}") for index in range(3, 10)]
-    copy = Replica(KeyValueMachine())
+    copy = ReplicatedState(KeyValueMachine())
     copy.apply([first, empty, *entries[:4]])
     snapshot = Snapshot(6, entries[3].term, voters, copy.snapshot())
     return [
@@ -167,7 +167,7 @@
 def identity_changes() -> list[Change]:
     """Whose journal it is."""
     stored = StoredIdentity(CLUSTER, "anna", "00c0ffee00c0ffee", StoreStatus.CONFIRMED)
-    return [(IDENTITY_KEY, stored.pack()), (MET_KEY, bytes(msgpack.packb({"bert": "0a1b", "carl": "2c3d"})))]
+    return [(IDENTITY_KEY, stored.pack()), (KNOWN_STORES_KEY, bytes(msgpack.packb({"bert": "0a1b", "carl": "2c3d"})))]
 
 
 def identities() -> Iterator[bytes]:
--- a/tests/test_consensus_voters.py
+++ b/tests/test_consensus_voters.py
@@ -7,9 +7,11 @@
 import pytest
 
 from chutepin.consensus import Apply, Membership, PersistentState, RaftSettings, ReadReady, RejectedError, Restore, Role
+from chutepin.consensus.administration import AddedNode, TransferStarted, add_node, remove_node, transfer_leadership
 from chutepin.consensus.identity import node_name
 from chutepin.consensus.key_value import KeyValueMachine
-from chutepin.consensus.participant import AddedNode, Participant, Send, TransferStarted
+from chutepin.consensus.outbox import Send
+from chutepin.consensus.participant import Participant
 
 TURN = 0.05  # seconds of virtual time between two ticks
 FIRST = ("n1", "n2", "n3")
@@ -29,7 +31,7 @@
             for name in (*FIRST, LATER)
         }
         for member in self.members.values():
-            member.alive = tuple(self.members)
+            member.set_alive(tuple(self.members))
         self.run(5.0)
 
     def run(self, seconds: float) -> None:
@@ -48,7 +50,7 @@
             match effect:
                 case Send() if node_name(effect.to) not in self.unreachable:
                     to = self.members[node_name(effect.to)]
-                    to.met(member.name, KeyValueMachine.version)
+                    to.directory.learn(member.name, KeyValueMachine.version)
                     to.receive(self.now, member.name, effect.message)
                 case Apply() | Restore() | ReadReady():
                     member.done(self.now, effect)
@@ -63,10 +65,10 @@
 
 def test_a_node_learns_at_the_first_call_and_votes_at_the_second() -> None:
     group = Group()
-    assert group.leader.add_node(group.now, "n4") == AddedNode(LATER, votes=False)
+    assert add_node(group.leader, group.now, "n4") == AddedNode(LATER, votes=False)
     group.run(2.0)
     assert {member.membership for member in group.members.values()} == {Membership(FIRST, (LATER,))}
-    assert group.leader.add_node(group.now, "n4") == AddedNode(LATER, votes=True)
+    assert add_node(group.leader, group.now, "n4") == AddedNode(LATER, votes=True)
     group.run(2.0)
     assert {member.membership for member in group.members.values()} == {Membership((*FIRST, LATER))}
 
@@ -74,35 +76,35 @@
 def test_a_learner_that_has_not_caught_up_does_not_vote() -> None:
     group = Group()
     group.unreachable.add("n4")
-    group.leader.add_node(group.now, "n4")
+    add_node(group.leader, group.now, "n4")
     group.run(0.5)
     with pytest.raises(RejectedError, match=rf"^{LATER} has not caught up as a learner$"):
-        group.leader.add_node(group.now, "n4")
+        add_node(group.leader, group.now, "n4")
     assert group.leader.membership == Membership(FIRST, (LATER,))
 
 
 def test_a_node_that_nobody_met_is_not_added() -> None:
     group = Group()
     with pytest.raises(RejectedError, match=r"^n9 is not known here: only a leader has met all nodes that live$"):
-        group.leader.add_node(group.now, "n9")
+        add_node(group.leader, group.now, "n9")
 
 
 @pytest.mark.parametrize("name", ["n4", LATER])
 def test_a_learner_goes_by_its_node_name_or_its_identity(name: str) -> None:
     group = Group()
-    group.leader.add_node(group.now, "n4")
+    add_node(group.leader, group.now, "n4")
     group.run(2.0)
-    assert group.leader.remove_node(group.now, name) is None
+    assert remove_node(group.leader, group.now, name) is None
     group.run(2.0)
     assert group.leader.membership == Membership(FIRST)
     with pytest.raises(RejectedError, match=f"^{name} takes no part$"):
-        group.leader.remove_node(group.now, name)
+        remove_node(group.leader, group.now, name)
 
 
 def test_a_voter_goes_and_the_others_agree_without_it() -> None:
     group = Group()
     gone = next(name for name in FIRST if name != group.leader.name)
-    assert group.leader.remove_node(group.now, gone) is None
+    assert remove_node(group.leader, group.now, gone) is None
     group.run(2.0)
     assert group.leader.membership == Membership(tuple(name for name in FIRST if name != gone))
 
@@ -110,11 +112,11 @@
 def test_a_leader_hands_over_before_it_goes() -> None:
     group = Group()
     old = group.leader
-    answer = old.remove_node(group.now, old.name)
+    answer = remove_node(old, group.now, old.name)
     assert isinstance(answer, TransferStarted) and answer.to in FIRST and answer.to != old.name
     group.run(2.0)
     assert group.leader.name == answer.to and group.leader.membership == Membership(FIRST)
-    assert group.leader.remove_node(group.now, old.name) is None
+    assert remove_node(group.leader, group.now, old.name) is None
     group.run(2.0)
     assert old.name not in group.leader.membership.everybody
 
@@ -122,21 +124,21 @@
 def test_a_voter_leads_by_its_node_name_and_a_stranger_or_learner_does_not() -> None:
     group = Group()
     for _ in range(2):
-        group.leader.add_node(group.now, "n4")
+        add_node(group.leader, group.now, "n4")
         group.run(2.0)
-    assert group.leader.transfer(group.now, "n4") == LATER
+    assert transfer_leadership(group.leader, group.now, "n4") == LATER
     group.run(2.0)
     assert group.leader.name == LATER
     with pytest.raises(RejectedError, match=r"^n9 is no other voter$"):
-        group.leader.transfer(group.now, "n9")
+        transfer_leadership(group.leader, group.now, "n9")
 
 
 def test_who_does_not_lead_refuses_and_names_the_leader() -> None:
     group = Group()
     other = next(group.members[name] for name in FIRST if name != group.leader.name)
-    for change in (other.add_node, other.remove_node, other.transfer):
+    for change in (add_node, remove_node, transfer_leadership):
         with pytest.raises(RejectedError, match=r"^not the leader$") as refused:
-            change(group.now, other.name)
+            change(other, group.now, other.name)
         assert refused.value.leader == group.leader.name
 
 
@@ -145,11 +147,11 @@
     """Twice among the voters, one member would count as two in a majority."""
     group = Group()
     for _ in range(2):
-        group.leader.add_node(group.now, "n4")
+        add_node(group.leader, group.now, "n4")
         group.run(2.0)
     members = group.leader.membership
     with pytest.raises(RejectedError, match=r"takes part already$"):
-        group.leader.add_node(group.now, voter)
+        add_node(group.leader, group.now, voter)
     group.run(2.0)
     assert {member.membership for member in group.members.values()} == {members}
 
--- a/tests/test_quorum.py
+++ b/tests/test_quorum.py
@@ -11,14 +11,13 @@
 from hypothesis import strategies as st
 
 from chutepin.consensus import Entry, EntryKind, Membership, Persist, PersistentState, Snapshot
-from chutepin.consensus.codec import MAX_FRAME, FrameReader, Hello, WireMessage, decode, encode
+from chutepin.consensus.codec import MAX_FRAME_BYTES, FrameReader, Hello, WireMessage, decode, encode
 from chutepin.consensus.errors import CodecError, JournalError
 from chutepin.consensus.identity import Identity, StoreAcknowledgement, StoreAnnouncement, StoredIdentity, StoreStatus
 from chutepin.consensus.journal import Journal, entry_key
 from chutepin.consensus.messages import AppendEntries, InstallSnapshotChunk
-from chutepin.consensus.observer import FetchReply, FetchRequest
-from chutepin.consensus.participant import ForwardProposal, Greeting, ProposalRejected
-from chutepin.consensus.replica import Outcome, OutcomeState
+from chutepin.consensus.protocol import FetchReply, FetchRequest, ForwardProposal, Greeting, ProposalRejected
+from chutepin.consensus.replicated_state import Outcome, OutcomeState
 from chutepin.lab.claims import Record, broken
 from chutepin.lab.faults import Fault, Schedule, draw, split
 from chutepin.lab.quorum import WRITE, Disk, Parts, Simulator
@@ -185,11 +184,13 @@
 
     simulator._at(8.0, ask)
     simulator.run()
-    assert [(outcome.state, outcome.why) for outcome in told] == [(OutcomeState.REJECTED, "n1 does not know version 2")]
+    assert [(outcome.state, outcome.reason) for outcome in told] == [
+        (OutcomeState.REJECTED, "n1 does not know version 2")
+    ]
     leader = next(
         host.participant for host in simulator.hosts.values() if host.participant and host.participant.raft.role == 3
     )
-    assert len(leader.known) == 3  # it has met all others, also those that never spoke to it by themselves
+    assert len(leader.directory.known) == 3  # it has met all others, also those that never spoke to it by themselves
 
 
 def test_a_node_far_behind_follows_others_and_catches_up_in_pieces() -> None:
@@ -207,7 +208,7 @@
     record = simulator.run()
     assert broken(record) == {}
     applied = {
-        name: host.participant.replica.applied_index
+        name: host.participant.state.applied_index
         for name, host in simulator.hosts.items()
         if host.participant is not None
     }
@@ -348,7 +349,7 @@
 
 def test_a_frame_that_is_too_long_is_refused_before_it_is_read() -> None:
     with pytest.raises(CodecError, match="too_long"):
-        FrameReader().feed((MAX_FRAME + 1).to_bytes(4) + bytes(4))
+        FrameReader().feed((MAX_FRAME_BYTES + 1).to_bytes(4) + bytes(4))
 
 
 # --- identities ---
@@ -357,18 +358,18 @@
 def test_a_store_votes_once_all_others_have_met_it_and_a_new_one_never_under_the_same_name() -> None:
     voters = ("n1", "n2", "n3")
     first, other, third = (Identity(name, voters, f"b{name}", None, {}) for name in voters)
-    assert first.standing.value == "forming" and first.others == ("n2", "n3")
+    assert first.status.value == "forming" and first.awaited == ("n2", "n3")
     for peer in (other, third):
-        answer = peer.meet("n1", StoreAnnouncement("n1", first.born))
-        assert answer == StoreAcknowledgement("n1", first.born)
-        assert first.answered(peer._name, answer) is (peer is third)
-    assert first.standing is StoreStatus.CONFIRMED and first.identity == "n1"
+        answer = peer.acknowledge("n1", StoreAnnouncement("n1", first.store_id))
+        assert answer == StoreAcknowledgement("n1", first.store_id)
+        assert first.receive_acknowledgement(peer.name, answer) is (peer is third)
+    assert first.status is StoreStatus.CONFIRMED and first.identity == "n1"
     again = Identity("n1", voters, "other", None, {})
-    answer = other.meet("n1", StoreAnnouncement("n1", again.born))
-    assert answer is not None and again.answered("n2", answer)
-    assert again.standing is StoreStatus.LOST and again.identity == "n1~other"
-    assert Identity("n4", voters, "x", None, {}).standing is StoreStatus.OBSERVER
-    assert other.meet("n2", StoreAnnouncement("n1", "forged")) is None
+    answer = other.acknowledge("n1", StoreAnnouncement("n1", again.store_id))
+    assert answer is not None and again.receive_acknowledgement("n2", answer)
+    assert again.status is StoreStatus.LOST and again.identity == "n1~other"
+    assert Identity("n4", voters, "x", None, {}).status is StoreStatus.OBSERVER
+    assert other.acknowledge("n2", StoreAnnouncement("n1", "forged")) is None
 
 
 @pytest.mark.parametrize("standing", StoreStatus)
--- a/tests/test_stored_bytes.py
+++ b/tests/test_stored_bytes.py
@@ -12,11 +12,11 @@
 
 import pytest
 
-from chutepin.consensus.identity import IDENTITY_KEY, MET_KEY, StoredIdentity
+from chutepin.consensus.identity import IDENTITY_KEY, KNOWN_STORES_KEY, StoredIdentity
 from chutepin.consensus.journal import Journal
 from chutepin.consensus.key_value import KeyValueMachine
 from chutepin.consensus.messages import Snapshot
-from chutepin.consensus.replica import Replica
+from chutepin.consensus.replicated_state import ReplicatedState
 from chutepin.store import Store
 
 from .data.make_stored_bytes import (
@@ -107,7 +107,7 @@
             assert store.get(key) == value
         who = store.get(IDENTITY_KEY)
         assert who is not None and StoredIdentity.unpack(who).pack() == who
-        assert store.get(MET_KEY) is not None
+        assert store.get(KNOWN_STORES_KEY) is not None
 
 
 def test_each_standing_of_an_identity_is_read_and_written_the_same() -> None:
@@ -121,7 +121,7 @@
         durable, _ = Journal().load(store.get)
     values = [getattr(durable, field.name) for field in fields(durable)]
     (snapshot,) = [value for value in values if isinstance(value, Snapshot)]
-    copy = Replica(KeyValueMachine())
+    copy = ReplicatedState(KeyValueMachine())
     assert copy.restore(snapshot)
     assert copy.snapshot().hex() == JOURNAL["state"][0][3][3]
 
