--- a/chutepin/consensus/wire.py
+++ b/chutepin/consensus/wire.py
@@ -14,7 +14,8 @@
 from typing import Protocol
 
 from ..admission import DescriptorBudget
-from ..cluster.transport import PART, numeric
+from ..cluster.addresses import AddressError, parse_address
+from ..cluster.streams import DESCRIPTOR_SHARE
 from ..counters import Counters
 from .codec import PREFACE, CodecError, Hello, Reader, Said, encode
 from .identity import plain
@@ -42,7 +43,7 @@
     def alive(self) -> list[str]:
         """Members that live."""
 
-    def takes(self, preface: bytes, handler: Handler) -> None:
+    def add_stream_handler(self, preface: bytes, handler: Handler) -> None:
         """Who takes over connections that begin so."""
 
 
@@ -76,7 +77,7 @@
         self._descriptors, self._counters = descriptors, counters
         self._peers: dict[str, _Peer] = {}
         self._open = True
-        links.takes(PREFACE, self._serve)
+        links.add_stream_handler(PREFACE, self._serve)
 
     def send(self, to: str, word: Said) -> None:
         """Say something, if there is room; `to` is an identity."""
@@ -114,7 +115,7 @@
     async def _speak(self, name: str, peer: _Peer) -> None:
         """Say all that is to be said to one member, as long as there is something."""
         while peer.frames or await self._waited(peer):
-            if not self._descriptors.acquire(PART):
+            if not self._descriptors.acquire(DESCRIPTOR_SHARE):
                 self._counters.add("agree.no_descriptor")
                 peer.clear()
                 await asyncio.sleep(AGAIN)
@@ -122,10 +123,10 @@
             try:
                 await self._connected(name, peer)
                 continue
-            except (OSError, ValueError, TimeoutError):  # also an address that is none
+            except (OSError, AddressError, ValueError, TimeoutError):  # also an address that is none
                 self._counters.add("agree.broken")
             finally:
-                self._descriptors.release(PART)
+                self._descriptors.release(DESCRIPTOR_SHARE)
             peer.clear()  # what was on its way may be lost, so what stands behind it is old
             await asyncio.sleep(AGAIN)
 
@@ -139,7 +140,7 @@
 
     async def _connected(self, name: str, peer: _Peer) -> None:
         loop = asyncio.get_running_loop()
-        host, port = numeric(self._links.address(name) or "")
+        host, port = parse_address(self._links.address(name) or "")
         with socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM) as sock:
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/tests/test_assembly.py
+++ b/tests/test_assembly.py
@@ -233,7 +233,7 @@
     def alive(self) -> list[str]:
         return ["n1"]
 
-    def takes(self, preface: bytes, handler: object) -> None:
+    def add_stream_handler(self, preface: bytes, handler: object) -> None:
         pass
 
 
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -13,6 +13,7 @@
 from hypothesis import strategies as st
 
 from chutepin.cluster import Answer, Detector, Record, Send, Status
+from chutepin.cluster.addresses import AddressError, parse_address
 from chutepin.cluster.frames import (
     MAX_DATAGRAM_BYTES,
     MAX_STREAM_FRAME_BYTES,
@@ -509,10 +510,8 @@
 
 @pytest.mark.parametrize("address", ["example.org:7301", "127.0.0.1", "127.0.0.1:x", ":7301"])
 def test_a_told_address_that_is_no_number_is_not_looked_up(address: str) -> None:
-    from chutepin.cluster.transport import numeric
-
-    with pytest.raises(ValueError):
-        numeric(address)
+    with pytest.raises(AddressError, match="is no IP address with a port"):
+        parse_address(address)
 
 
 def test_a_replayed_datagram_is_dropped() -> None:
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -196,10 +196,10 @@
         Log(Clock()),
     )
     frame = encode(_gossip(record(3)), FLEET)
-    transport._take(frame[:2] + b"\x01" + frame[3:])
+    transport._receive(frame[:2] + b"\x01" + frame[3:])
     assert counters.counts["cluster.drop.version"] == 1 and not taken
     assert "reason=version" in capsys.readouterr().err
-    transport._take(frame)
+    transport._receive(frame)
     assert len(taken) == 1
 
 
