--- a/chutepin/consensus/wire.py
+++ b/chutepin/consensus/wire.py
@@ -14,7 +14,8 @@
 from typing import Protocol
 
 from ..admission import DescriptorBudget
-from ..cluster.transport import PART, numeric
+from ..cluster.addresses import AddressError, parse_address
+from ..cluster.streams import DESCRIPTOR_SHARE
 from ..counters import Counters
 from .codec import PREFACE, FrameReader, Hello, WireMessage, encode
 from .errors import CodecError
@@ -43,7 +44,7 @@
     def alive(self) -> list[str]:
         """Return the members that are alive."""
 
-    def takes(self, preface: bytes, handler: Handler) -> None:
+    def add_stream_handler(self, preface: bytes, handler: Handler) -> None:
         """Have a handler take over connections that begin with a preface."""
 
 
@@ -80,7 +81,7 @@
         self._counters = counters
         self._peers: dict[str, _Peer] = {}
         self._open = True
-        links.takes(PREFACE, self._serve)
+        links.add_stream_handler(PREFACE, self._serve)
 
     def send(self, to: str, message: WireMessage) -> None:
         """Queue a message for an identity; it is dropped where there is no room."""
@@ -118,7 +119,7 @@
     async def _run_sender(self, name: str, peer: _Peer) -> None:
         """Send to one member, until there is nothing to send for a while."""
         while peer.frames or await self._wait_for_frames(peer):
-            if not self._descriptors.acquire(PART):
+            if not self._descriptors.acquire(DESCRIPTOR_SHARE):
                 self._counters.add("consensus.no_descriptor")
                 peer.clear()
                 await asyncio.sleep(RECONNECT_DELAY_S)
@@ -126,10 +127,10 @@
             try:
                 await self._run_connection(name, peer)
                 continue
-            except (OSError, ValueError, TimeoutError):  # ValueError: the member's address is none
+            except (OSError, AddressError, ValueError, TimeoutError):  # also an address that can't be used
                 self._counters.add("consensus.send_failed")
             finally:
-                self._descriptors.release(PART)
+                self._descriptors.release(DESCRIPTOR_SHARE)
             peer.clear()  # what was in flight may be lost, so what stands behind it is out of date
             await asyncio.sleep(RECONNECT_DELAY_S)
 
@@ -143,7 +144,7 @@
 
     async def _run_connection(self, name: str, peer: _Peer) -> None:
         loop = asyncio.get_running_loop()
-        host, port = numeric(self._links.address(name) or "")
+        host, port = parse_address(self._links.address(name) or "")
         with socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM) as sock:
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/chutepin/testbench/simulators/consensus.py
+++ b/chutepin/testbench/simulators/consensus.py
@@ -18,19 +18,16 @@
 from chutepin.consensus.journal import Journal, Operation
 from chutepin.consensus.key_value import KeyValueMachine, pack_assignment
 from chutepin.consensus.messages import Apply, Membership, Persist, ReadReady, Restore
-from chutepin.consensus.participant import Effect, Participant, RequestCompleted, Send
+from chutepin.consensus.outbox import Effect, RequestCompleted, Send
+from chutepin.consensus.participant import Participant
 from chutepin.consensus.raft import RaftNode
-from chutepin.consensus.replica import Outcome, OutcomeState
+from chutepin.consensus.replicated_state import Outcome, OutcomeState
 from chutepin.consensus.settings import RaftSettings
 from chutepin.consensus.state import Role
 from chutepin.testbench.checks.consensus_invariants import Asked, Record, Showed
 from chutepin.testbench.checks.history import Truth
 from chutepin.testbench.faults.schedule import Fault, Schedule
 
-from ..consensus.outbox import Effect, RequestCompleted, Send
-from ..consensus.participant import Participant
-from ..consensus.replicated_state import Outcome, OutcomeState
-
 SETTINGS = RaftSettings(
     election_timeout_s=1.0,
     heartbeat_interval_s=0.2,
