--- a/chutepin/store/allocation.py
+++ b/chutepin/store/allocation.py
@@ -50,15 +50,15 @@
             return False
         self._pending = None
         self._add_to_log(segment, pending.file)
-        self._context.counts["segments.laid_out"] += 1
+        self._context.counts["segments.preallocated"] += 1
         return True
 
     def give_up(self, reason: str) -> None:
         """The disk is full: report it once, and remove what was begun."""
         context = self._context
         if not context.disk_full_reason:
-            context.report_event("store.no_room", why=reason)
-        context.counts["no_room"] += 1
+            context.report_event("store.disk_full", why=reason)
+        context.counts["allocation_failures"] += 1
         with context.lock:
             context.disk_full_reason = reason
             pending, self._pending = self._pending, None
@@ -77,7 +77,7 @@
         with context.lock:
             if context.log.spares or not context.limits.allows_segment(context.log.disk_bytes, for_compaction):
                 return False
-            # Nothing tells when a full disk has space again: it is tried while a writer waits.
+            # The system does not announce that a full disk has space again: try while a writer waits.
             return not (context.disk_full_reason and context.idle)
 
     def _begin(self) -> SegmentPreallocation:
--- a/chutepin/store/compaction_plan.py
+++ b/chutepin/store/compaction_plan.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CompactionPlan:
-    """Segments to drop at once, or one to copy the live records of before it is dropped."""
+    """Segments to drop now, or one to copy the live records of before it is dropped."""
 
     drop: tuple[int, ...] = ()
     copy: int | None = None
--- a/chutepin/store/hint_files.py
+++ b/chutepin/store/hint_files.py
@@ -31,8 +31,8 @@
         try:
             self._replace_file(hint_name(segment.number), data)
         except OSError as error:
-            context.counts["hints.lost"] += 1
-            context.report_event("store.hint_lost", segment=segment.number, why=error.strerror or str(error))
+            context.counts["hints.write_failed"] += 1
+            context.report_event("store.hint_write_failed", segment=segment.number, why=error.strerror or str(error))
         with context.lock:
             context.log.set_hint_bytes(segment, len(data))
             segment.hint = None
--- a/chutepin/store/marker_file.py
+++ b/chutepin/store/marker_file.py
@@ -1,4 +1,4 @@
-"""The file of durability markers, which tells at the next opening how far the log had been acknowledged."""
+"""The file of durability markers, from which the next opening learns how far the log was acknowledged."""
 
 from __future__ import annotations
 
--- a/chutepin/store/tail_repair.py
+++ b/chutepin/store/tail_repair.py
@@ -18,7 +18,7 @@
     by old bytes."""
     durable_end = _known_durable_end(found, tail)
     if found.torn_bytes:
-        context.counts["tails.dropped"] += 1
+        context.counts["torn_tails"] += 1
         context.report_event(
             "store.torn_tail", segment=tail.number, offset=tail.end, bytes=found.torn_bytes, why=found.fault
         )
