--- a/tests/powercut.py
+++ b/tests/powercut.py
@@ -13,12 +13,12 @@
 
 
 class PowerCut(Exception):  # noqa: N818 - it is an event, not an error of the program
-    """The power is gone."""
+    """The power is cut during a file operation."""
 
 
 @dataclass
 class Inode:
-    """A file: what is durable, what a reader sees, and the writes between them."""
+    """A file: what is durable, what a reader sees, and the writes that make the difference."""
 
     durable: bytearray = field(default_factory=bytearray)
     seen: bytearray = field(default_factory=bytearray)
@@ -43,7 +43,7 @@
         try:
             self._files.operate("write", self._name)
         except OSError:
-            # A write that failed may have got half through.
+            # Part of a failed write may have been done.
             self._inode.pending[-1] = (offset, data[: len(data) // 2])
             self._inode.apply(offset, data[: len(data) // 2], self._inode.seen)
             raise
@@ -59,7 +59,7 @@
         try:
             self._files.operate("sync", self._name)
         except OSError:
-            # The pages count as clean now: what is seen is not what is on the disk, and no later sync writes it.
+            # As on Linux the pages are clean now: readers see what is not on the disk, and no later sync writes it.
             self._inode.pending.clear()
             raise
         for offset, data in self._inode.pending:
@@ -74,7 +74,7 @@
 
 
 class SimulatedFileSystem:
-    """One directory."""
+    """One directory. `fail` returns the error of an operation, `cut_at` numbers the one during which power is cut."""
 
     def __init__(self) -> None:
         self.durable: Names = {}
@@ -141,33 +141,35 @@
             change(self.durable)
         self.changes.clear()
 
-    def after(self, how: str | random.Random) -> SimulatedFileSystem:
-        """The directory after a cut now: of what was not durable `"none"`, `"all"`, or what a random source picks."""
+    def after(self, survivors: str | random.Random) -> SimulatedFileSystem:
+        """The directory after a power cut now.
+
+        `survivors`: of what was not durable `"none"`, `"all"`, or what a random source picks."""
         restart = SimulatedFileSystem()
         names = dict(self.durable)
         for change in self.changes:
-            if _kept(how):
+            if _survives(survivors):
                 change(names)
         copies: dict[int, Inode] = {}
         for name, inode in names.items():
             if id(inode) not in copies:
                 data = bytearray(inode.durable)
                 writes = list(inode.pending)
-                if isinstance(how, random.Random):
-                    how.shuffle(writes)
+                if isinstance(survivors, random.Random):
+                    survivors.shuffle(writes)
                 for offset, written in writes:
                     for at, sector in _sectors(offset, written):
-                        if _kept(how):
+                        if _survives(survivors):
                             kept = sector
-                            if isinstance(how, random.Random) and how.random() < 0.2:
-                                kept = sector[: how.randrange(len(sector) + 1)]
+                            if isinstance(survivors, random.Random) and survivors.random() < 0.2:
+                                kept = sector[: survivors.randrange(len(sector) + 1)]
                             inode.apply(at, kept, data)
                 copies[id(inode)] = Inode(data, bytearray(data))
             restart.durable[name] = restart.seen[name] = copies[id(inode)]
         return restart
 
     def copy(self) -> SimulatedFileSystem:
-        """The directory as a restart without a power cut finds it."""
+        """The directory as a restart of the process alone finds it."""
         restart = SimulatedFileSystem()
         for name, inode in self.seen.items():
             restart.durable[name] = restart.seen[name] = Inode(bytearray(inode.seen), bytearray(inode.seen))
@@ -178,12 +180,12 @@
     names.pop(name, None)
 
 
-def _kept(how: str | random.Random) -> bool:
-    return how == "all" if isinstance(how, str) else how.random() < 0.5
+def _survives(survivors: str | random.Random) -> bool:
+    return survivors == "all" if isinstance(survivors, str) else survivors.random() < 0.5
 
 
 def _sectors(offset: int, data: bytes) -> list[tuple[int, bytes]]:
-    """A write in pieces that become durable each on its own."""
+    """A write in sectors, each of which becomes durable independently."""
     pieces, at = [], 0
     while at < len(data):
         size = min(512 - (offset + at) % 512, len(data) - at)
--- a/tests/test_store_threads.py
+++ b/tests/test_store_writer_thread.py
@@ -1,10 +1,9 @@
-"""The store with its writing thread: group commit, a disk that stalls, locks between processes, kills, commands."""
+"""The store with its writing thread: group commit, a disk that stalls or fails, killed processes."""
 
 from __future__ import annotations
 
 import asyncio
 import errno
-import json
 import math
 import os
 import random
@@ -18,12 +17,10 @@
 
 import pytest
 
-from chutepin.lab.standins import EXAMPLE, Standins
 from chutepin.store import Store, StoreBusyError, StoreClosedError, StoreError, StoreFailedError, StoreFullError
 from chutepin.store.file_system import LocalFile, LocalFileSystem
 
 from .helper import ROOT
-from .test_node import on_sockets
 from .test_setup import chutepin
 
 
@@ -57,7 +54,7 @@
         return self._gated(super().create(name))
 
 
-def on_loop(directory: Path, test: Callable[[Store, Disk], object]) -> None:
+def with_store(directory: Path, test: Callable[[Store, Disk], object]) -> None:
     async def run() -> None:
         disk = Disk(directory)
         store = Store.open(directory, max_bytes=2**22, files=disk, sync_every=10.0)
@@ -79,7 +76,7 @@
         pass
 
 
-def test_many_commits_share_one_sync(tmp_path: Path) -> None:
+def test_concurrent_commits_share_one_sync(tmp_path: Path) -> None:
     async def test(store: Store, disk: Disk) -> None:
         disk.gate.clear()
         store.put(b"a", b"", math.inf)
@@ -94,12 +91,12 @@
         assert not blocked.done() and not any(future.done() for future in waiting)
         disk.gate.set()
         await asyncio.gather(blocked, *waiting)
-        assert disk.syncs - before <= 4  # the blocked one, theirs, and at most a segment's
+        assert disk.syncs - before <= 4  # the blocked one, theirs, and at most those of a new segment
 
-    on_loop(tmp_path, test)
+    with_store(tmp_path, test)
 
 
-def test_a_disk_that_stalls_delays_no_turn_of_the_loop_and_a_full_queue_is_told(tmp_path: Path) -> None:
+def test_stalled_disk_does_not_block_event_loop_and_full_queue_raises_busy(tmp_path: Path) -> None:
     async def test(store: Store, disk: Disk) -> None:
         disk.gate.clear()
         longest, busy, put = 0.0, 0, 0
@@ -125,10 +122,10 @@
         store.offer(b"again", b"", math.inf)
         await store.committed()
 
-    on_loop(tmp_path, test)
+    with_store(tmp_path, test)
 
 
-def test_after_a_failed_sync_nobody_is_told_that_it_is_durable(tmp_path: Path) -> None:
+def test_failed_sync_fails_every_waiting_commit(tmp_path: Path) -> None:
     async def test(store: Store, disk: Disk) -> None:
         disk.gate.clear()
         store.put(b"a", b"", math.inf)
@@ -148,13 +145,13 @@
             await store.committed()
         assert store.get(b"first") == b""
 
-    on_loop(tmp_path, test)
+    with_store(tmp_path, test)
     with Store.open(tmp_path, max_bytes=2**22) as store:
         store.put(b"b", b"", math.inf)
         store.commit()
 
 
-def test_a_put_is_durable_after_its_time_unasked(tmp_path: Path) -> None:
+def test_put_is_synced_after_interval_without_commit(tmp_path: Path) -> None:
     store = Store.open(tmp_path, max_bytes=2**22, sync_every=0.01)
     store.put(b"a", b"1", math.inf)
     until = time.monotonic() + 30
@@ -168,19 +165,19 @@
         store.commit()
 
 
-def test_threads_put_delete_and_commit_side_by_side(tmp_path: Path) -> None:
+def test_concurrent_threads_put_delete_and_commit(tmp_path: Path) -> None:
     store = Store.open(tmp_path, segment_bytes=16384, max_bytes=2**19)
     models: list[dict[bytes, bytes]] = [{} for _ in range(4)]
 
     def work(number: int) -> None:
-        pick = random.Random(number)
+        rng = random.Random(number)
         for step in range(400):
-            key = b"%d.%d" % (number, pick.randrange(20))
-            if pick.random() < 0.3:
+            key = b"%d.%d" % (number, rng.randrange(20))
+            if rng.random() < 0.3:
                 store.delete(key)
                 models[number].pop(key, None)
             else:
-                models[number][key] = value = pick.randbytes(pick.randrange(400))
+                models[number][key] = value = rng.randbytes(rng.randrange(400))
                 store.put(key, value, math.inf)
             if step % 40 == 0:
                 store.commit()
@@ -201,12 +198,12 @@
 @pytest.mark.parametrize(
     "arguments", [{"segment_bytes": 100}, {"max_bytes": 2**11}, {"segment_bytes": 2**31, "max_bytes": 2**40}]
 )
-def test_limits_that_can_not_work_are_refused(tmp_path: Path, arguments: dict[str, int]) -> None:
+def test_unusable_limits_are_refused(tmp_path: Path, arguments: dict[str, int]) -> None:
     with pytest.raises(StoreError, match="_bytes: "):
         Store.open(tmp_path, **arguments)  # type: ignore[arg-type]
 
 
-def test_what_can_not_be_put_is_refused(tmp_path: Path) -> None:
+def test_invalid_put_is_refused(tmp_path: Path) -> None:
     with Store.open(tmp_path, segment_bytes=4096, max_bytes=2**17) as store:
         for key, value, expires, why in (
             (b"k" * 70000, b"", 1.0, "a key of"),
@@ -217,7 +214,7 @@
                 store.put(key, value, expires)
 
 
-def test_a_short_write_is_gone_on_with(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_short_write_is_continued(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     whole = os.pwritev
 
     def short(descriptor: int, buffers: Sequence[bytes], offset: int) -> int:
@@ -247,82 +244,21 @@
 """
 
 
-def test_a_process_killed_again_and_again_keeps_what_it_acknowledged(tmp_path: Path) -> None:
-    pick = random.Random(1)
+def test_repeatedly_killed_process_keeps_acknowledged_records(tmp_path: Path) -> None:
+    rng = random.Random(1)
     for _ in range(12):
         process = subprocess.Popen([sys.executable, "-c", WRITER, str(tmp_path)], cwd=ROOT, stdout=subprocess.PIPE)
         assert process.stdout is not None
-        lines = [process.stdout.readline() for _ in range(pick.randrange(1, 60))]
+        lines = [process.stdout.readline() for _ in range(rng.randrange(1, 60))]
         if len(lines) == 1:
             locked = chutepin("store", "check", str(tmp_path))
             assert locked.returncode == 3 and "open in another process" in locked.stderr
         process.send_signal(signal.SIGKILL)
-        acked = int((lines + process.stdout.read().splitlines())[-1])
+        acknowledged = int((lines + process.stdout.read().splitlines())[-1])
         process.wait()
         with Store.open(tmp_path, max_bytes=2**18) as store:
             last = int(store.get(b"last") or b"0")
-            assert last >= acked
+            assert last >= acknowledged
             newest = last + 1 if store.get(b"k%d" % ((last + 1) % 50)) == b"%d" % (last + 1) * 20 else last
             for number in range(max(1, newest - 49), newest + 1):
                 assert store.get(b"k%d" % (number % 50)) == b"%d" % number * 20
-
-
-def test_the_commands_look_compact_and_salvage(tmp_path: Path) -> None:
-    old, new = tmp_path / "old", tmp_path / "new"
-    with Store.open(old, segment_bytes=4096, max_bytes=2**18) as store:
-        for index in range(200):
-            store.put(b"k%d" % (index % 40), b"%d" % index * 20, math.inf)
-        store.put(b"\xff", b"text", 4e9)
-    checked = chutepin("store", "check", str(old))
-    assert checked.returncode == 0 and json.loads(checked.stdout)["sound"]
-    assert json.loads(chutepin("store", "stat", str(old)).stdout)["keys"] == 41
-    rows = [json.loads(row) for row in chutepin("store", "dump", str(old)).stdout.splitlines()]
-    assert len(rows) == 41 and rows[-1] | {"seq": 0} == {
-        "seq": 0,
-        "kind": "put",
-        "key": "0xff",
-        "expires": 4e9,
-        "bytes": 4,
-        "value": "text",
-    }
-    compacted = json.loads(chutepin("store", "compact", str(old)).stdout)
-    assert compacted["keys"] == 41 and compacted["disk_bytes"] < compacted["disk_bytes_before"]
-    segment = next(path for path in sorted(old.glob("*.seg")) if path.read_bytes()[64:].strip(b"\0"))
-    data = bytearray(segment.read_bytes())
-    data[100] ^= 1
-    segment.write_bytes(data)
-    checked = chutepin("store", "check", str(old))
-    assert checked.returncode == 1 and json.loads(checked.stdout)["findings"][0]["file"] == segment.name
-    repaired = chutepin("store", "repair", str(old), str(new), "--yes")
-    assert repaired.returncode == 1 and json.loads(repaired.stdout)["kept"] == 40
-    with Store.open(new) as store:
-        assert len(store) == 40
-    for arguments in (["stat", str(tmp_path)], ["compact", str(tmp_path)]):
-        done = chutepin("store", *arguments)
-        assert done.returncode == 2 and "no store is here" in done.stderr and done.stderr.count("\n") == 1
-
-
-def test_a_node_opens_the_store_of_its_setup_and_refuses_a_damaged_one(tmp_path: Path) -> None:
-    setup = tmp_path / "node.kdl"
-    setup.write_text(f'store {{ directory "{tmp_path}/store"; segment (KiB)64; max (MiB)1 }}')
-
-    async def test(world: Standins, stack: object) -> None:
-        await world.start(stack, "node", "--setup", str(setup))  # type: ignore[arg-type]
-        assert chutepin("store", "check", f"{tmp_path}/store").returncode == 3
-        log = await world.leave()
-        assert "store.segments=2" in log and "store.keys=0" in log
-
-    on_sockets(test)
-    (tmp_path / "store" / "MANIFEST").write_bytes(b"")
-    config = tmp_path / "config.json"
-    config.write_text(json.dumps(EXAMPLE))
-    done = subprocess.run(
-        [sys.executable, "-m", "chutepin", "node", "--setup", str(setup)],
-        cwd=ROOT,
-        text=True,
-        env={**os.environ, "LB_CONFIG": str(config)},
-        capture_output=True,
-        check=False,
-    )
-    assert done.returncode == 2 and done.stderr.startswith("chutepin: store.directory: ") and "MANIFEST" in done.stderr
-    assert done.stderr.count("\n") == 1
