--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -345,9 +345,9 @@
         [
             "run of 150,000 puts of 800 bytes",
             "put, MiB",
-            "tells at the end, MiB",
+            "live at the end, MiB",
             "most on disk, MiB",
-            "worst disk / what tells",
+            "worst disk / live",
             "copied / put",
             "written / put",
         ],
