--- a/chutepin/cli/store.py
+++ b/chutepin/cli/store.py
@@ -1,7 +1,7 @@
-"""`python -m chutepin store …`: look into an embedded store, compact it, salvage what a damaged one still holds.
+"""`python -m chutepin store …`: inspect an embedded store, compact it, salvage the readable records of a damaged one.
 
-Exit codes: 0 all is well; 1 damage was found, or something could not be kept; 2 wrong usage, no store, or the system
-refuses; 3 the store is open in another process."""
+Exit codes: 0 success; 1 damage was found, or something could not be salvaged; 2 usage error, no store, or an error of
+the system; 3 the store is open in another process."""
 
 from __future__ import annotations
 
@@ -20,12 +20,14 @@
 from ..store.store import DEFAULT_MAX_BYTES
 from .output import as_json, show_fields, show_json, show_table
 
-DAMAGED, REFUSED, LOCKED = 1, 2, 3
-JSON = click.option("--json", "json_asked", is_flag=True, help="Print JSON also on a terminal.")
+EXIT_DAMAGED = 1
+EXIT_ERROR = 2
+EXIT_LOCKED = 3
+JSON_OPTION = click.option("--json", "wants_json", is_flag=True, help="Print JSON also on a terminal.")
 
 
-def told(work: Callable[..., int]) -> Callable[..., int]:
-    """Turn the store's errors into one line and an exit code."""
+def with_store_exit_codes(work: Callable[..., int]) -> Callable[..., int]:
+    """Make a command print a StoreError as one line and return its exit code."""
 
     @functools.wraps(work)
     def wrapped(*arguments: Any, **options: Any) -> int:
@@ -33,17 +35,21 @@
             return work(*arguments, **options)
         except StoreError as error:
             print_line(str(error))
-            return (
-                LOCKED
-                if isinstance(error, StoreLockedError)
-                else DAMAGED
-                if isinstance(error, StoreDamagedError)
-                else REFUSED
-            )
+            return _exit_code(error)
 
     return wrapped
 
 
+def _exit_code(error: StoreError) -> int:
+    match error:
+        case StoreLockedError():
+            return EXIT_LOCKED
+        case StoreDamagedError():
+            return EXIT_DAMAGED
+        case _:
+            return EXIT_ERROR
+
+
 @click.group("store")
 def command() -> None:
     """Look into an embedded store that no node has open, compact it, or salvage a damaged one."""
@@ -51,13 +57,13 @@
 
 @command.command()
 @click.argument("directory")
-@JSON
-@told
-def check(directory: str, json_asked: bool) -> int:
+@JSON_OPTION
+@with_store_exit_codes
+def check(directory: str, wants_json: bool) -> int:
     """Read every record and list all damage. Changes nothing."""
     with inspection.locked_directory(directory) as files:
         checked = inspection.check(files)
-    if as_json(json_asked):
+    if as_json(wants_json):
         show_json(checked.as_dict())
     else:
         show_fields(
@@ -67,23 +73,23 @@
         show_table(
             "findings", [{"file": f.file, "offset": f.offset, "loss": f.loss, "what": f.what} for f in checked.findings]
         )
-    return 0 if checked.sound else DAMAGED
+    return 0 if checked.sound else EXIT_DAMAGED
 
 
 @command.command()
 @click.argument("directory")
-@JSON
-@told
-def stat(directory: str, json_asked: bool) -> int:
+@JSON_OPTION
+@with_store_exit_codes
+def stat(directory: str, wants_json: bool) -> int:
     """Sizes and counts of the store and of each segment. Changes nothing."""
     with inspection.locked_directory(directory) as files:
-        figures = inspection.statistics(files)
-    if as_json(json_asked):
-        show_json(figures)
+        statistics = inspection.statistics(files)
+    if as_json(wants_json):
+        show_json(statistics)
     else:
-        segments = figures.pop("segments")
+        segments = statistics.pop("segments")
         assert isinstance(segments, list)
-        show_fields(directory, figures)
+        show_fields(directory, statistics)
         show_table("segments", segments)
     return 0
 
@@ -91,9 +97,9 @@
 @command.command()
 @click.argument("directory")
 @click.option("--all", "include_dead", is_flag=True, help="Also what was overruled, deleted or has expired.")
-@JSON
-@told
-def dump(directory: str, include_dead: bool, json_asked: bool) -> int:
+@JSON_OPTION
+@with_store_exit_codes
+def dump(directory: str, include_dead: bool, wants_json: bool) -> int:
     """The records, in the order of the log. Changes nothing."""
     rows = []
     with inspection.locked_directory(directory) as files:
@@ -105,7 +111,7 @@
                 "expires": None if record.expires_ms == NEVER_MS else record.expires_ms / 1000,
                 "bytes": len(record.value),
             }
-            if as_json(json_asked):
+            if as_json(wants_json):
                 show_json(row | {"value": _text(record.value)})
             else:
                 rows.append(row)
@@ -132,12 +138,12 @@
     show_default=True,
     help="The store's size limit, as in the operator's file.",
 )
-@JSON
-@told
-def compact(directory: str, max_mib: int, json_asked: bool) -> int:
+@JSON_OPTION
+@with_store_exit_codes
+def compact(directory: str, max_mib: int, wants_json: bool) -> int:
     """Leave behind all that is dead, so that the store takes the least room."""
     with inspection.locked_directory(directory):
-        pass  # a directory without a store is refused, not made into one
+        pass  # otherwise opening would begin a store in a directory without one
     with Store.open(directory, max_bytes=max_mib << 20) as store:
         before = store.metrics()["disk_bytes"]
         store.compact()
@@ -149,7 +155,7 @@
         "copied_bytes": after.get("copied_bytes", 0),
         "keys": after["keys"],
     }
-    if as_json(json_asked):
+    if as_json(wants_json):
         show_json(result)
     else:
         show_fields(directory, result)
@@ -167,9 +173,9 @@
     help="The new store's size limit.",
 )
 @click.option("--yes", is_flag=True, help="Do not ask; for scripts.")
-@JSON
-@told
-def repair(directory: str, into: str, max_mib: int, yes: bool, json_asked: bool) -> int:
+@JSON_OPTION
+@with_store_exit_codes
+def repair(directory: str, into: str, max_mib: int, yes: bool, wants_json: bool) -> int:
     """Salvage what can be read of DIRECTORY into a new store INTO, and list what could not be kept.
 
     Where the last record of a key can't be read an older value comes back, a deleted one too: ask whoever owns the
@@ -178,7 +184,7 @@
         click.confirm(f"Salvage {directory} into {into}? Older values of damaged keys may come back", abort=True)
     with inspection.locked_directory(directory) as files:
         salvaged = store_repair.repair(files, into, time.time, max_mib << 20)
-    if as_json(json_asked):
+    if as_json(wants_json):
         show_json(salvaged.as_dict())
     else:
         show_fields(
@@ -191,4 +197,4 @@
             },
         )
         show_table("could not be kept", [{"file": g.file, "offset": g.offset, "what": g.what} for g in salvaged.gaps])
-    return DAMAGED if salvaged.gaps or salvaged.missing else 0
+    return EXIT_DAMAGED if salvaged.gaps or salvaged.missing else 0
--- a/chutepin/store/__init__.py
+++ b/chutepin/store/__init__.py
@@ -1,11 +1,11 @@
-"""An embedded store: keys with values and expiries, in a log of segments that survives a power cut.
+"""An embedded log-structured store: keys with values and expiries, which survive a power cut.
 
     from chutepin.store import Store
     store = Store.open("directory")
     store.put(b"key", b"value", expires=math.inf)
     store.commit()          # or, on an event loop: await store.committed()
 
-`docs/store.md` states what it promises, what it assumes of the disk, and how each is proven."""
+`docs/store.md` states its guarantees, what it assumes of the disk, and which tests check them."""
 
 from .errors import (
     StoreBusyError,
--- a/chutepin/store/allocation.py
+++ b/chutepin/store/allocation.py
@@ -105,4 +105,4 @@
             context.log.spares.append(segment)
             if context.log.active is None:
                 context.log.advance()
-            context.update_writer_hold()
+            context.update_writers_wait()
--- a/chutepin/store/appender.py
+++ b/chutepin/store/appender.py
@@ -61,7 +61,7 @@
                 self._check_limits(log, key, size, now_ms)
             if (
                 active is None
-                or context.writers_held
+                or context.writers_wait
                 or log.queue.bytes > MAX_QUEUED_BYTES
                 or active.end + size + SEAL_RECORD_BYTES > limits.segment_bytes
             ) and not self._make_space(size, waited):
@@ -163,7 +163,7 @@
         log = context.log
         if log.queue.bytes > MAX_QUEUED_BYTES:
             return False
-        if not context.writers_held:
+        if not context.writers_wait:
             if log.fits_active_segment(size):
                 return True
             if log.spares:
--- a/chutepin/store/compaction.py
+++ b/chutepin/store/compaction.py
@@ -167,7 +167,7 @@
             return False
         with context.lock:
             context.log.drop(dropped)
-            context.update_writer_hold()
+            context.update_writers_wait()
             files = self._files.remove(dropped)
         for file in files:
             file.close()
--- a/chutepin/store/context.py
+++ b/chutepin/store/context.py
@@ -46,13 +46,11 @@
     def set_log(self, log: SegmentedLog) -> None:
         """Use this log from now on."""
         self.log = log
-        self.update_writer_hold()
+        self.update_writers_wait()
 
-    def update_writer_hold(self) -> None:
+    def update_writers_wait(self) -> None:
         """Decide whether writers wait for compaction. This changes only with the segments and their hints."""
-        self.writers_held = self.log.disk_bytes > self.limits.writers_wait_above
-
-    # Time
+        self.writers_wait = self.log.disk_bytes > self.limits.writers_wait_above
 
     def now_ms(self) -> int:
         """Unix time in ms, which never runs backwards, not even over a restart."""
@@ -63,8 +61,6 @@
         """Time is at least this."""
         self._time_ms = max(self._time_ms, time_ms)
 
-    # Activity
-
     def note_activity(self) -> None:
         """Something changed or was asked for: a step may find work."""
         self.idle = False
@@ -78,8 +74,6 @@
         """A step ends; the store is idle if there was nothing to do and nothing happened meanwhile."""
         self.idle = not worked and not self.log.queue and not self._active_since_step
 
-    # Health
-
     def check_usable(self) -> None:
         """Raise StoreClosedError or StoreFailedError if the store takes no more calls."""
         if self.closed:
--- a/chutepin/store/engine.py
+++ b/chutepin/store/engine.py
@@ -46,8 +46,6 @@
         self._compactor = Compactor(self.context, self._manifest, self._files, self._allocator, self._writer)
         self._appender = RecordAppender(self.context)
 
-    # Opening and closing
-
     @classmethod
     def open(cls, file_system: FileSystem, limits: Limits, clock: Callable[[], float], event: Event) -> Engine:
         """Lock the directory and recover the store in it, or begin one. Raises any kind of StoreError."""
@@ -128,8 +126,6 @@
         close_quietly(files)
         self.context.file_system.unlock()
 
-    # Writing
-
     def put(self, key: bytes, value: bytes, expires: float, waited: bool = False) -> bool:
         """See `RecordAppender.put`."""
         return self._appender.put(key, value, expires, waited)
@@ -142,8 +138,6 @@
         """See `RecordAppender.delete`."""
         return self._appender.delete(key, waited)
 
-    # Reading
-
     def get(self, key: bytes) -> bytes | None:
         """The value, durable or not. Raises StoreDamagedError if it can't be read as it was written."""
         context = self.context
@@ -170,7 +164,7 @@
             raise context.damage_error(number, offset, error.strerror or str(error)) from None
         return record.value
 
-    def holds(self, key: bytes) -> bool:
+    def contains(self, key: bytes) -> bool:
         """Whether the key is there."""
         with self.context.lock:
             return self.log.index.find(key, self.context.now_ms()) is not None
@@ -185,8 +179,6 @@
             self.log.index.expire_all(self.context.now_ms())
             return len(self.log.index)
 
-    # Work of the writing thread
-
     def flush(self) -> int:
         """Make everything that was appended durable; its bytes. Raises StoreFailedError, from then on always."""
         return self._writer.flush()
@@ -220,8 +212,6 @@
         """Ask for all records that are dead now to be left behind; steps do it."""
         self._compactor.request_full()
 
-    # State
-
     @property
     def log(self) -> SegmentedLog:
         """The log, to be read under the context's lock."""
--- a/chutepin/store/file_system.py
+++ b/chutepin/store/file_system.py
@@ -90,26 +90,26 @@
 
     def read(self, offset: int, length: int) -> bytes:
         """Up to `length` bytes."""
-        parts = []
-        while length > 0 and (part := os.pread(self._descriptor, length, offset)):
-            parts.append(part)
-            offset += len(part)
-            length -= len(part)
-        return parts[0] if len(parts) == 1 else b"".join(parts)
+        chunks = []
+        while length > 0 and (chunk := os.pread(self._descriptor, length, offset)):
+            chunks.append(chunk)
+            offset += len(chunk)
+            length -= len(chunk)
+        return chunks[0] if len(chunks) == 1 else b"".join(chunks)
 
     def write(self, offset: int, buffers: Sequence[bytes]) -> None:
         """Write all buffers; a short write is continued, one of no bytes is an error."""
         for first in range(0, len(buffers), MAX_WRITE_BUFFERS):
-            part: Sequence[bytes | memoryview] = buffers[first : first + MAX_WRITE_BUFFERS]
-            left = sum(map(len, part))
+            remaining: Sequence[bytes | memoryview] = buffers[first : first + MAX_WRITE_BUFFERS]
+            left = sum(map(len, remaining))
             while left:
-                written = os.pwritev(self._descriptor, part, offset)
+                written = os.pwritev(self._descriptor, remaining, offset)
                 if not written:
                     raise OSError(errno.EIO, "the disk takes no bytes")
                 offset += written
                 left -= written
                 if left:
-                    part = [memoryview(b"".join(part))[written:]]
+                    remaining = [memoryview(b"".join(remaining))[written:]]
 
     def allocate(self, size: int) -> None:
         """Reserve blocks. Where the file system can't, the C library writes to each of them instead."""
--- a/chutepin/store/hint_files.py
+++ b/chutepin/store/hint_files.py
@@ -36,7 +36,7 @@
         with context.lock:
             context.log.set_hint_bytes(segment, len(data))
             segment.hint = None
-            context.update_writer_hold()
+            context.update_writers_wait()
 
     def _replace_file(self, name: str, data: bytes) -> None:
         file_system = self._context.file_system
--- a/chutepin/store/index.py
+++ b/chutepin/store/index.py
@@ -80,8 +80,6 @@
             return AddedBytes(added, len(key) + KEY_MEMORY_BYTES)
         return AddedBytes(added - (LOCATION.unpack(old)[3] + len(key) + HINT_ENTRY_BYTES), 0)
 
-    # Changes, in log order
-
     def apply(self, segment: Segment, kind: int, key: bytes, expires_ms: int, location: bytes, size: int) -> None:
         """Take in the next record of the log: a put or a delete."""
         old = self.locations.get(key)
@@ -108,7 +106,7 @@
                 self._rebuild_schedule()
 
     def apply_run(self, segment: Segment, run: HintRun) -> None:
-        """Take in the records of a run. One of new keys is taken in as a whole, which makes opening fast."""
+        """Take in the records of a run. One of new keys is taken in by a single step, which makes opening fast."""
         if run.kind == SEAL:
             return
         if run.kind == PUT:
@@ -146,8 +144,6 @@
         self._segments[segment].live_records -= 1
         self.live_bytes -= size
 
-    # Expiry
-
     @property
     def due_ms(self) -> int:
         """When keys expire next, at the latest: the end of an expiry bucket."""
--- a/chutepin/store/inspection.py
+++ b/chutepin/store/inspection.py
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One thing that is not as it should be. With `loss`, opening or reading fails; the next opening mends others."""
+    """One thing that is not as it should be. With `loss`, opening or reading fails; the next opening repairs others."""
 
     file: str
     offset: int
@@ -128,7 +128,7 @@
     for part in salvage(file, entry.end or size):
         if isinstance(part, Record):
             result.records += 1
-        elif entry.end:  # whether it matters in another segment shows in the log as a whole
+        elif entry.end:  # in another segment the check of the log decides whether it matters
             result.findings.append(Finding(name, part.offset, f"{part.end - part.offset} bytes: {part.what}"))
 
 
--- a/chutepin/store/log.py
+++ b/chutepin/store/log.py
@@ -51,8 +51,6 @@
             return DurabilityMarker(self.durable_sequence, 0, 0, now_ms)
         return DurabilityMarker(self.durable_sequence, self.active.number, self.active.durable_end, now_ms)
 
-    # Segments
-
     def add_segment(self, segment: Segment) -> None:
         """Add a segment at the end of the log."""
         self.segments[segment.number] = segment
@@ -86,8 +84,6 @@
         for segment in self.segments.values():
             segment.shadowed_segments -= dropped
 
-    # Records
-
     def append(self, kind: int, key: bytes, value: bytes, expires_ms: int) -> None:
         """Append a record to the active segment. The caller has made sure that it fits."""
         segment = self.active
--- a/chutepin/store/store.py
+++ b/chutepin/store/store.py
@@ -83,8 +83,6 @@
     ) -> None:
         self.close()
 
-    # Reading and writing
-
     def put(self, key: bytes, value: bytes, expires: float) -> None:
         """Keep a value until `expires` (Unix seconds; `math.inf`: for good), in place of the key's present one.
 
@@ -147,14 +145,12 @@
         return len(self._engine)
 
     def __contains__(self, key: bytes) -> bool:
-        return self._engine.holds(key)
+        return self._engine.contains(key)
 
     def metrics(self) -> dict[str, int]:
         """Sizes in bytes and counters, for an operator."""
         return self._engine.metrics()
 
-    # Durability
-
     def commit(self) -> None:
         """Wait until everything this thread has put and deleted is durable. Raises StoreFailedError if it won't be."""
         self._thread.commit()
--- a/chutepin/store/writer_thread.py
+++ b/chutepin/store/writer_thread.py
@@ -43,8 +43,6 @@
             self._error = self._error or error
             self._notify_waiters()
 
-    # Called by users of the store, on any thread
-
     def schedule_flush(self) -> None:
         """Something was appended: it is written after the sync interval at the latest."""
         if self._flush_at == math.inf:
@@ -54,7 +52,7 @@
                     self._changed.notify_all()
 
     def wake(self) -> None:
-        """Have the thread flush and step at once."""
+        """Have the thread flush and step without delay."""
         with self._changed:
             self._flush_at = 0.0
             self._has_background_work = True
@@ -124,7 +122,7 @@
                 self._notify_waiters()
 
     def _request_flush(self) -> int:
-        """Have everything appended so far flushed at once; the last sequence number of it."""
+        """Have everything appended so far flushed without delay; its last sequence number."""
         if self._error is not None:
             raise self._error
         self._engine.context.check_usable()
@@ -134,8 +132,6 @@
             self._changed.notify_all()
         return target
 
-    # On the thread
-
     def _run(self) -> None:
         try:
             while self._wait_for_work():
