--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,8 +1,8 @@
-"""What the embedded store costs, measured beside what the disk and the files alone take.
+"""Measures the embedded store beside direct writes to the same disk.
 
     python -O -m benchmarks.store [--directory DIR] [commits|open|stall|memory|space …]
 
-Every comparison is taken in one run, its variants in turn, medians over the rounds. Figures are printed as Markdown
+Every comparison is one run with its variants in turn, and medians over the rounds. Results are printed as Markdown
 tables; docs/store.md keeps those of one run, with its machine."""
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
 from chutepin.store.recovery import StoreReader
 
 ROUNDS = 5
-SIZES = (100, 2000, 16_384, 65_536)  # bytes of a value
-KEY = 24  # bytes
+VALUE_BYTES = (100, 2000, 16_384, 65_536)
+KEY_BYTES = 24
 GIB = 2**30
 
 
 @contextmanager
-def scratch(parent: str) -> Iterator[Path]:
+def scratch_directory(parent: str) -> Iterator[Path]:
     """A directory that is removed afterwards."""
     path = Path(tempfile.mkdtemp(dir=parent))
     try:
@@ -64,36 +64,36 @@
     print(flush=True)
 
 
-def bare(path: Path, count: int, group: int, size: int, writes: int) -> float:
+def direct_commits(path: Path, count: int, group: int, size: int, writes: int) -> float:
     """Commits a second of a loop that writes a group, in so many writes, and syncs it."""
-    descriptor = os.open(path / "bare", os.O_RDWR | os.O_CREAT | os.O_TRUNC)
-    data = os.urandom(group * (RECORD_HEADER_BYTES + KEY + size) // writes)
-    begun = time.perf_counter()
+    descriptor = os.open(path / "direct", os.O_RDWR | os.O_CREAT | os.O_TRUNC)
+    data = os.urandom(group * (RECORD_HEADER_BYTES + KEY_BYTES + size) // writes)
+    begin = time.perf_counter()
     for _ in range(count):
         for _ in range(writes):
             os.write(descriptor, data)
         os.fdatasync(descriptor)
-    took = time.perf_counter() - begun
+    elapsed_s = time.perf_counter() - begin
     os.close(descriptor)
-    return count / took
+    return count / elapsed_s
 
 
-def stored(path: Path, count: int, group: int, size: int) -> float:
+def store_commits(path: Path, count: int, group: int, size: int) -> float:
     """Commits a second of a caller that puts a group and waits for it."""
     value = os.urandom(size)
     with Store.open(path / "store", segment_bytes=64 * 2**20, max_bytes=16 * GIB, max_memory=GIB) as store:
         store.put(b"warm", b"", math.inf)
         store.commit()
-        begun = time.perf_counter()
+        begin = time.perf_counter()
         for number in range(count):
             store.put_many([(b"%012d%012d" % (number, index), value) for index in range(group)], math.inf)
             store.commit()
-        took = time.perf_counter() - begun
+        elapsed_s = time.perf_counter() - begin
     shutil.rmtree(path / "store")
-    return count / took
+    return count / elapsed_s
 
 
-def overlapped(path: Path, count: int, group: int, size: int) -> float:
+def overlapping_commits(path: Path, count: int, group: int, size: int) -> float:
     """Commits a second of two callers on a loop that put groups by turns: one encodes while the other's is synced."""
     value = os.urandom(size)
 
@@ -109,16 +109,16 @@
 
             store.put(b"warm", b"", math.inf)
             await store.committed()
-            begun = time.perf_counter()
+            begin = time.perf_counter()
             await asyncio.gather(caller(1), caller(2))
-            return count // 2 * 2 / (time.perf_counter() - begun)
+            return count // 2 * 2 / (time.perf_counter() - begin)
 
     result = asyncio.run(run())
     shutil.rmtree(path / "store")
     return result
 
 
-def awaited(path: Path, count: int, group: int, size: int) -> float:
+def awaited_puts(path: Path, count: int, group: int, size: int) -> float:
     """Records a second of so many callers on an event loop, each of which puts one record and awaits it."""
     value = os.urandom(size)
 
@@ -130,9 +130,9 @@
                     store.put(b"%012d%012d" % (number, index), value, math.inf)
                     await store.committed()
 
-            begun = time.perf_counter()
+            begin = time.perf_counter()
             await asyncio.gather(*(caller(index) for index in range(group)))
-            return count * group / (time.perf_counter() - begun)
+            return count * group / (time.perf_counter() - begin)
 
     result = asyncio.run(run())
     shutil.rmtree(path / "store")
@@ -140,27 +140,27 @@
 
 
 def commits(parent: str) -> None:
-    """Group commit beside the bare loops."""
+    """Group commit beside loops that write and sync directly."""
     rows: list[list[object]] = []
-    for size in SIZES:
+    for size in VALUE_BYTES:
         for group in (1, 16, 256):
             count = max(8, min(400, 6000 // group, 128 * 2**20 // (size * group)))
             results: list[tuple[float, ...]] = []
-            with scratch(parent) as path:
+            with scratch_directory(parent) as path:
                 for _ in range(ROUNDS):
                     results.append(
                         (
-                            bare(path, count, group, size, 1),
-                            bare(path, count, group, size, group),
-                            stored(path, count, group, size),
-                            overlapped(path, count, group, size),
-                            awaited(path, min(count, 60), group, size) / group,
-                            bare(path, min(count * group, 400), 1, size, 1) / group,
+                            direct_commits(path, count, group, size, 1),
+                            direct_commits(path, count, group, size, group),
+                            store_commits(path, count, group, size),
+                            overlapping_commits(path, count, group, size),
+                            awaited_puts(path, min(count, 60), group, size) / group,
+                            direct_commits(path, min(count * group, 400), 1, size, 1) / group,
                         )
                     )
-            middle = [statistics.median(column) for column in zip(*results, strict=True)]
-            best = max(middle[2], middle[3])
-            rows.append([size, group, *middle, best * group, best / middle[0], best / middle[1], best / middle[5]])
+            medians = [statistics.median(column) for column in zip(*results, strict=True)]
+            best = max(medians[2], medians[3])
+            rows.append([size, group, *medians, best * group, best / medians[0], best / medians[1], best / medians[5]])
     table(
         [
             "value bytes",
@@ -180,7 +180,7 @@
     )
 
 
-def fill(path: Path, count: int, size: int) -> None:
+def fill_store(path: Path, count: int, size: int) -> None:
     """A store with so many keys, all sealed but the last segment."""
     value = os.urandom(size)
     with Store.open(path, segment_bytes=8 * 2**20, max_bytes=64 * GIB, max_memory=8 * GIB) as store:
@@ -191,26 +191,26 @@
 
 def opening(parent: str, count: int = 1_000_000, size: int = 200) -> None:
     """Opening with hints, by a full scan, and reading the same bytes."""
-    with scratch(parent) as path:
-        fill(path / "store", count, size)
+    with scratch_directory(parent) as path:
+        fill_store(path / "store", count, size)
         files = LocalFileSystem(path / "store")
         results = []
         for _ in range(3):
-            begun = time.perf_counter()
+            begin = time.perf_counter()
             for name in files.names():
                 read_file(files, name)
-            raw = time.perf_counter() - begun
-            spent = []
+            raw = time.perf_counter() - begin
+            read_times = []
             for hints in (True, False):
                 gc.collect()
-                begun = time.perf_counter()
+                begin = time.perf_counter()
                 found = StoreReader(files).read(hints=hints)
-                spent.append(time.perf_counter() - begun)
+                read_times.append(time.perf_counter() - begin)
                 assert found is not None and len(found.log.index) == count
                 del found
-            begun = time.perf_counter()
+            begin = time.perf_counter()
             Store.open(path / "store", max_bytes=64 * GIB, max_memory=8 * GIB).close()
-            results.append((raw, *spent, time.perf_counter() - begun))
+            results.append((raw, *read_times, time.perf_counter() - begin))
         raw, hinted, scanned, whole = (statistics.median(column) for column in zip(*results, strict=True))
     table(
         [
@@ -230,24 +230,24 @@
 def stalls(parent: str) -> None:
     """The longest put and commit of a steady writer, with and without compaction beside it."""
     rows: list[list[object]] = []
-    pick = random.Random(1)
+    rng = random.Random(1)
     for name, keys in (("no compaction: every key new", 0), ("compaction: 8,000 keys replaced at random", 8000)):
-        with scratch(parent) as path, Store.open(path, segment_bytes=2**20, max_bytes=64 * 2**20) as store:
+        with scratch_directory(parent) as path, Store.open(path, segment_bytes=2**20, max_bytes=64 * 2**20) as store:
             puts, waits = [], []
             for number in range(60_000):
-                key = b"%024d" % (pick.randrange(keys) if keys else number)
-                begun = time.perf_counter()
+                key = b"%024d" % (rng.randrange(keys) if keys else number)
+                begin = time.perf_counter()
                 store.put(key, bytes(1000), math.inf if keys else time.time() + 1)
-                puts.append(time.perf_counter() - begun)
+                puts.append(time.perf_counter() - begin)
                 if number % 16 == 15:
-                    begun = time.perf_counter()
+                    begin = time.perf_counter()
                     store.commit()
-                    waits.append(time.perf_counter() - begun)
-            figures = store.metrics()
+                    waits.append(time.perf_counter() - begin)
+            metrics = store.metrics()
             rows.append(
                 [
                     name,
-                    figures.get("copied_bytes", 0) / 2**20,
+                    metrics.get("copied_bytes", 0) / 2**20,
                     *(
                         1000 * value
                         for times in (puts, waits)
@@ -270,7 +270,7 @@
     )
 
 
-def resident() -> int:
+def resident_bytes() -> int:
     """VmRSS in bytes."""
     return int(Path("/proc/self/status").read_text().split("VmRSS:")[1].split()[0]) * 1024
 
@@ -280,15 +280,15 @@
     rows: list[list[object]] = []
     for name, expires in (("never", math.inf), ("within the hour", 3600.0)):
         first = time.time() + 60
-        with scratch(parent) as path:
+        with scratch_directory(parent) as path:
             with Store.open(path, segment_bytes=8 * 2**20, max_bytes=8 * GIB, max_memory=GIB) as store:
                 for number in range(count):
                     store.put(b"%032d" % number, b"", first + expires * ((number + 1) / count))
                 store.commit()
             gc.collect()
-            before = resident()
+            before = resident_bytes()
             with Store.open(path, max_bytes=8 * GIB, max_memory=GIB) as store:
-                grown = resident() - before
+                grown = resident_bytes() - before
                 estimate = store.metrics()["memory_bytes"]
             rows.append([f"{count:,}", name, grown / count, estimate / count])
     table(["keys of 32 bytes", "expire", "measured, bytes a key", "the store's estimate"], rows)
@@ -296,20 +296,22 @@
 
 def space(parent: str) -> None:
     """Space and rewriting over long runs, on a clock of their own."""
-    pick = random.Random(1)
+    rng = random.Random(1)
     kinds: dict[str, Callable[[int], tuple[bytes, float]]] = {
         "keyed requests: new keys, window 44 s": lambda n: (b"%024d" % n, 44.118),
         "new keys, a tenth kept for good": lambda n: (b"%024d" % n, math.inf if n % 10 == 0 and n < 60_000 else 44.118),
-        "5,000 keys replaced at random": lambda _: (b"%024d" % pick.randrange(5000), math.inf),
+        "5,000 keys replaced at random": lambda _: (b"%024d" % rng.randrange(5000), math.inf),
         "5,000 keys, 500 of them in nine puts of ten": lambda n: (
-            b"%024d" % (pick.randrange(500) if n % 10 else 500 + pick.randrange(4500)),
+            b"%024d" % (rng.randrange(500) if n % 10 else 500 + rng.randrange(4500)),
             math.inf,
         ),
     }
     rows: list[list[object]] = []
     for name, kind in kinds.items():
-        now, most, worst = [1e9], 0.0, 0.0
-        with scratch(parent) as path:
+        now = [1e9]
+        max_disk_mib = 0.0
+        max_ratio = 0.0
+        with scratch_directory(parent) as path:
             engine = Engine.open(
                 LocalFileSystem(path),
                 Limits(2**20, GIB // 4, GIB),
@@ -324,21 +326,21 @@
                 now[0] += 0.005
                 if number % 64 == 63:
                     engine.settle()
-                    figures = engine.metrics()
+                    metrics = engine.metrics()
                     if number > 20_000:
-                        most = max(most, figures["disk_bytes"] / 2**20)
-                        worst = max(worst, figures["disk_bytes"] / max(figures["live_bytes"], 4 * 2**20))
-            figures = engine.metrics()
+                        max_disk_mib = max(max_disk_mib, metrics["disk_bytes"] / 2**20)
+                        max_ratio = max(max_ratio, metrics["disk_bytes"] / max(metrics["live_bytes"], 4 * 2**20))
+            metrics = engine.metrics()
             engine.close()
         rows.append(
             [
                 name,
-                figures["put_bytes"] / 2**20,
-                figures["live_bytes"] / 2**20,
-                most,
-                worst,
-                figures.get("copied_bytes", 0) / figures["put_bytes"],
-                figures["written_bytes"] / figures["put_bytes"],
+                metrics["put_bytes"] / 2**20,
+                metrics["live_bytes"] / 2**20,
+                max_disk_mib,
+                max_ratio,
+                metrics.get("copied_bytes", 0) / metrics["put_bytes"],
+                metrics["written_bytes"] / metrics["put_bytes"],
             ]
         )
     table(
@@ -355,7 +357,7 @@
     )
 
 
-PARTS: dict[str, Callable[[str], None]] = {
+BENCHMARKS: dict[str, Callable[[str], None]] = {
     "commits": commits,
     "open": opening,
     "stall": stalls,
@@ -366,12 +368,12 @@
 
 @click.command()
 @click.option("--directory", default=".", show_default=True, help="Where to write: the disk that is measured.")
-@click.argument("parts", nargs=-1, type=click.Choice(list(PARTS)))
+@click.argument("parts", nargs=-1, type=click.Choice(list(BENCHMARKS)))
 def main(directory: str, parts: tuple[str, ...]) -> None:
     """Measure all parts, or those named."""
     print(f"{os.cpu_count()} cores; {time.strftime('%Y-%m-%d')}\n")
-    for part in parts or PARTS:
-        PARTS[part](directory)
+    for part in parts or BENCHMARKS:
+        BENCHMARKS[part](directory)
 
 
 if __name__ == "__main__":
