--- /dev/null
+++ b/chutepin/decision/core_capacity.py
@@ -0,0 +1,48 @@
+"""How many runs the cores survive at once, which the settings give for a warm server."""
+
+from __future__ import annotations
+
+from .core_gauges import CoreGauges
+from .settings import Settings
+from .warm_up import WarmUp
+
+USED_SHARE = 0.85  # of the configured number of runs
+AWAITING_CALL_SHARE = 0.3  # of the capacity, kept for runs that wait for a call
+
+
+class CoreCapacity:
+    """Bounds on runs, on the cores and at calls, by warm-up and gauges."""
+
+    def __init__(self, settings: Settings, warm_up: WarmUp, gauges: CoreGauges) -> None:
+        self._cores = settings.cores
+        self._max_running_per_core = settings.max_running_per_core
+        self._warm_up = warm_up
+        self._gauges = gauges
+
+    def survivable_runs(self, now: float) -> float:
+        """How many runs on the cores are safe now: a share of the configured number, or one for each core."""
+        speed = self._warm_up.speed(now)
+        return max(self._cores, (1 + (self._max_running_per_core - 1) * speed) * self._cores * USED_SHARE)
+
+    def total(self, now: float) -> float:
+        """How many runs and calls in flight are safe now.
+
+        Where runs wait for disk, which the configured number leaves out, a warm server uses the margin too: all of
+        them back at once are still not over that number."""
+        most = min(self._max_running_per_core * self._cores, self._with_disk_waits(now, USED_SHARE))
+        return max(self.survivable_runs(now), most)
+
+    def limit_ceiling(self, now: float) -> int:
+        """The most that the concurrency limit may reach."""
+        return int(self._with_disk_waits(now, 1 - AWAITING_CALL_SHARE) * (1 - AWAITING_CALL_SHARE))
+
+    def max_awaiting_calls(self, now: float, limit: int) -> int:
+        """How many runs may wait for calls: all of them back at once still fit on the cores."""
+        total = self.total(now)
+        return max(1, int(max(total * AWAITING_CALL_SHARE, total - limit)))
+
+    def _with_disk_waits(self, now: float, min_on_core_share: float) -> float:
+        """Safe runs where some of them wait for disk, which only the gauge of the cores shows."""
+        if self._warm_up.speed(now) < 1:
+            return self.survivable_runs(now)
+        return self.survivable_runs(now) / max(min_on_core_share, self._gauges.on_core_share)
--- /dev/null
+++ b/chutepin/decision/experience.py
@@ -0,0 +1,60 @@
+"""What a decision instance has learned and hands to the process that takes over, under the names used between them."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+
+class LearnedField(NamedTuple):
+    """Where a learned value is kept: a part of the policy and its field."""
+
+    part: str
+    field: str
+
+
+# Two versions of the program may exchange these names: they stay, whatever the fields are called here.
+LEARNED_FIELDS = {
+    "work": LearnedField("class_statistics", "work"),
+    "turned": LearnedField("class_statistics", "time_to_rejection"),
+    "waits": LearnedField("class_statistics", "call_wait"),
+    "patience": LearnedField("attempt_ages", "wait_counts"),
+    "tries": LearnedField("attempt_ages", "attempts"),
+    "parts": LearnedField("caller_traffic", "callers"),
+    "heard": LearnedField("idle_connections", "last_heard_at"),
+    "returned": LearnedField("idle_connections", "returns"),
+    "silent": LearnedField("idle_connections", "silence"),
+    "first": LearnedField("caller_traffic", "first_request_at"),
+    "served": LearnedField("tenants", "served"),
+    "buckets": LearnedField("tenants", "buckets"),
+    "share": LearnedField("", "share"),
+    "refused_share": LearnedField("rejections", "share"),
+    "unread": LearnedField("", "unread"),
+    "reading": LearnedField("core_gauges", "reading"),
+    "slowness": LearnedField("", "slowness"),
+    "core_use": LearnedField("core_gauges", "core_use"),
+    "usual_use": LearnedField("core_gauges", "usual_core_use"),
+    "again_share": LearnedField("attempt_ages", "retry_share"),
+    "runs.limit": LearnedField("runs", "limit"),
+    "runs.average": LearnedField("runs", "average_ratio"),
+    "runs.deviation": LearnedField("runs", "deviation"),
+    "runs.time": LearnedField("runs", "average_time"),
+    "calls.limit": LearnedField("calls", "limit"),
+    "calls.average": LearnedField("calls", "average_ratio"),
+    "calls.deviation": LearnedField("calls", "deviation"),
+    "calls.time": LearnedField("calls", "average_time"),
+}
+
+
+def read_learned(policy: object) -> dict[str, object]:
+    """The learned values of a policy's parts under their outside names."""
+    return {
+        name: getattr(getattr(policy, part) if part else policy, field)
+        for name, (part, field) in LEARNED_FIELDS.items()
+    }
+
+
+def write_learned(policy: object, learned: dict[str, object]) -> None:
+    """Set learned values, given under their outside names."""
+    for name, value in learned.items():
+        part, field = LEARNED_FIELDS[name]
+        setattr(getattr(policy, part) if part else policy, field, value)
--- a/chutepin/decision/policy.py
+++ b/chutepin/decision/policy.py
@@ -30,6 +30,10 @@
     Stop,
 )
 from .aimd_limit import AimdLimit
+from .attempt_ages import AttemptAges
+from .caller_traffic import CallerTraffic
+from .core_capacity import CoreCapacity
+from .core_gauges import CoreGauges
 from .errors import UsageError
 from .events import (
     CallerGone,
@@ -43,67 +47,32 @@
     Request,
     TimerFired,
 )
+from .experience import read_learned, write_learned
+from .idle_connections import IdleConnections
 from .job import Job, State
 from .settings import Cancellation, Idempotency, LoadSignal, RequestClass, Settings
 from .snapshot import Snapshot
+from .statistics import ClassStatistics, RejectionStatistics
+from .tenants import TenantQuotas
+from .warm_up import WarmUp
 
-# Tuned values: ratios and shares, none of them a figure of one deployment.
 AVERAGE_WEIGHT = 0.1  # weight of a new run in the averages
-RISING_SHARE_WEIGHT = 0.5  # weight of a look that shows more of the runs on the cores than before
 RELATIVE_MARGIN = 0.1  # ... and at least this share of the average
 USED_LIMIT_SHARE = 0.85  # share of a told ceiling (memory, crowd, calls) that is used
-PARKED_SHARE = 0.3  # share of the crowd ceiling kept for requests parked at calls
 CONTROL_INTERVAL_S = 0.1  # seconds between looks at the backlog
 TARGET_BACKLOG_SHARE = 0.15  # wanted backlog, as a share of the mean aim
 SHARE_GAIN = 0.5  # how fast the announced share follows the backlog
-MAX_WAIT_SHARES = 300  # parts of the deadline that are remembered
-MIN_FIRST_ATTEMPT_SHARE = 0.05  # a part that this share of tries has is a first try's
-MAX_CALLERS = 1000  # callers remembered, for their connections
-MIN_RETURNS_PER_IDLE_TIME = 3.0  # returns while a connection may idle from which it is worth its place; half in a jam
-SHORT_IDLE_TIMEOUT_S = 0.1  # seconds that an idle connection stays where callers hardly return
-WAIT_SHARE_STEP = 0.002  # waits this close, as shares of the deadline, are the same
 REJECTION_FACTOR = 0.95  # each refusal for want of room lowers the announced share to this part
 MIN_ANNOUNCED_SHARE = 0.5  # announced share that keeps some traffic coming, so that recovery is seen
-TRAFFIC_DECAY_S = 8.0  # seconds over which the service of tenants is remembered
-MIN_CORE_USE = 0.5  # the use of the cores is not taken to be less when callers are told what these could run
-MIN_OBSERVATION_S = 2.0  # seconds over which a caller's traffic is counted at least
 ABANDONED_RUNS_DECAY_S = 4.0  # seconds over which runs that were cut off count as slow
-QUOTA_BURST_S = 5.0  # seconds of its quota that a tenant may use at once
-UNEVEN_TRAFFIC_FACTOR = 1.25  # traffic is spread unevenly: a server lets a tenant have this multiple of its even part
 PRIOR_RUNS = 4.0  # ended runs that the average counts for, against those still running
-UNREAD_PRESSURE_SHARE = (
-    0.3  # an unread wait above this share of the run time is back pressure: reading shares the cores
-)
+UNREAD_PRESSURE_SHARE = 0.3  # an unread wait above this share of the run time is back pressure
 GAUGE_WINDOW_S = 0.5  # seconds that the gauge of the cores looks back: until then a step of growth hardly shows
 PAUSE_TICKS = 20  # a timer later than this many ticks shows that the process stood still
 HANG_RUN_TIMES = 3.0  # no progress for this many usual run times is a hang
 FULL_FLEET_REJECTED_SHARE = 0.2  # share of reads refused from which others are taken to be full as well
 MIN_COMPACTED_TIMERS = 1000  # deadlines kept before those that no longer matter are dropped
 CALL_RETRY_DELAY_S = 0.05  # seconds before a failed call is repeated, doubled each time
-# What experience teaches about callers, work and cores; a process that takes over begins with it.
-LEARNED = (
-    "work",
-    "turned",
-    "waits",
-    "patience",
-    "tries",
-    "parts",
-    "heard",
-    "returned",
-    "silent",
-    "first",
-    "served",
-    "buckets",
-    "share",
-    "refused_share",
-    "unread",
-    "reading",
-    "slowness",
-    "core_use",
-    "usual_use",
-    "again_share",
-)
-LIMIT_FIELDS = {"limit": "limit", "average": "average_ratio", "deviation": "deviation", "time": "average_time"}
 
 
 class Policy:
@@ -112,27 +81,26 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         s = self.settings = settings
         self.random = random.Random(seed)
-        self.now = self.born = self.last_control = self.progress = self.stood = 0.0
+        self.now = self.last_control = self.progress = self.stood = 0.0
         self.grown = self.moved = -math.inf  # moved: when the process last went on after a stall
-        self.on_core_share = 1.0  # of the runs, those that want a core of late; the others wait for disk
         self.out: list[Action] = []
         self.jobs: dict[str, Job] = {}
         self.held: dict[str, Job] = {}
-        self.classes = {cls.name: index for index, cls in enumerate(s.classes)}
-        self.tenants = {tenant.name: index for index, tenant in enumerate(s.tenants)}
-        self.work = [cls.latency_objective / 5 for cls in s.classes]  # learned per class, where no hint comes
-        self.turned = [0.0] * len(s.classes)  # learned time until a refusal
-        self.waits = [0.0] * len(s.classes)  # learned time at calls
+        self.class_indexes = {cls.name: index for index, cls in enumerate(s.classes)}
+        self.tenant_indexes = {tenant.name: index for index, tenant in enumerate(s.tenants)}
+        self.class_statistics = ClassStatistics(s.classes)
+        self.rejections = RejectionStatistics()
+        self.attempt_ages = AttemptAges(s.marks_retries)
+        self.caller_traffic = CallerTraffic()
+        self.idle_connections = IdleConnections(s.max_idle_time)
+        self.tenants = TenantQuotas(s.tenants, s.servers)
+        self.warm_up = WarmUp(s)
+        self.core_gauges = CoreGauges(s.gauges)
+        self.core_capacity = CoreCapacity(s, self.warm_up, self.core_gauges)
         self.mean_aim = sum(cls.latency_objective for cls in s.classes) / len(s.classes)
-        self.patience: dict[int, float] = {}  # parts of the deadline that tries may wait: how often, of late
-        self.tries = 0.0
-        self.parts: dict[int, tuple[float, float]] = {}  # what each caller sent of late; first heard
-        self.heard: dict[int, float] = {}  # callers, longest silent first: when last heard
-        self.returned, self.silent = 3.0, s.max_idle_time  # callers heard again; seconds that callers were silent
-        self.idle = s.max_idle_time
-        self.first = math.inf  # when the first request came
         slowness = 1.0 / s.initial_speed if s.warming_up else 1.0
-        self.runs = AimdLimit(s.cores, self._limit_ceiling(), slowness, min(self.work))
+        ceiling = self.core_capacity.limit_ceiling(self.now)
+        self.runs = AimdLimit(s.cores, ceiling, slowness, min(self.class_statistics.work))
         calls_cap = max(s.cores, int(s.max_calls * USED_LIMIT_SHARE)) if s.max_calls else 10**6
         # A tier below tells no share and turns away what it cannot take: a limit of ours on top would read
         # the long tail of sound calls as trouble, shrink to one and leave runs parked behind it.
@@ -151,25 +119,20 @@
         self.sequence = self.token = 0
         self.heap_room = MIN_COMPACTED_TIMERS
         self.armed, self.wake = math.inf, -math.inf
-        self.served = [1e-3] * len(s.tenants)  # answered within the aim, of late
-        self.quotas = sum(tenant.quota for tenant in s.tenants)
-        self.buckets = [tenant.quota / s.servers * UNEVEN_TRAFFIC_FACTOR * QUOTA_BURST_S for tenant in s.tenants]
-        self.share = self._warm_up_speed()
+        self.share = self.warm_up.speed(self.now)
         self.announced = -1.0
-        self.refused_share = self.unread = self.reading = self.cut_spent = self.cut_work = 0.0
-        self.slowness, self.core_use, self.excess, self.again_share = slowness, 0.0, 0.0, 0.0
-        self.hung = self.cores_idle = False
-        self.usual_use = 1.0  # core use of late; full until gauges tell
+        self.unread = self.cut_spent = self.cut_work = 0.0
+        self.slowness, self.excess = slowness, 0.0
+        self.hung = False
         self.stop_at: float | None = None
         self.last_arrival = math.inf
         self.limited = 0
-        self.refusals: dict[str, int] = {}
 
     # --- the outer surface ---
 
     def start(self, now: float) -> list[Action]:
         """The first actions of a life: checks answered cheaply, connections kept, the value announced."""
-        self.now = self.born = self.last_control = self.progress = now
+        self.now = self.warm_up.started_at = self.last_control = self.progress = now
         self.out = [SetHealth(True), IdleTimeout(self.settings.max_idle_time)]
         self._announce()
         return self.out
@@ -203,26 +166,17 @@
             self.limited,
             self.announced,
             state,
-            dict(self.refusals),
+            dict(self.rejections.by_reason),
         )
 
     def learned(self) -> dict[str, object]:
         """What another process may begin with."""
-        learned: dict[str, object] = {name: getattr(self, name) for name in LEARNED}
-        for owner in ("runs", "calls"):
-            limit = getattr(self, owner)
-            learned |= {f"{owner}.{outside}": getattr(limit, field) for outside, field in LIMIT_FIELDS.items()}
-        return learned
+        return read_learned(self)
 
     def adopt(self, learned: dict[str, object]) -> None:
         """Begin with what another process had learned about the same cores and callers."""
-        for name, value in learned.items():
-            owner, _, part = name.rpartition(".")
-            if owner:
-                setattr(getattr(self, owner), LIMIT_FIELDS[part], value)
-            else:
-                setattr(self, name, value)
-        self.runs.set_ceiling(self._limit_ceiling())
+        write_learned(self, learned)
+        self.runs.set_ceiling(self.core_capacity.limit_ceiling(self.now))
 
     def _dispatch(self, event: Event) -> None:
         if isinstance(event, Request):
@@ -248,16 +202,16 @@
     def _on_request(self, req: Request) -> None:
         if req.id in self.jobs:
             raise UsageError(f"request id given twice: {req.id}")
-        if req.cls not in self.classes:
+        if req.cls not in self.class_indexes:
             raise UsageError(f"unknown class: {req.cls}")
-        index = self.classes[req.cls]
+        index = self.class_indexes[req.cls]
         cls = self.settings.classes[index]
         job = Job(
             req,
             index,
-            self.tenants.get(req.tenant or "", -1),
+            self.tenant_indexes.get(req.tenant or "", -1),
             self.now - req.unread,
-            max(2 * self.settings.tick, req.hint or self.work[index]),
+            max(2 * self.settings.tick, req.hint or self.class_statistics.work[index]),
         )
         self.jobs[job.id] = self.held[job.id] = job
         self.memory += req.size
@@ -265,19 +219,15 @@
         job.due_at = max(self.now, due) - self.settings.tick
         if self.stop_at is not None:
             job.due_at = min(job.due_at, self.stop_at)
-        aim = min(
-            cls.latency_objective + cls.objective_stretch * job.work, cls.deadline
-        ) - self._previous_attempts_time(job, cls)
-        job.objective_at = min(job.arrived_at + aim, job.due_at)  # callers may give up a try before the aim
-        self.refused_share *= 1 - AVERAGE_WEIGHT / 2
-        self.again_share += AVERAGE_WEIGHT / 2 * (req.is_retry - self.again_share)  # below 1
+        objective = min(cls.latency_objective + cls.objective_stretch * job.work, cls.deadline)
+        objective -= self._time_before_arrival(job, cls)
+        job.objective_at = min(job.arrived_at + objective, job.due_at)  # callers may give up an attempt before that
+        self.rejections.record_request()
+        self.attempt_ages.record_request(req.is_retry)
         stood = max(0.0, min(self.now, self.moved) - max(job.arrived_at, self.stood))
         self.unread += 2 * AVERAGE_WEIGHT * (max(0.0, req.unread - stood) - self.unread)
-        self._note_caller(req.caller)
-        self.first = min(self.first, self.now)
-        if req.caller in self.parts or len(self.parts) < MAX_CALLERS:
-            part, first = self.parts.get(req.caller, (0.0, self.now))
-            self.parts[req.caller] = part + 1, first
+        self.idle_connections.record_request(self.now, req.caller)
+        self.caller_traffic.record(self.now, req.caller)
         self._push_timer(job.due_at, "due", job)
         if req.repeats is not None and self._join_original(job, cls):
             return
@@ -289,54 +239,9 @@
         # Never in this batch: what finds a free permit runs, or nothing would be measured.
         self._push_timer(max(self.now + self.settings.tick, job.objective_at - self._expected_time(job)), "late", job)
 
-    def _previous_attempts_time(self, job: Job, cls: RequestClass) -> float:
-        """Time spent on earlier tries, which nothing tells, but that there were some, where tries are marked.
-        First tries wait one of few parts of the deadline, by habit of their callers; what earlier tries left
-        of the whole is hardly seen twice."""
-        if job.request.due is None:  # as long as as many refusals take here as tries come before one
-            return (
-                self.turned[job.class_index] * self.again_share / (1 - self.again_share)
-                if job.request.is_retry
-                else 0.0
-            )
-        part = (job.request.due - job.arrived_at) / cls.deadline
-        mark, tally = round(part / WAIT_SHARE_STEP), self.patience
-        first = self.settings.marks_retries and not job.request.is_retry
-        if first or not self.settings.marks_retries:
-            tally[mark] = tally.get(mark, 0.0) + 1
-            self.tries += 1
-        if first:
-            return 0.0
-        near = sum(tally.get(at, 0.0) for at in (mark - 1, mark, mark + 1))
-        if len(tally) > MAX_WAIT_SHARES:  # guards memory: all fade and the rare ones go
-            self.patience = {at: count / 2 for at, count in tally.items() if count > 1}
-            self.tries = sum(self.patience.values())
-        usual = near >= MIN_FIRST_ATTEMPT_SHARE * self.tries
-        return 0.0 if usual else max(0.0, 1 - part) * cls.deadline
-
-    def _note_caller(self, caller: int) -> None:
-        """Learn how soon callers come again; those silent for longer than connections may idle go."""
-        self.returned += self.heard.pop(caller, None) is not None
-        self.heard[caller] = self.now
-        while (oldest := next(iter(self.heard))) != caller and (
-            len(self.heard) > MAX_CALLERS or self.now - self.heard[oldest] > self.settings.max_idle_time
-        ):
-            del self.heard[oldest]
-
-    def _adjust_idle_timeout(self, step: float) -> None:
-        """Close idle connections at once where a caller is hardly heard again while its own may stay open.
-
-        Guards against a table full of connections that nobody uses: it costs cores and turns callers away.
-        Harm: a handshake for each try of the few callers that do come again."""
-        longest = self.settings.max_idle_time
-        keep = math.exp(-step / max(longest, step))
-        self.returned, self.silent = self.returned * keep, (self.silent + len(self.heard) * step) * keep
-        # The more is refused, the more a full table helps: it turns away without handshake or reading.
-        needed = max(MIN_RETURNS_PER_IDLE_TIME / 2, MIN_RETURNS_PER_IDLE_TIME * (1 - self.refused_share))
-        idle = longest if self.returned * longest > needed * self.silent else min(SHORT_IDLE_TIMEOUT_S, longest)
-        if idle != self.idle:
-            self.idle = idle
-            self.out.append(IdleTimeout(idle))
+    def _time_before_arrival(self, job: Job, cls: RequestClass) -> float:
+        time_to_rejection = self.class_statistics.time_to_rejection[job.class_index]
+        return self.attempt_ages.earlier_attempts_time(job.request, job.arrived_at, cls, time_to_rejection)
 
     def _join_original(self, job: Job, cls: RequestClass) -> bool:
         """A repeat of a kept request shares its answer; where that never began, the newer try replaces it.
@@ -369,7 +274,7 @@
         memory = self.memory + self.other_memory
         if memory + keys + job.request.size * self.settings.run_factor > self.settings.memory * USED_LIMIT_SHARE:
             return "memory"
-        if self.in_use + self.other_use + self.reading < self.runs.limit and len(self.held) == 1:
+        if self.in_use + self.other_use + self.core_gauges.reading < self.runs.limit and len(self.held) == 1:
             return ""
         rank = self._weight_density(job)
         ahead = sum(o.work for o in self.held.values() if o is not job and self._weight_density(o) >= rank)
@@ -377,17 +282,9 @@
         return "hopeless" if self.now + wait + self._expected_time(job) > job.objective_at else ""
 
     def _expected_time(self, job: Job) -> float:
-        return self._expected_run_time(job.work) + self.waits[job.class_index]
-
-    def _expected_run_time(self, work: float) -> float:
-        """Expected time on the cores. A cold server warms up meanwhile, evenly at the slowest: at its present
-        speed a long run would look hopeless that ends in time."""
-        time, speed = work * self.slowness, self._warm_up_speed()
-        if speed >= 1:
-            return time
-        full, rise = time * speed, (1 - self.settings.initial_speed) / self.settings.warm_up_time
-        end = min(1.0, math.sqrt(speed**2 + 2 * rise * full))  # the speed at its end
-        return (end - speed) / rise + max(0.0, full - (1 - speed**2) / 2 / rise)
+        return (
+            self.warm_up.run_time(self.now, job.work, self.slowness) + self.class_statistics.call_wait[job.class_index]
+        )
 
     def _keep_key(self, job: Job, cls: RequestClass) -> None:
         """Keep the key before any run and for the whole window, counted from the arrival."""
@@ -402,26 +299,14 @@
         worth = self.settings.classes[job.class_index].priority_weight * self._quota_weight(job)
         return worth if self.settings.weight_by_work else worth / job.work
 
-    def _is_over_quota(self, job: Job) -> bool:
-        """Its tenant has used up this server's part of the quota, and more of its quota than the others.
-
-        The second guards small tenants where traffic is uneven: a busy server sees more of every tenant than
-        the even part. Harm: where all tenants exceed their shares alike, none is put back."""
-        if job.tenant_index < 0 or self.buckets[job.tenant_index] >= 1:
-            return False
-        quota = self.settings.tenants[job.tenant_index].quota
-        return quota > 0 and self.served[job.tenant_index] * self.quotas > quota * sum(self.served)
-
     def _has_permit(self) -> bool:
         """Under the limit; reading takes permits as a mean, but none of one run for each core: at two cores a
         single request being read would otherwise keep a core from every run."""
-        used = self.in_use + self.other_use + self.reading
+        used = self.in_use + self.other_use + self.core_gauges.reading
         return self.in_use < self.settings.cores or used < self.runs.limit
 
     def _start_runs(self) -> None:
-        # What the limit leaves of the crowd may be parked: all of them back at once still fit on the cores.
-        room = self._cores_capacity()
-        bound = max(1, int(max(room * PARKED_SHARE, room - self.runs.limit)))
+        bound = self.core_capacity.max_awaiting_calls(self.now, self.runs.limit)
         while self.held:
             if not (self._has_permit() and self._cores_admit()):
                 self.limited += 1
@@ -440,7 +325,7 @@
             self._enter(job, State.RUNNING)
             job.ran, job.run_started = True, self.now
             if job.tenant_index >= 0:
-                self.buckets[job.tenant_index] -= 1
+                self.tenants.record_start(job.tenant_index)
             self.out.append(Run(job.id))
 
     def _enter(self, job: Job, state: State) -> None:
@@ -483,12 +368,11 @@
         server is the sick one; else each further try costs every server its reading."""
         sick = reason in ("drain", "hang")
         if no_other_node is None:
-            no_other_node = not sick and self.refused_share > FULL_FLEET_REJECTED_SHARE
-        self.refused_share += AVERAGE_WEIGHT / 2
-        self.turned[job.class_index] += AVERAGE_WEIGHT * (self.now - job.arrived_at - self.turned[job.class_index])
+            no_other_node = not sick and self.rejections.share > FULL_FLEET_REJECTED_SHARE
+        self.rejections.record_rejection(reason)
+        self.class_statistics.record_rejection(job.class_index, self.now - job.arrived_at)
         if reason in ("hopeless", "late"):
             self.share *= 1 - (1 - REJECTION_FACTOR) * self._quota_weight(job)
-        self.refusals[reason] = self.refusals.get(reason, 0) + 1
         # Where the others are full as well the client is told when this backlog will be the wanted one again.
         hold_off = min(self.settings.max_retry_after, math.inf if sick else self.excess if no_other_node else 0.0)
         if job.state is State.QUEUED:
@@ -533,7 +417,7 @@
             if outcome is Outcome.OK:
                 self._record_run(job, cls)
         if outcome is Outcome.OK and job.tenant_index >= 0 and not job.answered and self.now <= job.objective_at:
-            self.served[job.tenant_index] += 1
+            self.tenants.record_served(job.tenant_index)
         if outcome in (Outcome.CANCELLED, Outcome.MOOT) and not job.answered:
             self.out.append(Fail(job.id))
         self._leave(job)
@@ -545,16 +429,16 @@
         late = over or self.unread > UNREAD_PRESSURE_SHARE * self.runs.average_time
         if job.request.hint is None:
             own = rtt * min(1.0, self.settings.cores / max(1, self.in_use + self.other_use))
-            self.work[job.class_index] += AVERAGE_WEIGHT * (own - self.work[job.class_index])
-        self.waits[job.class_index] += AVERAGE_WEIGHT * (job.call_wait - self.waits[job.class_index])
+            self.class_statistics.record_work(job.class_index, own)
+        self.class_statistics.record_call_wait(job.class_index, job.call_wait)
         self.runs.record_success(
             self.now,
             rtt,
             job.work,
             self.in_use + self.other_use,
             late,
-            self.core_use >= 1 - RELATIVE_MARGIN,
-            self.cores_idle,
+            self.core_gauges.cores_full,
+            self.core_gauges.cores_idle,
         )
 
     def _on_progress(self) -> None:
@@ -668,7 +552,10 @@
             self._enter(job, State.CALLING)
             self.out.append(Call(job.id, job.reserved_call_time - linger))
         for job in [j for j in self.call_queue if self.settings.classes[j.class_index].weight_without_call]:
-            late = self.now + self.waits[job.class_index] + job.work * self.slowness / 2 > job.objective_at
+            late = (
+                self.now + self.class_statistics.call_wait[job.class_index] + job.work * self.slowness / 2
+                > job.objective_at
+            )
             if late and self._cores_admit():
                 self.call_queue.remove(job)
                 self.out.append(SkipCall(job.id))
@@ -694,24 +581,13 @@
     def _on_timer(self, event: TimerFired) -> None:
         if event.token == self.token:
             self.armed = math.inf
-        gauges = dict(zip(self.settings.gauges, event.gauges, strict=False))
-        # Reading shares the cores and takes permits too, as a mean; at least one request always runs.
-        runs = self.in_use + self.other_use
-        self.reading += AVERAGE_WEIGHT * (max(0.0, gauges.get("on_cores", runs) - runs) - self.reading)
-        self.core_use = gauges.get("core_use", 0.0)
-        if runs and "on_cores" in gauges:
-            fewer = min(1.0, gauges["on_cores"] / runs) - self.on_core_share
-            self.on_core_share += fewer * (AVERAGE_WEIGHT if fewer < 0 else RISING_SHARE_WEIGHT)
+        self.core_gauges.record(event.gauges, self.in_use + self.other_use)
         # Growth without the wait while cores idle and requests are held (disk waits leave cores idle).
-        if "core_use" in gauges:
-            self.usual_use += AVERAGE_WEIGHT * (self.core_use - self.usual_use)
-        self.cores_idle = "core_use" in gauges and self.core_use < 1 - RELATIVE_MARGIN
         full = self.held and self.in_use >= self.runs.limit
-        if self.cores_idle and full and self.now >= self.grown + GAUGE_WINDOW_S:
+        if self.core_gauges.cores_idle and full and self.now >= self.grown + GAUGE_WINDOW_S:
             self.grown = self.now
-            # As many more as the idle part of the cores could run, halved: what they wait for is not known.
-            spare = self.in_use * (1 - RELATIVE_MARGIN - self.core_use) / max(MIN_CORE_USE, self.core_use)
-            self.runs.raise_by(max(1, int(spare / 2)))
+            # Only half of them, as it is not known what the runs wait for.
+            self.runs.raise_by(max(1, int(self.core_gauges.spare_runs(self.in_use) / 2)))
 
     def _account_for_pause(self, now: float) -> None:
         """A timer that comes late proves that the process, runs and reading included, stood still.
@@ -767,57 +643,24 @@
             self.token += 1
             self.out.append(SetTimer(self.token, self.armed - self.now))
 
-    def _warm_up_speed(self) -> float:
-        s = self.settings
-        if not s.warming_up or self.now - self.born >= s.warm_up_time:
-            return 1.0
-        return s.initial_speed + (1 - s.initial_speed) * (self.now - self.born) / s.warm_up_time
-
-    def _survivable_runs(self) -> float:
-        """How many runs the cores survive now, cold to warm: a part of the told figure, or one run a core."""
-        cores = self.settings.cores
-        return max(
-            cores, (1 + (self.settings.max_running_per_core - 1) * self._warm_up_speed()) * cores * USED_LIMIT_SHARE
-        )
-
     def _cores_admit(self) -> bool:
         """Room on the cores for one more, should every call in hand return at once.
 
         Guards the crowd whatever the calls do, also where runs cannot be stopped: those on the cores and
         those at calls stay under the ceiling together; what waits for its call waits here. Harm: a call
         or a start waits while calls take long."""
-        return self.in_use + self.calling + self.other_use + 1 <= self._cores_capacity()
-
-    def _cores_capacity(self) -> float:
-        """Runs and calls in hand that the cores survive. Where runs wait for disk, which the told figure
-        leaves out, a warm server uses the margin too: all of them back at once are still not over it."""
-        return max(
-            self._survivable_runs(),
-            min(self.settings.max_running_per_core * self.settings.cores, self._runs_with_disk_waits(USED_LIMIT_SHARE)),
-        )
-
-    def _runs_with_disk_waits(self, least: float) -> float:
-        """The crowd where some of the runs wait for disk, which only the gauge of the cores shows."""
-        return self._survivable_runs() / (max(least, self.on_core_share) if self._warm_up_speed() >= 1 else 1.0)
-
-    def _limit_ceiling(self) -> int:
-        return int(self._runs_with_disk_waits(1 - PARKED_SHARE) * (1 - PARKED_SHARE))
+        return self.in_use + self.calling + self.other_use + 1 <= self.core_capacity.total(self.now)
 
     def _control(self) -> None:
         step, self.last_control = min(1.0, self.now - self.last_control), self.now
-        self.runs.set_ceiling(self._limit_ceiling())
+        self.runs.set_ceiling(self.core_capacity.limit_ceiling(self.now))
         self.cut_spent *= math.exp(-step / ABANDONED_RUNS_DECAY_S)
         self.cut_work *= math.exp(-step / ABANDONED_RUNS_DECAY_S)
-        fade = math.exp(-step / TRAFFIC_DECAY_S)
-        self.parts = {c: (part * fade, first) for c, (part, first) in self.parts.items() if part > 0.01}
-        self.served = [max(1e-3, value * fade) for value in self.served]
-        for index, tenant in enumerate(self.settings.tenants):
-            rate = tenant.quota / self.settings.servers * UNEVEN_TRAFFIC_FACTOR
-            self.buckets[index] = max(
-                -rate * QUOTA_BURST_S, min(rate * QUOTA_BURST_S, self.buckets[index] + rate * step)
-            )
+        self.caller_traffic.decay(step)
+        self.tenants.advance(step)
         self._watch_runs()
-        self._adjust_idle_timeout(step)
+        if (timeout := self.idle_connections.update(step, self.rejections.share)) is not None:
+            self.out.append(IdleTimeout(timeout))
         self._adjust_share(step)
         self._announce()
 
@@ -849,7 +692,7 @@
 
     def _quota_weight(self, job: Job) -> float:
         """What a request counts for its class's worth, as told."""
-        return self.settings.over_quota_weight if self._is_over_quota(job) else 1.0
+        return self.settings.over_quota_weight if self.tenants.is_over_quota(job.tenant_index) else 1.0
 
     def _backlog(self) -> float:
         """Seconds that a request waits: unread, then for the work in the hold."""
@@ -862,22 +705,10 @@
         self.excess = max(0.0, (backlog := self._backlog()) - wanted)
         error = max(-2.0, min(1.0, (wanted - backlog) / wanted))
         self.share = max(
-            MIN_ANNOUNCED_SHARE, min(1.0, self._warm_up_speed(), self.share * math.exp(SHARE_GAIN * error * step))
+            MIN_ANNOUNCED_SHARE,
+            min(1.0, self.warm_up.speed(self.now), self.share * math.exp(SHARE_GAIN * error * step)),
         )
 
-    def _busiest_caller_share(self) -> float:
-        """The part of all traffic that the busiest caller sends, each counted over the time it was heard.
-
-        Guards against callers that restart and come back under new numbers: counted over the same time as
-        those that stay, each of their numbers would seem to send little, and the credit would starve them."""
-
-        def seen(since: float) -> float:  # share of the memory that this time fills
-            return 1 - math.exp(-max(MIN_OBSERVATION_S, self.now - since) / TRAFFIC_DECAY_S)
-
-        most = max((part / seen(first) for part, first in self.parts.values()), default=0.0)
-        total = sum(part for part, _ in self.parts.values())
-        return min(1.0, most * seen(self.first) / max(1.0, total))
-
     def _announce(self) -> None:
         """The cheapest refusal is the one never sent: tell callers how much to send, in their meaning."""
         signal, value = self.settings.signal, self.share
@@ -888,12 +719,12 @@
         if signal is LoadSignal.LEVEL:
             value = 1.0 - value
         elif signal is LoadSignal.CREDIT:
-            work = self.slowness * sum(self.work) / len(self.work)
+            work = self.slowness * sum(self.class_statistics.work) / len(self.class_statistics.work)
             room = TARGET_BACKLOG_SHARE * self.mean_aim * self.runs.limit / work
-            could = min(self.runs.ceiling, self.runs.limit * (1 - RELATIVE_MARGIN) / max(MIN_CORE_USE, self.usual_use))
+            could = min(self.runs.ceiling, self.core_gauges.runs_on_full_cores(self.runs.limit))
             total = (max(self.runs.limit, could) + self.parked + room) if value else 0.0
             # Callers' traffic is uneven: an even part turns the busiest away while the others' lies idle.
-            value = total * max(self._busiest_caller_share(), 1 / self.settings.callers)
+            value = total * max(self.caller_traffic.busiest_share(self.now), 1 / self.settings.callers)
         if abs(value - self.announced) > 0.01:
             self.announced = round(value, 3)
             self.out.append(Announce(self.announced))
--- a/tests/test_decision_policy.py
+++ b/tests/test_decision_policy.py
@@ -10,15 +10,10 @@
 from chutepin import decision
 from chutepin.decision import Idempotency, LoadSignal, Outcome, RequestClass, Settings, Tenant
 from chutepin.decision.aimd_limit import AimdLimit
+from chutepin.decision.attempt_ages import MAX_WAIT_SHARES
+from chutepin.decision.idle_connections import MAX_CALLERS, SHORT_IDLE_TIMEOUT_S
 from chutepin.decision.job import State
-from chutepin.decision.policy import (
-    MAX_CALLERS,
-    MAX_WAIT_SHARES,
-    MIN_ANNOUNCED_SHARE,
-    MIN_COMPACTED_TIMERS,
-    SHORT_IDLE_TIMEOUT_S,
-    Policy,
-)
+from chutepin.decision.policy import MIN_ANNOUNCED_SHARE, MIN_COMPACTED_TIMERS, Policy
 
 VIEW = RequestClass("view", Idempotency.IDEMPOTENT, 1.0, 1.0, 4.0)
 PAY = RequestClass("pay", Idempotency.KEYED, 1.0, 1.0, 4.0, window=5.0)
@@ -183,7 +178,7 @@
         policy.progress = at / 10  # no hang
         policy.handle(at / 10, [req(f"r{at}-{i}", at / 10 + 4.0) for i in range(5)])
     assert policy.announced >= MIN_ANNOUNCED_SHARE - 1e-9
-    assert policy.refusals
+    assert policy.rejections.by_reason
 
 
 def test_excess_of_a_tenant_does_not_lower_the_share() -> None:
@@ -194,7 +189,7 @@
         for at in range(100):
             policy.progress = at / 10  # no hang
             policy.handle(at / 10, [req(f"r{at}-{i}", at / 10 + 4.0, tenant="greedy") for i in range(5)])
-            policy.served[0] = 10.0  # most of what is served is greedy's
+            policy.tenants.served[0] = 10.0  # most of what is served is greedy's
         shares.append(policy.share)
     assert shares[0] < shares[1] == 1.0
 
@@ -353,7 +348,10 @@
     policy = started()
     for at in range(3000):
         policy.handle(at / 1000, [req(f"r{at}", at / 1000 + 0.5 + at / 1000, caller=at)])
-    assert len(policy.patience) <= MAX_WAIT_SHARES + 1 and len(policy.heard) <= MAX_CALLERS + 1
+    assert (
+        len(policy.attempt_ages.wait_counts) <= MAX_WAIT_SHARES + 1
+        and len(policy.idle_connections.last_heard_at) <= MAX_CALLERS + 1
+    )
 
 
 @pytest.mark.parametrize(("callers", "closes"), [(10, False), (3000, True)])
@@ -372,10 +370,11 @@
     """Where traffic is uneven a busy server sees more than the even part of every tenant."""
     tenants = (Tenant("big", 0.5, 1.0), Tenant("small", 0.5, 1.0))
     policy = started(replace(PLAIN, tenants=tenants))
-    policy.buckets = [-1.0, -1.0]
-    policy.served = [30.0, 10.0]
+    policy.tenants.buckets = [-1.0, -1.0]
+    policy.tenants.served = [30.0, 10.0]
     policy.handle(0.0, [req("run"), req("run2"), req("b", tenant="big"), req("s", tenant="small")])
-    assert policy._is_over_quota(policy.jobs["b"]) and not policy._is_over_quota(policy.jobs["s"])
+    assert policy.tenants.is_over_quota(policy.jobs["b"].tenant_index)
+    assert not policy.tenants.is_over_quota(policy.jobs["s"].tenant_index)
 
 
 CALLING = replace(VIEW, name="calling", makes_calls=True)
@@ -432,8 +431,8 @@
     """Runs under the limit all went to calls, others took their permits, then all came back; also where no run seemed
     to want a core just before."""
     policy = started(settings)
-    policy.on_core_share = on_core_share
-    policy.runs.set_ceiling(policy._limit_ceiling())
+    policy.core_gauges.on_core_share = on_core_share
+    policy.runs.set_ceiling(policy.core_capacity.limit_ceiling(policy.now))
     policy.runs.limit = policy.runs.ceiling
     policy.handle(0.0, [req(f"c{at}", cls="calling", hint=0.01) for at in range(40)])
     for _ in range(20):
@@ -539,7 +538,7 @@
 def test_marked_try_without_a_due_time_is_as_old_as_refusals_here_make_it() -> None:
     """Old tries were run as if fresh where no due time comes, and a third of all answers came too late."""
     policy = started(replace(PLAIN, marks_retries=True))
-    policy.turned[0], policy.again_share = 0.3, 0.5
+    policy.class_statistics.time_to_rejection[0], policy.attempt_ages.retry_share = 0.3, 0.5
     policy.handle(0.0, [replace(req("again"), due=None, is_retry=True), replace(req("first"), due=None)])
     assert policy.jobs["first"].objective_at == pytest.approx(1.0)
     assert policy.jobs["again"].objective_at == pytest.approx(0.7, abs=0.05)
@@ -547,7 +546,7 @@
 
 def test_marks_without_the_setting_tell_nothing_without_a_due_time() -> None:
     policy = started()
-    policy.turned[0] = 0.3
+    policy.class_statistics.time_to_rejection[0] = 0.3
     policy.handle(0.0, [replace(req("a"), due=None, is_retry=True)])
     assert policy.jobs["a"].objective_at == pytest.approx(1.0)
 
@@ -567,7 +566,7 @@
     """Advice with every refusal kept clients waiting while other servers had room."""
     for share, advised in ((0.0, False), (0.9, True)):
         policy = started(replace(PLAIN, max_retry_after=1.0, cores=1))
-        policy.refused_share, policy.excess = share, 0.4
+        policy.rejections.share, policy.excess = share, 0.4
         actions = policy.handle(0.0, [req("run"), req("big", hint=50.0)])
         said = [a.retry_after for a in actions if isinstance(a, decision.Reject)]
         assert said and (said == [pytest.approx(0.4)]) is advised
@@ -578,10 +577,10 @@
     """Half the servers only shook hands, read and refused (h5bf57a); a full table refuses for free."""
     policy = started()
     for at in range(400):
-        policy.refused_share = refused
+        policy.rejections.share = refused
         now = at / 10  # each of 150 callers comes again every 15 s: twice while a connection may idle
         policy.handle(now, [req(f"r{at}", now + 1.0, caller=at % 150)])
-    assert (policy.idle == policy.settings.max_idle_time) is stays
+    assert (policy.idle_connections.idle_timeout == policy.settings.max_idle_time) is stays
 
 
 def test_credit_fits_the_busiest_caller_not_an_even_part() -> None:
@@ -632,7 +631,7 @@
             caller = (0 if step % 2 else 1 + step % 14) + 100 * (int(at / 2.5) % lives)
             policy.handle(at, [req(f"r{step}", at + 4.0, caller=caller)])
             policy.handle(at + 0.005, [decision.Finished(f"r{step}", Outcome.OK)])
-        return policy._busiest_caller_share()
+        return policy.caller_traffic.busiest_share(policy.now)
 
     assert busiest(1) == pytest.approx(0.5, rel=0.1)
     assert busiest(100) > 0.3  # counted over the same time as the others: under 0.15
@@ -657,7 +656,11 @@
         for id in ids(actions, decision.Run):
             runs.append(id)
             actions += policy.handle(0.001 * index, [decision.CallNeeded(id)])
-    assert int(policy._survivable_runs()) - policy.runs.limit <= policy.parked <= policy._survivable_runs()
+    assert (
+        int(policy.core_capacity.survivable_runs(policy.now)) - policy.runs.limit
+        <= policy.parked
+        <= policy.core_capacity.survivable_runs(policy.now)
+    )
 
 
 def test_idle_cores_raise_limit_and_credit_by_what_they_could_run() -> None:
@@ -705,11 +708,13 @@
 
 def test_room_for_others_is_gone_as_soon_as_the_runs_want_their_cores() -> None:
     policy = started(DISK)
-    policy.on_core_share, policy.in_use = 0.1, 4
-    wide = policy._cores_capacity()
+    policy.core_gauges.on_core_share, policy.in_use = 0.1, 4
+    wide = policy.core_capacity.total(policy.now)
     for _ in range(4):
         policy._on_timer(decision.TimerFired(policy.token, (1.0, 4.0)))
-    assert wide == DISK.max_running_per_core * DISK.cores and policy._cores_capacity() < 1.1 * policy._survivable_runs()
+    assert wide == DISK.max_running_per_core * DISK.cores and policy.core_capacity.total(
+        policy.now
+    ) < 1.1 * policy.core_capacity.survivable_runs(policy.now)
 
 
 @pytest.mark.parametrize("work", [0.1, 1.0, 3.0, 20.0])
@@ -718,9 +723,9 @@
     """Long runs looked hopeless at the present speed: on the bench a cold server refused nearly all."""
     policy = started(replace(PLAIN, warming_up=True, initial_speed=0.2, warm_up_time=10.0))
     policy.now = age
-    policy.slowness = 1 / policy._warm_up_speed()
+    policy.slowness = 1 / policy.warm_up.speed(policy.now)
     left, time, step = work, 0.0, 0.001
     while left > 0:
         left -= step * min(1.0, 0.2 + 0.8 * (age + time) / 10.0)
         time += step
-    assert policy._expected_run_time(work) == pytest.approx(time, rel=0.01, abs=0.01)
+    assert policy.warm_up.run_time(policy.now, work, policy.slowness) == pytest.approx(time, rel=0.01, abs=0.01)
--- a/tests/test_decision_rules.py
+++ b/tests/test_decision_rules.py
@@ -11,8 +11,10 @@
 from chutepin import decision
 from chutepin.decision import Cancellation, LoadSignal, Settings, Tenant
 from chutepin.decision.aimd_limit import AimdLimit
+from chutepin.decision.attempt_ages import MAX_WAIT_SHARES
+from chutepin.decision.idle_connections import MAX_CALLERS
 from chutepin.decision.job import Job
-from chutepin.decision.policy import MAX_CALLERS, MAX_WAIT_SHARES, Policy
+from chutepin.decision.policy import Policy
 from tests.decision_world import BASE, KEYED, SAFE, UNSAFE, RuleBrokenError, cold, play
 
 ODD: dict[str, Settings] = {
@@ -97,7 +99,10 @@
 def test_rules_and_memory_hold_when_callers_never_repeat(seed: int) -> None:
     world = play(replace(BASE, max_idle_time=1e6), seed, steps=9000, drain=False, callers=10**9)
     assert world.serial > MAX_CALLERS
-    assert len(world.policy.heard) <= MAX_CALLERS + 1 and len(world.policy.patience) <= MAX_WAIT_SHARES + 1
+    assert (
+        len(world.policy.idle_connections.last_heard_at) <= MAX_CALLERS + 1
+        and len(world.policy.attempt_ages.wait_counts) <= MAX_WAIT_SHARES + 1
+    )
 
 
 def test_same_events_give_same_actions() -> None:
