--- a/benchmarks/capacity/measure/settings_probe.py
+++ b/benchmarks/capacity/measure/settings_probe.py
@@ -11,7 +11,8 @@
 import time
 from pathlib import Path
 
-from chutepin.decision.policy import CONTROL_INTERVAL_S, Policy
+from chutepin.decision.control_loop import CONTROL_INTERVAL_S
+from chutepin.decision.policy import Policy
 from chutepin.decision.simulator_protocol import parse_settings
 
 from .tools import resident_bytes
--- a/benchmarks/capacity/measure/tenants.py
+++ b/benchmarks/capacity/measure/tenants.py
@@ -6,7 +6,7 @@
 import tempfile
 from typing import Any
 
-from chutepin.decision.policy import CONTROL_INTERVAL_S
+from chutepin.decision.control_loop import CONTROL_INTERVAL_S
 from chutepin.lab.standins import EXAMPLE
 
 from .tools import Measured, Table, in_fresh_process
--- /dev/null
+++ b/chutepin/decision/arrivals.py
@@ -0,0 +1,192 @@
+"""Requests that arrive: queued, rejected, joined to the request that they repeat; and the start of queued ones."""
+
+from __future__ import annotations
+
+from .actions import KeepKey, Run, ShareResult
+from .endings import Endings, RejectReason
+from .errors import UsageError
+from .events import Request
+from .job import Job, State
+from .server_state import ServerState
+from .settings import Idempotency, Settings
+from .timers import TimerKind
+
+
+class Arrivals:
+    """The queue, from arrival to start."""
+
+    def __init__(self, server: ServerState, endings: Endings) -> None:
+        self.times_limited = 0  # starts that waited for the limit or the cores
+        self._server = server
+        self._endings = endings
+        self._class_indexes = {cls.name: index for index, cls in enumerate(server.settings.classes)}
+        self._tenant_indexes = {tenant.name: index for index, tenant in enumerate(server.settings.tenants)}
+
+    def receive(self, request: Request) -> None:
+        """Take in a request. Raises UsageError."""
+        server = self._server
+        job = self._job(request)
+        server.requests.add(job)
+        self._set_deadlines(job)
+        self._record_statistics(job)
+        server.timers.push(job.due_at, TimerKind.DUE, job)
+        if request.repeats is not None and self._join_original(job):
+            return
+        if reason := self._rejection_reason(job):
+            self._endings.reject(job, reason)
+            return
+        if job.request_class.idempotency is Idempotency.KEYED:
+            self._keep_key(job)
+        # Not in this batch: what finds a free permit runs, or nothing would be measured.
+        earliest = server.now + server.settings.tick
+        latest_start = max(earliest, job.objective_at - server.expected_time(job))
+        server.timers.push(latest_start, TimerKind.LATEST_START, job)
+
+    def start_runs(self) -> None:
+        """Start queued requests, the highest weight for each unit of work first, while limit and guards allow."""
+        server = self._server
+        requests = server.requests
+        max_awaiting_calls = server.core_capacity.max_awaiting_calls(server.now, server.run_limit.limit)
+        while requests.queued:
+            if not (self._has_permit() and server.cores_admit_one()):
+                self.times_limited += 1
+                return
+            ready = list(requests.queued.values())
+            if requests.at_calls >= max_awaiting_calls:
+                # What makes no call can go on while the dependency holds the others up.
+                ready = [job for job in ready if not job.request_class.makes_calls]
+            if not ready:
+                return
+            job = max(ready, key=server.weight_density)
+            if not server.memory.admits_run(job.request.size):
+                return
+            self._start(job)
+
+    def _start(self, job: Job) -> None:
+        server = self._server
+        if not server.requests.running:
+            server.progress.last_progress_at = server.now
+        server.requests.move(job, State.RUNNING)
+        job.ran = True
+        job.run_started = server.now
+        if job.tenant_index >= 0:
+            server.tenants.record_start(job.tenant_index)
+        server.actions.append(Run(job.id))
+
+    def _job(self, request: Request) -> Job:
+        server = self._server
+        if request.id in server.requests.jobs:
+            raise UsageError(f"request id given twice: {request.id}")
+        if request.cls not in self._class_indexes:
+            raise UsageError(f"unknown class: {request.cls}")
+        index = self._class_indexes[request.cls]
+        tenant_index = self._tenant_indexes.get(request.tenant or "", -1)
+        arrived_at = server.now - request.unread
+        work = max(2 * server.settings.tick, request.hint or server.class_statistics.work[index])
+        return Job(request, server.settings.classes[index], index, tenant_index, arrived_at, work)
+
+    def _set_deadlines(self, job: Job) -> None:
+        server = self._server
+        request_class = job.request_class
+        due_at = job.request.due
+        if due_at is None:
+            due_at = job.arrived_at + request_class.deadline
+        job.due_at = max(server.now, due_at) - server.settings.tick
+        if server.drain.stop_at is not None:
+            job.due_at = min(job.due_at, server.drain.stop_at)
+        objective = request_class.latency_objective + request_class.objective_stretch * job.work
+        earlier_attempts_time = server.attempt_ages.earlier_attempts_time(
+            job.request,
+            job.arrived_at,
+            request_class,
+            server.class_statistics.time_to_rejection[job.class_index],
+        )
+        time_left = min(objective, request_class.deadline) - earlier_attempts_time
+        job.objective_at = min(job.arrived_at + time_left, job.due_at)  # callers may give up an attempt before that
+
+    def _record_statistics(self, job: Job) -> None:
+        server = self._server
+        request = job.request
+        server.rejections.record_request()
+        server.attempt_ages.record_request(request.is_retry)
+        paused = server.pauses.time_since(job.arrived_at, server.now)
+        server.unread_wait.record(max(0.0, request.unread - paused))
+        server.idle_connections.record_request(server.now, request.caller)
+        server.caller_traffic.record(server.now, request.caller)
+
+    def _join_original(self, job: Job) -> bool:
+        """Answer a repeat with the result of the request that it repeats. Returns whether it is answered so.
+
+        Where that request never began, the newer attempt replaces it. Guards against two runs of one effect; a repeat
+        of a request that failed gets an error."""
+        server = self._server
+        idempotency = job.request_class.idempotency
+        original = server.requests.jobs.get(job.request.repeats or "")
+        if idempotency is Idempotency.KEYED and original and original.state is State.QUEUED:
+            # An attempt that arrived earlier may lie in the window of a run that the other is outside of.
+            if original.arrived_at <= job.arrived_at:
+                if original.has_key:
+                    original.has_key = False
+                    job.has_key = True
+                    server.actions.append(self._keep_key_action(job))
+                self._endings.reject(original, RejectReason.REPLACED, no_other_node=True)
+                return False
+        if not _shares_results(idempotency, server.settings):
+            return False
+        server.requests.move(job, State.AWAITING_RESULT)
+        server.actions.append(ShareResult(job.id))
+        return True
+
+    def _rejection_reason(self, job: Job) -> RejectReason | None:
+        """Why an arrival is rejected at once, if it is."""
+        server = self._server
+        requests = server.requests
+        if job.arrived_at > server.drain.last_arrival_at:
+            return RejectReason.DRAINING
+        if server.progress.hung:
+            return RejectReason.HUNG
+        needs_key = job.request_class.idempotency is Idempotency.KEYED and not job.has_key
+        if not server.memory.admits_request(job.request.size, needs_key):
+            return RejectReason.MEMORY
+        in_use = requests.running + server.peer_running + server.core_gauges.reading
+        if in_use < server.run_limit.limit and len(requests.queued) == 1:
+            return None
+        density = server.weight_density(job)
+        work_ahead = sum(
+            other.work
+            for other in requests.queued.values()
+            if other is not job and server.weight_density(other) >= density
+        )
+        wait = work_ahead * server.progress.slowness / server.run_limit.limit
+        if server.now + wait + server.expected_time(job) > job.objective_at:
+            return RejectReason.HOPELESS
+        return None
+
+    def _keep_key(self, job: Job) -> None:
+        """Keep the key before any run."""
+        if not job.has_key:
+            job.has_key = True
+            self._server.memory.add_key()
+            self._server.actions.append(self._keep_key_action(job))
+
+    def _keep_key_action(self, job: Job) -> KeepKey:
+        """Keep the key for the whole window, which is counted from the arrival."""
+        return KeepKey(job.id, job.request_class.window - job.request.unread + self._server.settings.tick)
+
+    def _has_permit(self) -> bool:
+        """Whether the limit admits one more run.
+
+        Reading takes permits as well, on average, but none of one run for each core: at two cores a single request
+        being read would otherwise keep a core from every run."""
+        server = self._server
+        running = server.requests.running
+        if running < server.settings.cores:
+            return True
+        return running + server.peer_running + server.core_gauges.reading < server.run_limit.limit
+
+
+def _shares_results(idempotency: Idempotency, settings: Settings) -> bool:
+    """Whether a repeat may get the result of the request that it repeats."""
+    if idempotency is Idempotency.IDEMPOTENT:
+        return bool(settings.result_reuse_time)
+    return idempotency is Idempotency.KEYED
--- a/chutepin/decision/experience.py
+++ b/chutepin/decision/experience.py
@@ -6,7 +6,7 @@
 
 
 class LearnedField(NamedTuple):
-    """Where a learned value is kept: a part of the policy and its field."""
+    """Where a learned value is kept: a part of the server's state and its field."""
 
     part: str
     field: str
@@ -26,35 +26,32 @@
     "first": LearnedField("caller_traffic", "first_request_at"),
     "served": LearnedField("tenants", "served"),
     "buckets": LearnedField("tenants", "buckets"),
-    "share": LearnedField("", "share"),
+    "share": LearnedField("announcement", "share"),
     "refused_share": LearnedField("rejections", "share"),
-    "unread": LearnedField("", "unread"),
+    "unread": LearnedField("unread_wait", "average"),
     "reading": LearnedField("core_gauges", "reading"),
-    "slowness": LearnedField("", "slowness"),
+    "slowness": LearnedField("progress", "slowness"),
     "core_use": LearnedField("core_gauges", "core_use"),
     "usual_use": LearnedField("core_gauges", "usual_core_use"),
     "again_share": LearnedField("attempt_ages", "retry_share"),
-    "runs.limit": LearnedField("runs", "limit"),
-    "runs.average": LearnedField("runs", "average_ratio"),
-    "runs.deviation": LearnedField("runs", "deviation"),
-    "runs.time": LearnedField("runs", "average_time"),
-    "calls.limit": LearnedField("calls", "limit"),
-    "calls.average": LearnedField("calls", "average_ratio"),
-    "calls.deviation": LearnedField("calls", "deviation"),
-    "calls.time": LearnedField("calls", "average_time"),
+    "runs.limit": LearnedField("run_limit", "limit"),
+    "runs.average": LearnedField("run_limit", "average_ratio"),
+    "runs.deviation": LearnedField("run_limit", "deviation"),
+    "runs.time": LearnedField("run_limit", "average_time"),
+    "calls.limit": LearnedField("call_limit", "limit"),
+    "calls.average": LearnedField("call_limit", "average_ratio"),
+    "calls.deviation": LearnedField("call_limit", "deviation"),
+    "calls.time": LearnedField("call_limit", "average_time"),
 }
 
 
-def read_learned(policy: object) -> dict[str, object]:
-    """The learned values of a policy's parts under their outside names."""
-    return {
-        name: getattr(getattr(policy, part) if part else policy, field)
-        for name, (part, field) in LEARNED_FIELDS.items()
-    }
+def read_learned(server: object) -> dict[str, object]:
+    """The learned values of a server's state under their outside names."""
+    return {name: getattr(getattr(server, part), field) for name, (part, field) in LEARNED_FIELDS.items()}
 
 
-def write_learned(policy: object, learned: dict[str, object]) -> None:
+def write_learned(server: object, learned: dict[str, object]) -> None:
     """Set learned values, given under their outside names."""
     for name, value in learned.items():
         part, field = LEARNED_FIELDS[name]
-        setattr(getattr(policy, part) if part else policy, field, value)
+        setattr(getattr(server, part), field, value)
--- a/chutepin/decision/job.py
+++ b/chutepin/decision/job.py
@@ -5,6 +5,7 @@
 from enum import Enum
 
 from .events import Request
+from .settings import RequestClass
 
 
 class State(Enum):
@@ -12,9 +13,9 @@
 
     QUEUED = 0
     RUNNING = 1
-    AWAITING_CALL = 2  # waits for its call to be made; keeps its memory
+    AWAITING_CALL = 2  # its call is not made yet; it keeps its memory
     CALLING = 3
-    AWAITING_RESULT = 4  # waits for the answer of the request that it repeats
+    AWAITING_RESULT = 4  # of the request that it repeats
 
 
 class Job:
@@ -33,6 +34,7 @@
         "objective_at",
         "ran",
         "request",
+        "request_class",
         "reserved_call_time",
         "run_started",
         "state",
@@ -40,9 +42,18 @@
         "work",
     )
 
-    def __init__(self, request: Request, class_index: int, tenant_index: int, arrived_at: float, work: float) -> None:
+    def __init__(
+        self,
+        request: Request,
+        request_class: RequestClass,
+        class_index: int,
+        tenant_index: int,
+        arrived_at: float,
+        work: float,
+    ) -> None:
         self.request = request
         self.id = request.id
+        self.request_class = request_class
         self.class_index = class_index
         self.tenant_index = tenant_index  # -1: none
         self.arrived_at = arrived_at
--- a/chutepin/decision/settings.py
+++ b/chutepin/decision/settings.py
@@ -103,6 +103,10 @@
     over_quota_weight: float = 1.0
     tick: float = 0.001
 
+    def mean_latency_objective(self) -> float:
+        """Seconds, each class counted alike."""
+        return sum(cls.latency_objective for cls in self.classes) / len(self.classes)
+
     def __post_init__(self) -> None:
         if not self.classes:
             raise SettingsError("classes: at least one is needed")
--- a/chutepin/decision/snapshot.py
+++ b/chutepin/decision/snapshot.py
@@ -1,4 +1,4 @@
-"""What the mechanism is doing, for dashboards."""
+"""What a decision instance is doing, for dashboards."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 @dataclass(slots=True)
 class Snapshot:
-    """What the mechanism is doing, for dashboards."""
+    """What a decision instance is doing, for dashboards."""
 
     limit: int
-    in_use: int
-    parked: int
-    held: int
-    average_run: float
-    slowness: float
-    times_limited: int
+    running: int
+    at_calls: int
+    queued: int
+    average_run_time: float  # seconds
+    slowness: float  # run time for each second of expected work
+    times_limited: int  # starts that waited for the limit or the cores
     announced: float
-    state: str
-    refusals: dict[str, int] = field(default_factory=dict)
+    state: str  # serving, draining or hung
+    rejections: dict[str, int] = field(default_factory=dict)  # by reason
--- a/chutepin/decision/statistics.py
+++ b/chutepin/decision/statistics.py
@@ -1,4 +1,4 @@
-"""Averages learned about each class of requests, and about rejections."""
+"""Averages learned about classes of requests, rejections and waits of unread requests."""
 
 from __future__ import annotations
 
@@ -7,7 +7,9 @@
 from .settings import RequestClass
 
 AVERAGE_WEIGHT = 0.1  # of a new sample in an average
+UNREAD_WEIGHT = 0.2  # of a new wait in the average of unread waits
 REJECTION_WEIGHT = 0.05  # of a request in the share that is rejected
+UNREAD_PRESSURE_SHARE = 0.3  # of a run time: unread waits above it are back pressure, as reading shares the cores
 
 
 class ClassStatistics:
@@ -46,3 +48,22 @@
         """Take in a rejection."""
         self.share += REJECTION_WEIGHT
         self.by_reason[reason] = self.by_reason.get(reason, 0) + 1
+
+
+class UnreadWait:
+    """How long requests wait until they are read, pauses of the process left out. In seconds."""
+
+    def __init__(self) -> None:
+        self.average = 0.0
+
+    def record(self, wait: float) -> None:
+        """Take in the wait of a request."""
+        self.average += UNREAD_WEIGHT * (wait - self.average)
+
+    def is_long(self, run_time: float) -> bool:
+        """Whether the wait is back pressure, where a run usually takes so long."""
+        return self.average > UNREAD_PRESSURE_SHARE * run_time
+
+    def is_short(self, run_time: float) -> bool:
+        """Whether the wait is too short for reading to have the cores, where a run usually takes so long."""
+        return self.average < UNREAD_PRESSURE_SHARE * run_time
--- a/chutepin/facade.py
+++ b/chutepin/facade.py
@@ -166,7 +166,8 @@
     @property
     def use(self) -> tuple[int, float]:
         """Runs on the cores or at calls, from which they come back at once; memory of all requests in KB."""
-        return self._policy.in_use + self._policy.calling, self._policy.memory
+        usage = self._policy.usage()
+        return usage.running, usage.memory
 
     def elsewhere(self, now: float, running: int, memory: float) -> None:
         """What the node's other process uses."""
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -187,7 +187,7 @@
     assert core.ports.ids("kill") == ["a"]
     core.broker.not_carried_out("EXEC", "a")
     core.broker.not_carried_out("KILL", "a")
-    assert not core.broker._attempts and not core.broker._facade._policy.jobs
+    assert not core.broker._attempts and not core.broker._facade._policy.server.requests.jobs
 
 
 def test_proof_that_nothing_started_frees_the_key() -> None:
--- a/tests/test_decision_policy.py
+++ b/tests/test_decision_policy.py
@@ -10,10 +10,12 @@
 from chutepin import decision
 from chutepin.decision import Idempotency, LoadSignal, Outcome, RequestClass, Settings, Tenant
 from chutepin.decision.aimd_limit import AimdLimit
+from chutepin.decision.announcement import MIN_ANNOUNCED_SHARE
 from chutepin.decision.attempt_ages import MAX_WAIT_SHARES
 from chutepin.decision.idle_connections import MAX_CALLERS, SHORT_IDLE_TIMEOUT_S
 from chutepin.decision.job import State
-from chutepin.decision.policy import MIN_ANNOUNCED_SHARE, MIN_COMPACTED_TIMERS, Policy
+from chutepin.decision.policy import Policy
+from chutepin.decision.timers import MIN_COMPACTED_TIMERS
 
 VIEW = RequestClass("view", Idempotency.IDEMPOTENT, 1.0, 1.0, 4.0)
 PAY = RequestClass("pay", Idempotency.KEYED, 1.0, 1.0, 4.0, window=5.0)
@@ -27,8 +29,8 @@
 
     def handle(self, now: float, events: Sequence[decision.Event]) -> list[decision.Action]:
         actions: list[decision.Action] = []
-        while self.armed < now:
-            actions += super().handle(self.armed, [decision.TimerFired(self.token)])
+        while self.server.timers.armed_for < now:
+            actions += super().handle(self.server.timers.armed_for, [decision.TimerFired(self.server.timers.token)])
         return actions + super().handle(now, events)
 
 
@@ -86,18 +88,18 @@
 
 def test_failed_runs_do_not_sink_the_average() -> None:
     policy = started()
-    before = policy.runs.average_ratio
+    before = policy.server.run_limit.average_ratio
     for at in range(20):
         policy.handle(float(at), [req(f"r{at}", at + 4.0)])
         policy.handle(at + 0.001, [decision.Finished(f"r{at}", Outcome.ERROR)])
-    assert policy.runs.average_ratio == before
+    assert policy.server.run_limit.average_ratio == before
 
 
 def test_ceiling_rises_with_the_warm_up() -> None:
     policy = started(replace(PLAIN, warming_up=True, initial_speed=0.2, warm_up_time=10.0))
-    cold = policy.runs.ceiling
+    cold = policy.server.run_limit.ceiling
     policy.handle(20.0, [decision.TimerFired(0)])
-    assert policy.runs.ceiling > 2 * cold
+    assert policy.server.run_limit.ceiling > 2 * cold
 
 
 def test_parked_request_releases_its_permit_and_retakes_it_over_the_limit() -> None:
@@ -105,7 +107,7 @@
     assert ids(policy.handle(0.0, [req("a"), req("b")]), decision.Run) == ["a"]
     assert ids(policy.handle(0.1, [decision.CallNeeded("a")]), decision.Run) == ["b"]
     policy.handle(0.2, [decision.CallReturned("a", Outcome.OK, 0.1), req("c")])
-    assert policy.snapshot().in_use == 2 and policy.snapshot().held == 1
+    assert policy.snapshot().running == 2 and policy.snapshot().queued == 1
     assert ids(policy.handle(0.45, [decision.Finished("a", Outcome.OK)]), decision.Run) == []
 
 
@@ -121,7 +123,7 @@
 def test_idle_server_runs_what_looks_hopeless() -> None:
     """The first version's spiral: slow-looking, ran nothing, never measured again."""
     policy = started()
-    policy.runs.average_ratio = policy.slowness = 1000.0
+    policy.server.run_limit.average_ratio = policy.server.progress.slowness = 1000.0
     assert ids(policy.handle(0.0, [req("a")]), decision.Run) == ["a"]
 
 
@@ -137,36 +139,36 @@
     policy = started()
     heard(policy, 60)
     policy.handle(0.0, [req("last", 3.8), req("first", 2.4), req("left", 1.6)])
-    assert policy.jobs["first"].objective_at == pytest.approx(1.0)
-    assert policy.jobs["last"].objective_at == pytest.approx(0.8)
-    assert "left" not in policy.jobs or policy.jobs["left"].objective_at < 0
+    assert policy.server.requests.jobs["first"].objective_at == pytest.approx(1.0)
+    assert policy.server.requests.jobs["last"].objective_at == pytest.approx(0.8)
+    assert "left" not in policy.server.requests.jobs or policy.server.requests.jobs["left"].objective_at < 0
 
 
 def test_with_few_waits_heard_every_try_is_a_first_one() -> None:
     policy = started()
     heard(policy, 5)
     policy.handle(0.0, [req("other", 2.9, caller=100)])
-    assert policy.jobs["other"].objective_at == pytest.approx(1.0)
+    assert policy.server.requests.jobs["other"].objective_at == pytest.approx(1.0)
 
 
 def test_try_given_up_before_the_aim_is_due_then() -> None:
     policy = started()
     policy.handle(0.0, [req("a", 0.3)])
-    assert policy.jobs["a"].objective_at <= 0.3
+    assert policy.server.requests.jobs["a"].objective_at <= 0.3
 
 
 def test_unread_waits_are_back_pressure() -> None:
     policy = started()
-    policy.runs.limit = 8
+    policy.server.run_limit.limit = 8
     policy.handle(0.0, [req("a", unread=0.9)])
-    policy.unread = 5.0
+    policy.server.unread_wait.average = 5.0
     policy.handle(0.1, [decision.Finished("a", Outcome.OK)])
-    assert policy.runs.limit == 4
+    assert policy.server.run_limit.limit == 4
 
 
 def test_reading_takes_permits_above_one_run_for_each_core() -> None:
     policy = started(replace(PLAIN, gauges=("on_cores",)))
-    policy.runs.limit = 4
+    policy.server.run_limit.limit = 4
     for _ in range(40):
         policy.handle(0.0, [decision.TimerFired(0, (3.0,))])
     assert ids(policy.handle(0.0, [req("a"), req("b"), req("c")]), decision.Run) == ["a", "b"]
@@ -175,10 +177,10 @@
 def test_announced_share_never_falls_to_where_a_silent_server_draws_all() -> None:
     policy = started(replace(PLAIN, signal=LoadSignal.WEIGHT))
     for at in range(200):
-        policy.progress = at / 10  # no hang
+        policy.server.progress.last_progress_at = at / 10  # no hang
         policy.handle(at / 10, [req(f"r{at}-{i}", at / 10 + 4.0) for i in range(5)])
-    assert policy.announced >= MIN_ANNOUNCED_SHARE - 1e-9
-    assert policy.rejections.by_reason
+    assert policy.server.announcement.value >= MIN_ANNOUNCED_SHARE - 1e-9
+    assert policy.server.rejections.by_reason
 
 
 def test_excess_of_a_tenant_does_not_lower_the_share() -> None:
@@ -187,10 +189,10 @@
     for over in (1.0, 0.0):
         policy = started(replace(PLAIN, signal=LoadSignal.WEIGHT, tenants=tenants, over_quota_weight=over))
         for at in range(100):
-            policy.progress = at / 10  # no hang
+            policy.server.progress.last_progress_at = at / 10  # no hang
             policy.handle(at / 10, [req(f"r{at}-{i}", at / 10 + 4.0, tenant="greedy") for i in range(5)])
-            policy.tenants.served[0] = 10.0  # most of what is served is greedy's
-        shares.append(policy.share)
+            policy.server.tenants.served[0] = 10.0  # most of what is served is greedy's
+        shares.append(policy.server.announcement.share)
     assert shares[0] < shares[1] == 1.0
 
 
@@ -199,11 +201,11 @@
     policy = started()
     for at in range(6):
         policy.handle(4.0 * at, [req(f"r{at}", 4.0 * at + 3.9)])
-        policy.progress = 4.0 * at + 3.0  # no hang
+        policy.server.progress.last_progress_at = 4.0 * at + 3.0  # no hang
         policy.handle(4.0 * at + 3.9, [decision.TimerFired(0)])
         policy.handle(4.0 * at + 3.95, [decision.Finished(f"r{at}", Outcome.CANCELLED)])
     policy.handle(24.0, [decision.TimerFired(0)])
-    assert policy.runs.average_ratio == 1.0 and policy.slowness > 3.0
+    assert policy.server.run_limit.average_ratio == 1.0 and policy.server.progress.slowness > 3.0
 
 
 def test_repeat_that_reached_the_machine_earlier_shares() -> None:
@@ -258,7 +260,7 @@
     policy = started(replace(PLAIN, signal=LoadSignal.WEIGHT, max_retry_after=1.0))
     policy.handle(0.0, [req("a", 30.0), req("b", 30.0), req("c", 30.0)])
     actions = policy.handle(10.0, [decision.TimerFired(0)])
-    assert policy.snapshot().state == "hung" and policy.announced == 0
+    assert policy.snapshot().state == "hung" and policy.server.announcement.value == 0
     assert decision.SetHealth(False) in actions and "a" in ids(actions, decision.Reject)
     actions = policy.handle(11.0, [req("d", 15.0)])
     assert any(isinstance(a, decision.Reject) and a.retry_after > 0 and not a.no_other_node for a in actions)
@@ -267,7 +269,7 @@
 
 def test_credit_is_what_callers_may_have_outstanding() -> None:
     policy = started(replace(PLAIN, signal=LoadSignal.CREDIT, callers=2))
-    assert policy.announced * 2 >= PLAIN.cores
+    assert policy.server.announcement.value * 2 >= PLAIN.cores
 
 
 def test_one_timer_is_armed_for_the_earliest_deadline() -> None:
@@ -320,7 +322,7 @@
         )
     )
     if usual is not None:
-        policy.calls.average_time = usual
+        policy.server.call_limit.average_time = usual
     made = 0
     for turn in range(20):
         now, id = turn * 20.0, f"r{turn}"  # the window is free each time
@@ -338,10 +340,10 @@
     policy = started(replace(PLAIN, has_dependency=True, max_calls=0.1, max_calls_window=5.0))
     policy.handle(0.0, [req("a", 3.0), req("b", 3.0)])
     actions = policy.handle(0.1, [decision.CallNeeded("a"), decision.CallNeeded("b")])
-    policy.progress = 3.0  # no hang
+    policy.server.progress.last_progress_at = 3.0  # no hang
     for step in range(1, 50):
         actions += policy.handle(0.1 + step / 100, [decision.TimerFired(0)])
-    assert len(ids(actions, decision.SetTimer)) < 30 and len(policy.heap) < 10
+    assert len(ids(actions, decision.SetTimer)) < 30 and len(policy.server.timers.heap) < 10
 
 
 def test_memory_of_waits_and_callers_is_bounded() -> None:
@@ -349,8 +351,8 @@
     for at in range(3000):
         policy.handle(at / 1000, [req(f"r{at}", at / 1000 + 0.5 + at / 1000, caller=at)])
     assert (
-        len(policy.attempt_ages.wait_counts) <= MAX_WAIT_SHARES + 1
-        and len(policy.idle_connections.last_heard_at) <= MAX_CALLERS + 1
+        len(policy.server.attempt_ages.wait_counts) <= MAX_WAIT_SHARES + 1
+        and len(policy.server.idle_connections.last_heard_at) <= MAX_CALLERS + 1
     )
 
 
@@ -370,11 +372,11 @@
     """Where traffic is uneven a busy server sees more than the even part of every tenant."""
     tenants = (Tenant("big", 0.5, 1.0), Tenant("small", 0.5, 1.0))
     policy = started(replace(PLAIN, tenants=tenants))
-    policy.tenants.buckets = [-1.0, -1.0]
-    policy.tenants.served = [30.0, 10.0]
+    policy.server.tenants.buckets = [-1.0, -1.0]
+    policy.server.tenants.served = [30.0, 10.0]
     policy.handle(0.0, [req("run"), req("run2"), req("b", tenant="big"), req("s", tenant="small")])
-    assert policy.tenants.is_over_quota(policy.jobs["b"].tenant_index)
-    assert not policy.tenants.is_over_quota(policy.jobs["s"].tenant_index)
+    assert policy.server.tenants.is_over_quota(policy.server.requests.jobs["b"].tenant_index)
+    assert not policy.server.tenants.is_over_quota(policy.server.requests.jobs["s"].tenant_index)
 
 
 CALLING = replace(VIEW, name="calling", makes_calls=True)
@@ -386,7 +388,7 @@
     for name in "abcdefgh":
         for id in ids(policy.handle(0.0, [req(name, cls="calling", hint=0.01)]), decision.Run):
             policy.handle(0.0, [decision.CallNeeded(id)])
-    assert policy.snapshot().in_use == 0 and policy.snapshot().held > 0
+    assert policy.snapshot().running == 0 and policy.snapshot().queued > 0
     assert ids(policy.handle(0.0, [req("free")]), decision.Run) == ["free"]
 
 
@@ -431,31 +433,43 @@
     """Runs under the limit all went to calls, others took their permits, then all came back; also where no run seemed
     to want a core just before."""
     policy = started(settings)
-    policy.core_gauges.on_core_share = on_core_share
-    policy.runs.set_ceiling(policy.core_capacity.limit_ceiling(policy.now))
-    policy.runs.limit = policy.runs.ceiling
+    policy.server.core_gauges.on_core_share = on_core_share
+    policy.server.run_limit.set_ceiling(policy.server.core_capacity.limit_ceiling(policy.server.now))
+    policy.server.run_limit.limit = policy.server.run_limit.ceiling
     policy.handle(0.0, [req(f"c{at}", cls="calling", hint=0.01) for at in range(40)])
     for _ in range(20):
-        running = [job.id for job in policy.jobs.values() if job.state is State.RUNNING]
+        running = [job.id for job in policy.server.requests.jobs.values() if job.state is State.RUNNING]
         policy.handle(0.0, [decision.CallNeeded(name) for name in running if name.startswith("c")])
     policy.handle(0.0, [req(f"v{at}", hint=0.01) for at in range(40)])
-    calling = [job.id for job in policy.jobs.values() if job.state is State.CALLING]
+    calling = [job.id for job in policy.server.requests.jobs.values() if job.state is State.CALLING]
     policy.handle(0.0, [decision.CallReturned(name, Outcome.OK, 0.1) for name in calling])
     warm = settings.initial_speed if settings.warming_up else 1.0
-    assert policy.limited and policy.in_use <= (1 + (settings.max_running_per_core - 1) * warm) * settings.cores
+    assert (
+        policy.snapshot().times_limited
+        and policy.server.requests.running <= (1 + (settings.max_running_per_core - 1) * warm) * settings.cores
+    )
 
 
 def test_process_that_stood_still_halves_nothing_and_is_no_hang() -> None:
     """A pause of the process was counted as run time, as an unread wait and as missing progress."""
     policy = Policy(PLAIN, 1)
     policy.start(0.0)
-    policy.runs.limit = 8
+    policy.server.run_limit.limit = 8
     policy.handle(0.0, [req("a", 9.0)])
-    policy.handle(0.1, [decision.TimerFired(policy.token)])
+    policy.handle(0.1, [decision.TimerFired(policy.server.timers.token)])
     actions = policy.handle(
-        5.3, [decision.TimerFired(policy.token), req("b", 9.0, unread=4.0), decision.Finished("a", Outcome.OK)]
+        5.3,
+        [
+            decision.TimerFired(policy.server.timers.token),
+            req("b", 9.0, unread=4.0),
+            decision.Finished("a", Outcome.OK),
+        ],
+    )
+    assert (
+        policy.server.run_limit.limit == 8
+        and policy.server.run_limit.average_time < 0.3
+        and policy.server.unread_wait.average < 0.01
     )
-    assert policy.runs.limit == 8 and policy.runs.average_time < 0.3 and policy.unread < 0.01
     assert decision.SetHealth(False) not in actions
 
 
@@ -465,15 +479,18 @@
     policy.handle(0.0, [req("a", 9.0)])
     for _ in range(5):
         policy.handle(3.1, [decision.CallerGone("b")])
-    assert policy.jobs["a"].run_started == pytest.approx(3.0) and policy.jobs["a"].call_wait == 0
+    assert (
+        policy.server.requests.jobs["a"].run_started == pytest.approx(3.0)
+        and policy.server.requests.jobs["a"].call_wait == 0
+    )
 
 
 def test_hang_is_noticed_without_any_other_event() -> None:
     policy = started()
     policy.handle(0.0, [req("a", 30.0)])
     actions: list[decision.Action] = []
-    while policy.armed < 20.0:
-        actions += policy.handle(policy.armed, [decision.TimerFired(policy.token)])
+    while policy.server.timers.armed_for < 20.0:
+        actions += policy.handle(policy.server.timers.armed_for, [decision.TimerFired(policy.server.timers.token)])
     assert decision.SetHealth(False) in actions
 
 
@@ -484,7 +501,7 @@
     policy = started(replace(PLAIN, marks_retries=marks))
     heard(policy, 60)
     policy.handle(0.0, [replace(req("a", 3.8), is_retry=again)])
-    assert policy.jobs["a"].objective_at == pytest.approx(aim)
+    assert policy.server.requests.jobs["a"].objective_at == pytest.approx(aim)
 
 
 @pytest.mark.parametrize(("late_worth", "answered"), [(0.0, True), (0.5, False)])
@@ -502,26 +519,28 @@
     """No call could end in time by what earlier ones took: all were given up, and no call ever told that the
     dependency had got well."""
     policy = started(replace(PLAIN, cores=4, classes=(CALLING,), has_dependency=True))
-    policy.calls.average_time = 5.0
+    policy.server.call_limit.average_time = 5.0
     for name in "ab":
         policy.handle(0.0, [req(name, cls="calling")])
     assert ids(policy.handle(0.1, [decision.CallNeeded("a")]), decision.Call) == ["a"]
     assert ids(policy.handle(0.1, [decision.CallNeeded("b")]), decision.Fail) == ["b"]  # one at a time finds out
     policy.handle(0.2, [decision.CallReturned("a", decision.Outcome.OK, 0.1)])
-    assert policy.calls.average_time < 5.0
+    assert policy.server.call_limit.average_time < 5.0
 
 
 def test_parked_after_the_aim_is_answered_in_the_same_batch() -> None:
     policy = started(replace(PLAIN, classes=(CALLING,), has_dependency=True))
     policy.handle(0.0, [req("a", cls="calling")])
-    policy.progress = 1.5  # no hang
+    policy.server.progress.last_progress_at = 1.5  # no hang
     assert ids(policy.handle(1.5, [decision.CallNeeded("a")]), decision.Fail) == ["a"]
 
 
 def test_held_request_is_refused_at_its_latest_start() -> None:
     policy = started(replace(PLAIN, cores=1))
     policy.handle(0.0, [req("run"), req("a")])
-    latest = policy.jobs["a"].objective_at - policy._expected_time(policy.jobs["a"])
+    latest = policy.server.requests.jobs["a"].objective_at - policy.server.expected_time(
+        policy.server.requests.jobs["a"]
+    )
     assert not ids(policy.handle(latest - 0.01, []), decision.Reject)
     assert ids(policy.handle(latest + 0.001, []), decision.Reject) == ["a"]
 
@@ -530,7 +549,7 @@
     """Reading had the cores, runs took long, and what could have been served was turned away as by a hang."""
     policy = started()
     policy.handle(0.0, [req("a", 30.0)])
-    policy.unread = 5.0
+    policy.server.unread_wait.average = 5.0
     policy.handle(10.0, [decision.TimerFired(0)])
     assert policy.snapshot().state == "serving"
 
@@ -538,17 +557,17 @@
 def test_marked_try_without_a_due_time_is_as_old_as_refusals_here_make_it() -> None:
     """Old tries were run as if fresh where no due time comes, and a third of all answers came too late."""
     policy = started(replace(PLAIN, marks_retries=True))
-    policy.class_statistics.time_to_rejection[0], policy.attempt_ages.retry_share = 0.3, 0.5
+    policy.server.class_statistics.time_to_rejection[0], policy.server.attempt_ages.retry_share = 0.3, 0.5
     policy.handle(0.0, [replace(req("again"), due=None, is_retry=True), replace(req("first"), due=None)])
-    assert policy.jobs["first"].objective_at == pytest.approx(1.0)
-    assert policy.jobs["again"].objective_at == pytest.approx(0.7, abs=0.05)
+    assert policy.server.requests.jobs["first"].objective_at == pytest.approx(1.0)
+    assert policy.server.requests.jobs["again"].objective_at == pytest.approx(0.7, abs=0.05)
 
 
 def test_marks_without_the_setting_tell_nothing_without_a_due_time() -> None:
     policy = started()
-    policy.class_statistics.time_to_rejection[0] = 0.3
+    policy.server.class_statistics.time_to_rejection[0] = 0.3
     policy.handle(0.0, [replace(req("a"), due=None, is_retry=True)])
-    assert policy.jobs["a"].objective_at == pytest.approx(1.0)
+    assert policy.server.requests.jobs["a"].objective_at == pytest.approx(1.0)
 
 
 def test_limit_does_not_grow_on_full_cores_and_by_the_gauge_once_in_its_span() -> None:
@@ -559,14 +578,14 @@
     policy.handle(0.0, [req(f"r{at}", hint=0.01) for at in range(9)])
     for at in range(1, 10):
         policy.handle(at * 0.01, [decision.TimerFired(1, (0.1,))])
-    assert policy.runs.limit == 3
+    assert policy.server.run_limit.limit == 3
 
 
 def test_refusals_say_when_to_come_back_only_where_others_are_full() -> None:
     """Advice with every refusal kept clients waiting while other servers had room."""
     for share, advised in ((0.0, False), (0.9, True)):
         policy = started(replace(PLAIN, max_retry_after=1.0, cores=1))
-        policy.rejections.share, policy.excess = share, 0.4
+        policy.server.rejections.share, policy.server.announcement.excess_backlog = share, 0.4
         actions = policy.handle(0.0, [req("run"), req("big", hint=50.0)])
         said = [a.retry_after for a in actions if isinstance(a, decision.Reject)]
         assert said and (said == [pytest.approx(0.4)]) is advised
@@ -577,10 +596,10 @@
     """Half the servers only shook hands, read and refused (h5bf57a); a full table refuses for free."""
     policy = started()
     for at in range(400):
-        policy.rejections.share = refused
+        policy.server.rejections.share = refused
         now = at / 10  # each of 150 callers comes again every 15 s: twice while a connection may idle
         policy.handle(now, [req(f"r{at}", now + 1.0, caller=at % 150)])
-    assert (policy.idle_connections.idle_timeout == policy.settings.max_idle_time) is stays
+    assert (policy.server.idle_connections.idle_timeout == policy.server.settings.max_idle_time) is stays
 
 
 def test_credit_fits_the_busiest_caller_not_an_even_part() -> None:
@@ -593,7 +612,7 @@
             policy.handle(0.01 * (index + 1), [req(f"r{index}", caller=caller)])
             policy.handle(0.01 * (index + 1), [decision.Finished(f"r{index}", Outcome.OK, 0.0)])
         policy.handle(0.5, [])
-        return policy.announced
+        return policy.server.announcement.value
 
     assert announced([1] * 9 + [2]) > 5 * announced(list(range(10))) > 0
 
@@ -616,11 +635,13 @@
     limit.record_success(1.0, 9.0, 1.0, 9, True, cores_idle=True)
     assert limit.limit == 9
     policy = started(replace(PLAIN, gauges=("core_use",)))
-    policy.runs.limit = 9
+    policy.server.run_limit.limit = 9
     for at, use, most in ((1.0, 0.5, 9), (10.0, 1.0, 5)):
-        policy.handle(at, [req(f"r{at}", at + 4.0), decision.TimerFired(policy.token, (use,))])
-        policy.handle(at + 3.0, [decision.TimerFired(policy.token, (use,)), decision.Finished(f"r{at}", Outcome.OK)])
-        assert policy.runs.limit == most
+        policy.handle(at, [req(f"r{at}", at + 4.0), decision.TimerFired(policy.server.timers.token, (use,))])
+        policy.handle(
+            at + 3.0, [decision.TimerFired(policy.server.timers.token, (use,)), decision.Finished(f"r{at}", Outcome.OK)]
+        )
+        assert policy.server.run_limit.limit == most
 
 
 def test_credit_is_hardly_less_where_callers_come_back_under_new_numbers() -> None:
@@ -631,7 +652,7 @@
             caller = (0 if step % 2 else 1 + step % 14) + 100 * (int(at / 2.5) % lives)
             policy.handle(at, [req(f"r{step}", at + 4.0, caller=caller)])
             policy.handle(at + 0.005, [decision.Finished(f"r{step}", Outcome.OK)])
-        return policy.caller_traffic.busiest_share(policy.now)
+        return policy.server.caller_traffic.busiest_share(policy.server.now)
 
     assert busiest(1) == pytest.approx(0.5, rel=0.1)
     assert busiest(100) > 0.3  # counted over the same time as the others: under 0.15
@@ -643,7 +664,7 @@
     for index in range(5 * MIN_COMPACTED_TIMERS):
         policy.handle(0.0001 * index, [req(f"r{index}")])
         policy.handle(0.0001 * index, [decision.Finished(f"r{index}", Outcome.OK)])
-    assert len(policy.heap) <= MIN_COMPACTED_TIMERS + 10
+    assert len(policy.server.timers.heap) <= MIN_COMPACTED_TIMERS + 10
 
 
 def test_parked_runs_may_fill_what_the_limit_leaves_of_the_crowd() -> None:
@@ -657,9 +678,9 @@
             runs.append(id)
             actions += policy.handle(0.001 * index, [decision.CallNeeded(id)])
     assert (
-        int(policy.core_capacity.survivable_runs(policy.now)) - policy.runs.limit
-        <= policy.parked
-        <= policy.core_capacity.survivable_runs(policy.now)
+        int(policy.server.core_capacity.survivable_runs(policy.server.now)) - policy.server.run_limit.limit
+        <= policy.server.requests.at_calls
+        <= policy.server.core_capacity.survivable_runs(policy.server.now)
     )
 
 
@@ -672,8 +693,8 @@
         policy = started(settings)
         policy.handle(0.0, [req(f"r{index}", hint=0.5) for index in range(12)])
         for step in range(1, 20):
-            policy.handle(0.05 * step, [decision.TimerFired(policy.token, (use,))])
-        return policy.runs.limit, policy.announced
+            policy.handle(0.05 * step, [decision.TimerFired(policy.server.timers.token, (use,))])
+        return policy.server.run_limit.limit, policy.server.announcement.value
 
     busy, idle = after(1.0), after(0.4)
     assert busy[0] == 8 and idle[0] >= 10 and idle[1] > 1.2 * busy[1]
@@ -690,8 +711,11 @@
     policy = started(settings)
     policy.handle(0.0, [req(f"r{index}", due=200.0, hint=0.5) for index in range(40)])
     for step in range(1, 100):
-        policy.handle(0.05 * step, [decision.TimerFired(policy.token, (0.2, on_core * policy.in_use))])
-    return policy.in_use
+        policy.handle(
+            0.05 * step,
+            [decision.TimerFired(policy.server.timers.token, (0.2, on_core * policy.server.requests.running))],
+        )
+    return policy.server.requests.running
 
 
 def test_runs_that_wait_for_disk_leave_room_for_others_up_to_the_told_crowd() -> None:
@@ -708,13 +732,13 @@
 
 def test_room_for_others_is_gone_as_soon_as_the_runs_want_their_cores() -> None:
     policy = started(DISK)
-    policy.core_gauges.on_core_share, policy.in_use = 0.1, 4
-    wide = policy.core_capacity.total(policy.now)
+    policy.server.core_gauges.on_core_share, policy.server.requests.running = 0.1, 4
+    wide = policy.server.core_capacity.total(policy.server.now)
     for _ in range(4):
-        policy._on_timer(decision.TimerFired(policy.token, (1.0, 4.0)))
-    assert wide == DISK.max_running_per_core * DISK.cores and policy.core_capacity.total(
-        policy.now
-    ) < 1.1 * policy.core_capacity.survivable_runs(policy.now)
+        policy.handle(0.0, [decision.TimerFired(policy.server.timers.token, (1.0, 4.0))])
+    assert wide == DISK.max_running_per_core * DISK.cores and policy.server.core_capacity.total(
+        policy.server.now
+    ) < 1.1 * policy.server.core_capacity.survivable_runs(policy.server.now)
 
 
 @pytest.mark.parametrize("work", [0.1, 1.0, 3.0, 20.0])
@@ -722,10 +746,12 @@
 def test_a_cold_servers_runs_are_expected_to_speed_up_as_it_warms(work: float, age: float) -> None:
     """Long runs looked hopeless at the present speed: on the bench a cold server refused nearly all."""
     policy = started(replace(PLAIN, warming_up=True, initial_speed=0.2, warm_up_time=10.0))
-    policy.now = age
-    policy.slowness = 1 / policy.warm_up.speed(policy.now)
+    policy.server.now = age
+    policy.server.progress.slowness = 1 / policy.server.warm_up.speed(policy.server.now)
     left, time, step = work, 0.0, 0.001
     while left > 0:
         left -= step * min(1.0, 0.2 + 0.8 * (age + time) / 10.0)
         time += step
-    assert policy.warm_up.run_time(policy.now, work, policy.slowness) == pytest.approx(time, rel=0.01, abs=0.01)
+    assert policy.server.warm_up.run_time(policy.server.now, work, policy.server.progress.slowness) == pytest.approx(
+        time, rel=0.01, abs=0.01
+    )
--- a/tests/test_decision_rules.py
+++ b/tests/test_decision_rules.py
@@ -11,10 +11,14 @@
 from chutepin import decision
 from chutepin.decision import Cancellation, LoadSignal, Settings, Tenant
 from chutepin.decision.aimd_limit import AimdLimit
+from chutepin.decision.arrivals import Arrivals
 from chutepin.decision.attempt_ages import MAX_WAIT_SHARES
+from chutepin.decision.call_budget import CallBudget
+from chutepin.decision.endings import Endings
 from chutepin.decision.idle_connections import MAX_CALLERS
 from chutepin.decision.job import Job
 from chutepin.decision.policy import Policy
+from chutepin.decision.server_state import ServerState
 from tests.decision_world import BASE, KEYED, SAFE, UNSAFE, RuleBrokenError, cold, play
 
 ODD: dict[str, Settings] = {
@@ -82,7 +86,9 @@
         if answered_first:
             assert actions.index(decision.Fail("a")) < actions.index(decision.Stop("a"))  # so that the stop ends it
         policy.handle(0.7, [decision.CallerGone("a"), decision.Finished("a", decision.Outcome.CANCELLED)])
-        assert policy.memory == 0 and policy.in_use == 0 and not policy.jobs
+        assert (
+            policy.server.memory.used == 0 and policy.server.requests.running == 0 and not policy.server.requests.jobs
+        )
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -100,8 +106,8 @@
     world = play(replace(BASE, max_idle_time=1e6), seed, steps=9000, drain=False, callers=10**9)
     assert world.serial > MAX_CALLERS
     assert (
-        len(world.policy.idle_connections.last_heard_at) <= MAX_CALLERS + 1
-        and len(world.policy.attempt_ages.wait_counts) <= MAX_WAIT_SHARES + 1
+        len(world.policy.server.idle_connections.last_heard_at) <= MAX_CALLERS + 1
+        and len(world.policy.server.attempt_ages.wait_counts) <= MAX_WAIT_SHARES + 1
     )
 
 
@@ -109,37 +115,37 @@
     assert play(BASE, 3).log == play(BASE, 3).log
 
 
-def _keep_nothing(self: Policy, job: Job, cls: decision.RequestClass) -> None:
+def _keep_nothing(self: Arrivals, job: Job) -> None:
     return
 
 
-def _fail_nothing(self: Policy, job: Job) -> None:
+def _fail_nothing(self: Endings, job: Job) -> None:
     return
 
 
-def _welcome(self: Policy, job: Job, cls: decision.RequestClass) -> str:
-    return ""
+def _reject_nothing(self: Arrivals, job: Job) -> None:
+    return
 
 
-def _room_always(self: Policy) -> float:
+def _always_remaining(self: CallBudget, now: float) -> float:
     return 1e9
 
 
-def _refuse_ran(self: Policy, job: Job) -> None:
+def _reject_what_ran(self: Endings, job: Job) -> None:
     if not job.answered:
-        self.out.append(decision.Reject(job.id))
+        self._server.actions.append(decision.Reject(job.id))
         job.answered = True
 
 
-def _never_repeat(self: Policy, job: Job, cls: decision.RequestClass) -> bool:
+def _never_join(self: Arrivals, job: Job) -> bool:
     return False
 
 
 def _drain_late(self: Policy, notice: decision.DrainNotice) -> None:
-    self.last_arrival = self.now + self.settings.drain_grace
+    self.server.drain.last_arrival_at = self.server.now + self.server.settings.drain_grace
 
 
-def _room_for_all(self: Policy) -> bool:
+def _admit_always(self: ServerState) -> bool:
     return True
 
 
@@ -147,33 +153,44 @@
     self.limit = 1000
 
 
-GUARDS: list[tuple[str, Callable[..., Any], str, Settings]] = [
-    ("_keep_key", _keep_nothing, "duplicate: second run in the window", replace(BASE, classes=(KEYED,))),
-    ("_fail", _fail_nothing, "lost", BASE),
-    ("_fail", _refuse_ran, "duplicate: refused after a run", replace(BASE, classes=(UNSAFE,))),
-    ("_rejection_reason", _welcome, "drain: run after the grace", BASE),
-    ("_rejection_reason", _welcome, "fall-over: memory", replace(BASE, key_memory=400.0, classes=(KEYED,))),
-    ("_join_original", _never_repeat, "duplicate: second run in the window", replace(BASE, classes=(KEYED,))),
-    ("_on_drain", _drain_late, "drain: unanswered at the stop", BASE),
-    ("_remaining_call_time", _room_always, "fall-over: calls below", replace(BASE, max_calls=0.6)),
+GUARDS: list[tuple[type, str, Callable[..., Any], str, Settings]] = [
+    (Arrivals, "_keep_key", _keep_nothing, "duplicate: second run in the window", replace(BASE, classes=(KEYED,))),
+    (Endings, "fail", _fail_nothing, "lost", BASE),
+    (Endings, "fail", _reject_what_ran, "duplicate: refused after a run", replace(BASE, classes=(UNSAFE,))),
+    (Arrivals, "_rejection_reason", _reject_nothing, "drain: run after the grace", BASE),
+    (
+        Arrivals,
+        "_rejection_reason",
+        _reject_nothing,
+        "fall-over: memory",
+        replace(BASE, key_memory=400.0, classes=(KEYED,)),
+    ),
+    (Arrivals, "_join_original", _never_join, "duplicate: second run in the window", replace(BASE, classes=(KEYED,))),
+    (Policy, "_on_drain", _drain_late, "drain: unanswered at the stop", BASE),
+    (CallBudget, "remaining_time", _always_remaining, "fall-over: calls below", replace(BASE, max_calls=0.6)),
 ]
 
 
 def test_the_ceiling_is_needed(monkeypatch: pytest.MonkeyPatch) -> None:
     """Without the limit under its ceiling the cores are crowded past what they survive."""
     monkeypatch.setattr(AimdLimit, "set_ceiling", _no_ceiling)
-    monkeypatch.setattr(Policy, "_cores_admit", _room_for_all)
+    monkeypatch.setattr(ServerState, "cores_admit_one", _admit_always)
     with pytest.raises(RuleBrokenError, match="fall-over: crowd"):
         for seed in range(30):
             play(cold(replace(BASE, memory=1e6, warm_up_time=60.0)), seed, speed=0.5)
 
 
-@pytest.mark.parametrize(("guard", "without", "broken", "settings"), GUARDS)
+@pytest.mark.parametrize(("owner", "guard", "without", "broken", "settings"), GUARDS)
 def test_each_guard_is_needed(
-    guard: str, without: Callable[..., Any], broken: str, settings: Settings, monkeypatch: pytest.MonkeyPatch
+    owner: type,
+    guard: str,
+    without: Callable[..., Any],
+    broken: str,
+    settings: Settings,
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """With a guard taken out, some sequence breaks the rule that it keeps."""
-    monkeypatch.setattr(Policy, guard, without)
+    monkeypatch.setattr(owner, guard, without)
     seen: list[str] = []
     for seed in range(30):
         try:
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -51,7 +51,7 @@
     text += batch('{"op":"EXIT","server":"server_1"}', launch(ENV), clock=1.2)
     host = Host()
     host.run(io.StringIO(text), io.StringIO())
-    assert host.instances["server_1"].snapshot().in_use == 0
+    assert host.instances["server_1"].snapshot().running == 0
 
 
 BAD = {
