--- a/tests/test_store_command.py
+++ b/tests/test_store_command.py
@@ -9,9 +9,8 @@
 import sys
 from pathlib import Path
 
-from chutepin.lab.standins import EXAMPLE, Standins
-
 from chutepin.store import Store
+from chutepin.testbench.standins.platform import EXAMPLE, Standins
 
 from .helper import ROOT
 from .test_node import on_sockets
