--- a/chutepin/net/amqp/consumer.py
+++ b/chutepin/net/amqp/consumer.py
@@ -208,7 +208,7 @@
         except ProtocolError as error:
             self.counters.add("amqp.protocol")
             self.log.event("amqp.protocol", why=str(error))
-        except Exception as error:  # guards the front's life: a fault of ours costs one link, not the node
+        except Exception as error:
             self.counters.add("errors")
             self.log.event("amqp.error", error=repr(error))
         finally:
--- a/chutepin/net/executor.py
+++ b/chutepin/net/executor.py
@@ -32,11 +32,20 @@
 class NoticeHandler(Protocol):
     """Handles the notices of the executor."""
 
-    def welcome(self, cold: bool, born: float) -> None: ...
-    def ended(self, id: str, end: End, elapsed: float, result: bytes) -> None: ...
-    def wants_call(self, id: str, notice: int, body: bytes) -> None: ...
-    def not_carried_out(self, command: str, id: str) -> None: ...
-    def metered(self, values: tuple[float, ...]) -> None: ...
+    def welcome(self, cold: bool, born: float) -> None:
+        """The executor is up since `born`, warming up or not."""
+
+    def ended(self, id: str, end: End, elapsed: float, result: bytes) -> None:
+        """A run is over after `elapsed` seconds."""
+
+    def wants_call(self, id: str, notice: int, body: bytes) -> None:
+        """A run needs a call with this body; `notice` is the number to bypass it by."""
+
+    def not_carried_out(self, command: str, id: str) -> None:
+        """The executor did not carry out a command."""
+
+    def metered(self, values: tuple[float, ...]) -> None:
+        """The gauges, in the order of the settings."""
 
 
 @dataclass(slots=True)
@@ -333,6 +342,6 @@
         except ProtocolError as error:
             self._counters.add("executor.malformed")
             self._log.event("executor.malformed", why=str(error))
-        except Exception as error:  # a fault of ours costs one notice, not the node
+        except Exception as error:
             self._counters.add("errors")
             self._log.event("executor.error", error=repr(error))
--- a/chutepin/net/records.py
+++ b/chutepin/net/records.py
@@ -28,7 +28,8 @@
 class CallHandler(Protocol):
     """Handles the ends of calls."""
 
-    def called(self, id: str, end: End, reply: bytes) -> None: ...
+    def called(self, id: str, end: End, reply: bytes) -> None:
+        """A call is over."""
 
 
 @dataclass(slots=True)
--- a/chutepin/net/resp/connection.py
+++ b/chutepin/net/resp/connection.py
@@ -28,10 +28,17 @@
     log: Log
     table: Table
 
-    def record(self, connection: Connection, sent: bool, data: bytes) -> None: ...
-    def handle_message(self, connection: Connection, items: list[bytes]) -> None: ...
-    def accept_proxied(self, connection: Connection, address: bytes) -> bool: ...
-    def update_deadline(self, connection: Connection) -> None: ...
+    def record(self, connection: Connection, sent: bool, data: bytes) -> None:
+        """Pass bytes to the recorder, if there is one."""
+
+    def handle_message(self, connection: Connection, items: list[bytes]) -> None:
+        """Handle one message. Raises ProtocolError."""
+
+    def accept_proxied(self, connection: Connection, address: bytes) -> bool:
+        """Judge the address that a relay has sent; false if the connection must end."""
+
+    def update_deadline(self, connection: Connection) -> None:
+        """Look at the connection again when a time of it may be over."""
 
 
 @dataclass(slots=True)
--- a/chutepin/net/resp/listener.py
+++ b/chutepin/net/resp/listener.py
@@ -45,9 +45,14 @@
 class Recorder(Protocol):
     """Records all bytes of the connections, each known by a number."""
 
-    def opened(self, key: int) -> None: ...
-    def passed(self, key: int, sent: bool, data: bytes) -> None: ...
-    def closed(self, key: int) -> None: ...
+    def opened(self, key: int) -> None:
+        """A connection was opened."""
+
+    def passed(self, key: int, sent: bool, data: bytes) -> None:
+        """The node sent or received these bytes."""
+
+    def closed(self, key: int) -> None:
+        """The connection was closed."""
 
 
 class RespListener:
--- a/tests/test_repo.py
+++ b/tests/test_repo.py
@@ -18,7 +18,7 @@
 
 
 def test_readme_example_runs() -> None:
-    code = re.findall(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S)
+    code = re.findall(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.DOTALL)
     assert len(code) == 1
     exec(compile(code[0], "README.md", "exec"), {})
 
@@ -32,7 +32,7 @@
 def test_decision_module_knows_no_clock_threads_or_io(path: Path) -> None:
     """Nor any other package of the project, nor the simulator's wire."""
     text = path.read_text()
-    imports = set(re.findall(r"^\s*(?:import|from) (\S+)", text, re.M))
+    imports = set(re.findall(r"^\s*(?:import|from) (\S+)", text, re.MULTILINE))
     allowed = {"__future__", "bisect", "collections", "collections.abc", "dataclasses", "enum", "heapq", "math"}
     allowed |= {"random", "typing", "."} | {f".{other.stem}" for other in DECISION_MODULES}
     assert imports <= allowed
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -314,5 +314,7 @@
     text = (
         "import sys, chutepin.serve, chutepin.cluster.subsystem; print([m for m in sys.modules if '.testbench' in m])"
     )
-    done = subprocess.run([sys.executable, "-c", text], cwd=ROOT, capture_output=True, text=True, timeout=60)
+    done = subprocess.run(
+        [sys.executable, "-c", text], cwd=ROOT, capture_output=True, text=True, timeout=60, check=True
+    )
     assert done.stdout == "[]\n"
