--- a/chutepin/admission/__init__.py
+++ b/chutepin/admission/__init__.py
@@ -1,24 +1,29 @@
-"""Who may connect: rules for addresses and blocks of them, a reserve for known clients, and what becomes of newcomers
-when the table or the process's descriptors are full.
+"""Connection admission: rate limits and caps for addresses and blocks of them, a reserve for trusted clients, and
+eviction when the table or the process's file descriptors are full.
 
-`rules.Table` decides and `descriptor_budget.DescriptorBudget` shares out descriptors, both without I/O;
-`acceptor.Acceptor` accepts. It knows nothing of what is spoken on a connection. `docs/admission.md` has the design,
-`docs/operators/admission.md` the settings."""
+`table.Table` decides and `descriptor_budget.DescriptorBudget` divides the descriptors, both without I/O;
+`acceptor.Acceptor` accepts. The package knows nothing of what is sent on a connection. `docs/admission.md` has the
+design, `docs/operators/admission.md` the settings."""
 
 from .acceptor import CLOSING_AT_ONCE, Acceptor, Share, Welcome
 from .deadlines import Deadlines
 from .descriptor_budget import DescriptorBudget
 from .proxy import ProxyError, ProxyHead
-from .rules import Rank, Reason, Rules, Table, Use, Verdict
+from .rules import Reason, Rules, Verdict
+from .table import Table
+from .trust import ClientTrust, ConnectionUsage
+
+Use = ConnectionUsage  # the name that `net` and its tests still import
 
 __all__ = [
     "CLOSING_AT_ONCE",
     "Acceptor",
+    "ClientTrust",
+    "ConnectionUsage",
     "Deadlines",
     "DescriptorBudget",
     "ProxyError",
     "ProxyHead",
-    "Rank",
     "Reason",
     "Rules",
     "Share",
--- a/chutepin/admission/acceptor.py
+++ b/chutepin/admission/acceptor.py
@@ -1,9 +1,9 @@
-"""Accepting connections under rules, also when there is no descriptor for them.
+"""Accepts connections under rules, also when there is no file descriptor for them.
 
-In place of `asyncio.start_server`, which takes up to a hundred before anybody is asked and stops for a second when
-descriptors run out. Here a few are accepted in a turn of the loop, each is judged before anything is built for it,
-and one descriptor is kept spare: given up for a moment, it lets a newcomer be told and closed, not left in the
-backlog."""
+In place of `asyncio.start_server`, which accepts up to a hundred connections before any rule is asked, and pauses for
+a second when descriptors run out. Here a few are accepted in one iteration of the event loop, and each is judged before
+anything is allocated for it. One spare descriptor is kept: given up for a moment, it lets a new connection be rejected
+in order instead of waiting in the backlog."""
 
 from __future__ import annotations
 
@@ -18,20 +18,21 @@
 
 from ..counters import Counters
 from ..logs import Log
-from .addresses import pack
+from .addresses import pack_address
 
-# In one turn of the loop. A connection needs some four turns until it is known to be dead or to speak, so up to four
-# times as many places of the table are taken by those that just came.
-ACCEPTS = 8
-# Connections that may be on their way to being closed, newcomers and those that made room, where no descriptor is
-# free for another. They come out of the budget's margin: more would take what others have reserved there.
+# In one iteration of the loop. It takes some four iterations until a connection is known to be dead or sends data, so
+# up to four times as many places of the table are taken by connections that were just accepted.
+MAX_ACCEPTS_PER_ITERATION = 8
+# Connections that may be closing, dropped and evicted ones, while no descriptor is free. They come out of the budget's
+# margin: more would take what others have reserved there.
 CLOSING_AT_ONCE = 2
-BACKLOG = 4096  # the system caps it; a burst that overflows it waits a second for its SYN to be sent again
-AGAIN_AFTER = 0.05  # seconds after which accepting is tried again where nothing tells that it would work
+BACKLOG = 4096  # the system caps it; a burst that overflows it waits a second until its SYN is sent again
+RETRY_DELAY_S = 0.05  # after which accepting is tried again if nothing announces that it would work
+FAREWELL_READ_BYTES = 4096
 _NO_DESCRIPTOR = (errno.EMFILE, errno.ENFILE)
 _NO_MEMORY = (errno.ENOBUFS, errno.ENOMEM)
-# The peer has gone, or its network has: accept(2) passes on errors of the new socket. The next one may be well.
-_PEER_GONE = (
+# The peer or its network is gone: accept(2) passes on errors of the new socket. The next connection may work.
+_PEER_DISCONNECTED = (
     errno.ECONNABORTED,
     errno.EPROTO,
     errno.ENETDOWN,
@@ -48,13 +49,13 @@
 
 
 class Welcome(Enum):
-    """What becomes of a newcomer."""
+    """What is done with a new connection."""
 
     SERVE = 1
-    TELL = 2  # it hears the farewell and is closed in order
-    # It is closed without a word a few turns later. Its first request has come by then and lies unread, so the system
-    # resets the connection, and an honest peer sends the request again elsewhere. Reset at once, the peer would take
-    # the node for dead; told and closed in order, it would count the request as lost.
+    TELL = 2  # rejected: the farewell is sent, and it is closed in order
+    # It is closed without a farewell a few iterations later. Its first request has arrived by then and is unread, so
+    # the system resets the connection, and an honest peer sends the request again elsewhere. After an immediate reset
+    # the peer would consider the node dead; after a farewell and a close in order it would count the request as lost.
     DROP = 3
 
 
@@ -62,23 +63,25 @@
     """Whether others may listen on the same address."""
 
     NONE = 1
-    LATER = 2  # nobody does now; another process of this node may, later
-    BESIDE = 3  # another process of this node does
+    LATER = 2  # nobody does now; another process of this node may later
+    BESIDE = 3  # another process of this node does now
 
 
 class Gate(Protocol):
-    """Who judges newcomers and serves them."""
+    """Decides about new connections and serves them."""
 
     def admits(self, address: bytes, short: bool) -> Welcome:
-        """What becomes of a newcomer from this address. With `short` the process has no descriptor left but the spare
-        one: then only a known one is, for which room is made."""
+        """What is done with a new connection from this address.
+
+        With `short` the process has only the spare descriptor left: then only a trusted connection is served, for which
+        another is evicted."""
 
     def serve(self, sock: socket.socket, address: bytes) -> None:
         """Take an admitted connection over."""
 
 
 class _Endpoint(NamedTuple):
-    """What a listening socket is made of and bound to."""
+    """Parameters of a listening socket, and the address it is bound to."""
 
     family: socket.AddressFamily
     kind: socket.SocketKind
@@ -87,8 +90,10 @@
 
 
 async def _resolve(host: str, port: int) -> list[_Endpoint]:
-    """The endpoints of a host to listen at, each once. Only a name is looked up in a thread: an address in numbers
-    needs no wait, and a start on a busy machine should not depend on a second thread's turn. Raises OSError."""
+    """The endpoints of a host, each once. Raises OSError.
+
+    Only a name is resolved in a thread: a numeric address needs no wait, and a start on a busy machine should not
+    depend on the scheduling of a second thread."""
     flags = socket.AI_PASSIVE | socket.AI_NUMERICHOST
     try:
         found = socket.getaddrinfo(host, port, type=socket.SOCK_STREAM, flags=flags)
@@ -110,14 +115,17 @@
         log: Log,
         has_descriptor: Callable[[int], bool] = lambda dropped: dropped < CLOSING_AT_ONCE,
     ) -> None:
-        """`has_descriptor`: whether one more may be accepted now, while so many dropped newcomers still hold theirs."""
-        self._gate, self._farewell, self._counters, self._log = gate, farewell, counters, log
+        """`has_descriptor(dropped)`: whether to accept one more connection while so many dropped ones are open."""
+        self._gate = gate
+        self._farewell = farewell
+        self._counters = counters
+        self._log = log
         self._has_descriptor = has_descriptor
         self._sockets: list[socket.socket] = []
         self._spare = -1
-        self._dropped = 0  # newcomers that were dropped and are not closed yet
+        self._dropped = 0  # connections that were dropped and are not closed yet
         self._halted = False
-        self._paused: asyncio.TimerHandle | None = None
+        self._retry: asyncio.TimerHandle | None = None  # accepting is paused until then
 
     async def listen(self, host: str, port: int, share: Share = Share.NONE) -> None:
         """Listen on all addresses of a host. Raises OSError."""
@@ -129,7 +137,7 @@
                 sock.setblocking(False)
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                 if share is Share.LATER:
-                    # With the option the system would let this process in beside a stranger: ask without it first.
+                    # With SO_REUSEPORT the address would be shared with an unrelated process: bind without it first.
                     with socket.socket(family, kind, protocol) as probe:
                         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                         probe.bind(address)
@@ -142,55 +150,55 @@
         except OSError:
             self.close()
             raise
-        self._keep_spare()
-        self._watch()
+        self._open_spare()
+        self._add_readers()
 
     def adopt(self, sockets: list[socket.socket]) -> None:
-        """Listen on sockets of another process of this node, beside those that are listened on already."""
+        """Listen on sockets of another process of this node too."""
         for sock in sockets:
             sock.setblocking(False)
             self._sockets.append(sock)
         if self._spare < 0:
-            self._keep_spare()
-        self._watch()
+            self._open_spare()
+        self._add_readers()
 
     @property
     def sockets(self) -> list[socket.socket]:
-        """What is listened on, for a successor."""
+        """The listening sockets, for a successor process."""
         return list(self._sockets)
 
     def halt(self) -> None:
-        """Accept no more, but keep the sockets: what waits in their backlog is another process's."""
+        """Accept no more, but keep the sockets: another process accepts what waits in their backlog."""
         self._halted = True
-        if self._paused is not None:
-            self._paused.cancel()
-            self._paused = None
+        if self._retry is not None:
+            self._retry.cancel()
+            self._retry = None
         for sock in self._sockets:
             asyncio.get_running_loop().remove_reader(sock)
 
     def go_on(self) -> None:
         """Accept again."""
         self._halted = False
-        self._watch()
+        self._add_readers()
 
     @property
     def port(self) -> int:
-        """The port that is listened on."""
+        """The port of the first listening socket."""
         return int(self._sockets[0].getsockname()[1])
 
     def take_rest(self) -> None:
-        """Admit all that the system has accepted already: closing the socket would reset it, with what it has sent."""
+        """Accept everything in the backlog: closing the listening socket would reset it, with the data it has sent."""
         for listener in self._sockets if not self._halted else ():
             with contextlib.suppress(OSError):  # the backlog is empty, or no descriptor is left
                 for _ in range(BACKLOG):
                     sock, address = listener.accept()
-                    self._newcomer(sock, pack(str(address[0])), short=False)
+                    self._handle_accepted(sock, pack_address(str(address[0])), short=False)
 
     def close(self) -> None:
-        """Listen no more."""
-        if self._paused is not None:
-            self._paused.cancel()
-            self._paused = None
+        """Stop listening."""
+        if self._retry is not None:
+            self._retry.cancel()
+            self._retry = None
         for sock in self._sockets:
             with contextlib.suppress(RuntimeError, ValueError):
                 asyncio.get_running_loop().remove_reader(sock)
@@ -201,111 +209,110 @@
             self._spare = -1
 
     def room(self) -> None:
-        """A descriptor has come free: go on at once if accepting had to rest."""
+        """A descriptor was freed: resume accepting if it is paused."""
         if self._spare < 0 and self._sockets:
-            self._keep_spare()
-        if self._paused is not None:
-            self._paused.cancel()
-            self._again()
-
-    # --- turns ---
+            self._open_spare()
+        if self._retry is not None:
+            self._retry.cancel()
+            self._resume()
 
-    def _watch(self) -> None:
+    def _add_readers(self) -> None:
         if self._halted:
             return
         loop = asyncio.get_running_loop()
         for sock in self._sockets:
-            loop.add_reader(sock, self._readable, sock)
+            loop.add_reader(sock, self._accept_some, sock)
 
-    def _rest(self, counter: str = "admission.rests") -> None:
-        """Guards the loop against spinning on a backlog that can't be taken."""
-        if self._paused is not None:
+    def _pause(self, counter: str = "admission.rests") -> None:
+        """Stop accepting for a while, so that the loop does not spin on a backlog that can't be accepted."""
+        if self._retry is not None:
             return
         self._counters.add(counter)
         loop = asyncio.get_running_loop()
         for sock in self._sockets:
             loop.remove_reader(sock)
-        self._paused = loop.call_at(loop.time() + AGAIN_AFTER, self._again)
+        self._retry = loop.call_at(loop.time() + RETRY_DELAY_S, self._resume)
 
-    def _again(self) -> None:
-        self._paused = None
+    def _resume(self) -> None:
+        self._retry = None
         if self._spare < 0:
-            self._keep_spare()
-        self._watch()
+            self._open_spare()
+        self._add_readers()
 
-    def _keep_spare(self) -> None:
+    def _open_spare(self) -> None:
         with contextlib.suppress(OSError):
             self._spare = os.open(os.devnull, os.O_RDONLY | os.O_CLOEXEC)
 
-    def _readable(self, listener: socket.socket) -> None:
-        for _ in range(ACCEPTS):
+    def _accept_some(self, listener: socket.socket) -> None:
+        for _ in range(MAX_ACCEPTS_PER_ITERATION):
             if not self._has_descriptor(self._dropped):
-                self._rest("admission.waits")
+                self._pause("admission.waits")
                 return
             try:
                 sock, address = listener.accept()
             except BlockingIOError:
                 return
             except OSError as error:
-                if not self._failed(listener, error):
+                if not self._handle_accept_error(listener, error):
                     return
                 continue
-            self._newcomer(sock, pack(str(address[0])), short=False)
-            if self._paused is not None:
+            self._handle_accepted(sock, pack_address(str(address[0])), short=False)
+            if self._retry is not None:
                 return
 
-    def _failed(self, listener: socket.socket, error: OSError) -> bool:
-        """An accept failed; whether to go on with the next one."""
-        if error.errno in _PEER_GONE:
+    def _handle_accept_error(self, listener: socket.socket, error: OSError) -> bool:
+        """Whether to go on with the next connection after an error of accept."""
+        if error.errno in _PEER_DISCONNECTED:
             self._counters.add("admission.aborted")
             return True
         if error.errno in _NO_DESCRIPTOR:
-            return self._without_descriptor(listener)
+            return self._accept_with_spare(listener)
         if error.errno in _NO_MEMORY:
             self._counters.add("admission.no_memory")
         else:
             self._log.event("admission.accept_failed", why=error.strerror or str(error))
-        self._rest()
+        self._pause()
         return False
 
-    def _without_descriptor(self, listener: socket.socket) -> bool:
-        """Use the spare descriptor to take one newcomer and tell it; whether to go on."""
+    def _accept_with_spare(self, listener: socket.socket) -> bool:
+        """Accept one connection with the spare descriptor; whether to go on."""
         self._counters.add("admission.no_descriptor")
         if self._spare < 0:
-            self._rest()
+            self._pause()
             return False
         os.close(self._spare)
         self._spare = -1
         try:
             sock, address = listener.accept()
-        except OSError:  # somebody else took the descriptor, or the newcomer has gone
-            self._keep_spare()
+        except OSError:  # another part took the descriptor, or the peer has disconnected
+            self._open_spare()
             return self._spare >= 0
-        self._newcomer(sock, pack(str(address[0])), short=True)
-        self._keep_spare()
+        self._handle_accepted(sock, pack_address(str(address[0])), short=True)
+        self._open_spare()
         return self._spare >= 0
 
-    def _newcomer(self, sock: socket.socket, address: bytes, short: bool) -> None:
+    def _handle_accepted(self, sock: socket.socket, address: bytes, short: bool) -> None:
         sock.setblocking(False)
-        welcome = self._gate.admits(address, short)
-        if welcome is Welcome.SERVE:
+        decision = self._gate.admits(address, short)
+        if decision is Welcome.SERVE:
             self._gate.serve(sock, address)
-        elif welcome is Welcome.TELL:
+        elif decision is Welcome.TELL:
             self.turn_away(sock)
         else:
             self._dropped += 1
             loop = asyncio.get_running_loop()
-            loop.call_soon(loop.call_soon, loop.call_soon, self._drop, sock)
+            # Three iterations later: by then the first request of an honest peer has arrived.
+            loop.call_soon(loop.call_soon, loop.call_soon, self._close_dropped, sock)
 
-    def _drop(self, sock: socket.socket) -> None:
+    def _close_dropped(self, sock: socket.socket) -> None:
         sock.close()
         self._dropped -= 1
         self.room()
 
     def turn_away(self, sock: socket.socket) -> None:
-        """Say the farewell and close at once. What came is read first: closing over it would reset the farewell."""
+        """Send the farewell and close, after reading what was received: unread data would cause a reset."""
         with contextlib.suppress(OSError):
             sock.send(self._farewell)
             sock.shutdown(socket.SHUT_WR)
-            sock.recv(4096)
+            sock.recv(FAREWELL_READ_BYTES)
         sock.close()
--- a/chutepin/admission/descriptor_budget.py
+++ b/chutepin/admission/descriptor_budget.py
@@ -63,7 +63,7 @@
         return max(0, self.in_use - really)
 
     def metrics(self) -> dict[str, int]:
-        """Counts for an operator, under the names that the log has had from the start."""
+        """Counters for an operator. The names are those of the log."""
         metrics = {"limit": self.limit, "other": self.unattributed}
         for name, part in self.parts.items():
             metrics |= {f"{name}.held": part.in_use, f"{name}.refused": part.refused}
--- a/chutepin/cli/admission.py
+++ b/chutepin/cli/admission.py
@@ -5,7 +5,7 @@
 import click
 
 from ..admission import Table
-from ..admission.addresses import LOCAL, pack
+from ..admission.addresses import LOCAL, pack_address
 from ..config import ConfigError, load_setup
 from ..logs import print_line
 from ..node import rules_of
@@ -36,7 +36,7 @@
     except ConfigError as error:
         print_line(str(error))
         return 2
-    packed = pack(address)
+    packed = pack_address(address)
     if packed == LOCAL:
         print_line(f"ADDRESS: {address} is no address")
         return 2
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,5 +1,4 @@
-"""Admission: the rules as a model, rates, standing, the descriptors, deadlines, the PROXY head, and accepting without
-descriptors."""
+"""Connection admission: rules, rates, reputation, descriptors, deadlines, the PROXY header, accepting."""
 
 from __future__ import annotations
 
@@ -22,22 +21,23 @@
 from chutepin.admission import (
     CLOSING_AT_ONCE,
     Acceptor,
+    ClientTrust,
+    ConnectionUsage,
     Deadlines,
     DescriptorBudget,
     ProxyError,
     ProxyHead,
-    Rank,
     Reason,
     Rules,
     Table,
-    Use,
     Welcome,
 )
-from chutepin.admission.acceptor import AGAIN_AFTER
-from chutepin.admission.addresses import Networks, block, pack, show_block
-from chutepin.admission.limits import Gcra, Standing
+from chutepin.admission.acceptor import RETRY_DELAY_S
+from chutepin.admission.addresses import Networks, address_block, format_block, pack_address
+from chutepin.admission.eviction import SETTLED_S
 from chutepin.admission.proxy import proxy_head
-from chutepin.admission.rules import SETTLED
+from chutepin.admission.rates import RateLimiter
+from chutepin.admission.reputation import Reputation
 from chutepin.clock import Clock
 from chutepin.config import ConfigError, parse_setup
 from chutepin.counters import Counters
@@ -50,7 +50,7 @@
 from .helper import ROOT, STEPS
 from .test_setup import chutepin
 
-STRANGER, NEIGHBOUR, KNOWN = pack("203.0.113.7"), pack("203.0.113.8"), pack("10.0.0.5")
+UNTRUSTED, NEIGHBOUR, TRUSTED = pack_address("203.0.113.7"), pack_address("203.0.113.8"), pack_address("10.0.0.5")
 LISTED = Networks(["10.0.0.0/24"])
 
 
@@ -60,7 +60,7 @@
     def __init__(self, rules: Rules, limit: int) -> None:
         self.table, self.now, self.keys = Table(rules, limit), 100.0, 0
 
-    def connect(self, address: bytes = STRANGER) -> int | Reason:
+    def connect(self, address: bytes = UNTRUSTED) -> int | Reason:
         verdict = self.table.admit(self.now, address)
         if verdict.refused is not None:
             return verdict.refused
@@ -71,7 +71,7 @@
         return self.keys
 
     def request(self, key: int, answered: bool = True) -> None:
-        self.table.spoke(key, self.now, Use.REQUESTS, True)
+        self.table.spoke(key, self.now, ConnectionUsage.REQUESTS, True)
         if answered:
             self.table.answered(key)
 
@@ -80,24 +80,34 @@
 
 
 def test_addresses_blocks_and_networks() -> None:
-    assert pack("::ffff:203.0.113.7") == STRANGER and pack("fe80::1%eth0") == pack("fe80::1") and pack("@x") == b""
-    assert block(STRANGER, 24, 64) == block(NEIGHBOUR, 24, 64) != block(pack("203.0.112.7"), 24, 64)
-    assert block(STRANGER, 31, 64) != block(NEIGHBOUR, 31, 64) == block(pack("203.0.113.9"), 31, 64)
-    assert block(pack("2001:db8::1"), 24, 64) == block(pack("2001:db8::ffff:1"), 24, 64)
-    assert block(pack("2001:db8::1"), 24, 64) != block(pack("2001:db8:0:1::1"), 24, 64)
-    assert show_block(block(STRANGER, 24, 64), 24, 64) == "203.0.113.0/24"
-    assert show_block(block(pack("2001:db8::1"), 24, 64), 24, 64) == "2001:db8::/64"
+    assert pack_address("::ffff:203.0.113.7") == UNTRUSTED
+    assert pack_address("fe80::1%eth0") == pack_address("fe80::1")
+    assert pack_address("@x") == b""
+    assert (
+        address_block(UNTRUSTED, 24, 64)
+        == address_block(NEIGHBOUR, 24, 64)
+        != address_block(pack_address("203.0.112.7"), 24, 64)
+    )
+    assert (
+        address_block(UNTRUSTED, 31, 64)
+        != address_block(NEIGHBOUR, 31, 64)
+        == address_block(pack_address("203.0.113.9"), 31, 64)
+    )
+    assert address_block(pack_address("2001:db8::1"), 24, 64) == address_block(pack_address("2001:db8::ffff:1"), 24, 64)
+    assert address_block(pack_address("2001:db8::1"), 24, 64) != address_block(pack_address("2001:db8:0:1::1"), 24, 64)
+    assert format_block(address_block(UNTRUSTED, 24, 64), 24, 64) == "203.0.113.0/24"
+    assert format_block(address_block(pack_address("2001:db8::1"), 24, 64), 24, 64) == "2001:db8::/64"
     known = Networks(["10.0.0.0/24", "192.0.2.1/32", "2001:db8::/61", "0.0.0.0/1"])
-    assert all(pack(text) in known for text in ("10.0.0.255", "192.0.2.1", "2001:db8:0:7::9", "127.0.0.1"))
-    assert not any(pack(text) in known for text in ("192.0.2.2", "2001:db8:0:8::", "203.0.113.7"))
+    assert all(pack_address(text) in known for text in ("10.0.0.255", "192.0.2.1", "2001:db8:0:7::9", "127.0.0.1"))
+    assert not any(pack_address(text) in known for text in ("192.0.2.2", "2001:db8:0:8::", "203.0.113.7"))
 
 
-# --- rates and standing ---
+# --- rates and reputation ---
 
 
 @given(st.lists(st.floats(0, 2), max_size=40), st.integers(1, 6), st.sampled_from([0.5, 1.0, 7.0]))
 def test_no_window_has_more_events_than_rate_and_burst_allow(gaps: list[float], burst: int, rate: float) -> None:
-    limit, now, taken = Gcra(rate, burst, 10), 0.0, list[float]()
+    limit, now, taken = RateLimiter(rate, burst, 10), 0.0, list[float]()
     for gap in gaps:
         now += gap
         if limit.wait(now, b"a") <= 1e-9:
@@ -111,7 +121,7 @@
             assert j - i + 1 <= burst + rate * (taken[j] - start) + 1e-6
 
 
-def test_ten_thousand_connects_and_closes_leave_no_state() -> None:
+def test_connection_churn_leaves_no_state() -> None:
     front = Front(
         Rules(
             per_address=5,
@@ -125,10 +135,10 @@
         ),
         64,
     )
-    pick = random.Random(1)
+    rng = random.Random(1)
     most = 0
     for number in range(10_000):
-        key = front.connect(pack(f"198.{pick.randrange(64)}.{pick.randrange(256)}.{number % 256}"))
+        key = front.connect(pack_address(f"198.{rng.randrange(64)}.{rng.randrange(256)}.{number % 256}"))
         if isinstance(key, int):
             if number % 3 == 0:
                 front.request(key)
@@ -143,51 +153,51 @@
     assert not (table.remembered or table.entries or table.by_address or table.by_block)
 
 
-def test_standing_is_earned_over_time_lost_by_malformed_traffic_and_ages() -> None:
-    standing = Standing(3, 10, 100, 8)
-    assert not any(standing.sound(now, b"a") for now in (0.0, 1.0, 2.0, 3.0))  # too soon
-    assert standing.sound(11.0, b"a") and standing.holds(12.0, b"a")
-    assert standing.holds(111.0, b"a") and not standing.holds(111.1, b"a")
-    standing.sound(50.0, b"a")
+def test_trust_is_earned_over_time_lost_by_malformed_data_and_ages() -> None:
+    reputation = Reputation(3, 10, 100, 8)
+    assert not any(reputation.record_valid(now, b"a") for now in (0.0, 1.0, 2.0, 3.0))  # too soon
+    assert reputation.record_valid(11.0, b"a") and reputation.is_earned(12.0, b"a")
+    assert reputation.is_earned(111.0, b"a") and not reputation.is_earned(111.1, b"a")
+    reputation.record_valid(50.0, b"a")
     for number in range(100):  # a flood of candidates takes nothing from who has it
-        standing.sound(60.0, b"%d" % number)
-    assert standing.holds(61.0, b"a") and len(standing) <= 9
-    assert standing.malformed(62.0, b"a") and not standing.holds(62.0, b"a")
-    assert not any(standing.sound(now, b"a") for now in range(63, 161, 10))  # barred
-    assert [now for now in range(163, 200, 5) if standing.sound(now, b"a")] == [173]
-    standing.forget(1000.0, 100)
-    assert not len(standing)
+        reputation.record_valid(60.0, b"%d" % number)
+    assert reputation.is_earned(61.0, b"a") and len(reputation) <= 9
+    assert reputation.record_malformed(62.0, b"a") and not reputation.is_earned(62.0, b"a")
+    assert not any(reputation.record_valid(now, b"a") for now in range(63, 161, 10))  # barred
+    assert [now for now in range(163, 200, 5) if reputation.record_valid(now, b"a")] == [173]
+    reputation.forget(1000.0, 100)
+    assert not len(reputation)
 
 
 # --- the rules ---
 
 
-def test_hundreds_of_addresses_each_under_their_cap_are_bounded_by_their_block() -> None:
+def test_block_cap_bounds_many_addresses_below_their_own_cap() -> None:
     front = Front(Rules(per_address=3, per_block=40, known=LISTED), 400)
-    results = [front.connect(pack(f"203.0.113.{i}")) for i in range(200) for _ in range(3)]
+    results = [front.connect(pack_address(f"203.0.113.{i}")) for i in range(200) for _ in range(3)]
     assert sum(isinstance(result, int) for result in results) == 40
     assert front.table.refused[Reason.CAP_BLOCK] == 560
-    assert [isinstance(front.connect(pack("198.51.100.1")), int) for _ in range(4)] == [True] * 3 + [False]
+    assert [isinstance(front.connect(pack_address("198.51.100.1")), int) for _ in range(4)] == [True] * 3 + [False]
     assert front.table.refused[Reason.CAP_ADDRESS] == 1
 
 
-def test_a_known_client_reconnects_at_the_limit_and_strangers_stay_out_of_the_reserve() -> None:
+def test_trusted_client_reconnects_at_limit_and_untrusted_stay_out_of_reserve() -> None:
     front = Front(Rules(reserve=0.25, known=LISTED), 40)
-    held = front.connect(KNOWN)
-    flood = [front.connect(pack(f"203.0.{i}.1")) for i in range(100)]
+    held = front.connect(TRUSTED)
+    flood = [front.connect(pack_address(f"203.0.{i}.1")) for i in range(100)]
     assert sum(isinstance(key, int) for key in flood) == 30 and isinstance(held, int)
     for _ in range(3):  # while none of the flood may be closed, as all came just now
         for _ in range(9):
-            assert isinstance(front.connect(KNOWN), int)
-        front.now += SETTLED + 0.1
+            assert isinstance(front.connect(TRUSTED), int)
+        front.now += SETTLED_S + 0.1
         # Full: now the flood's makes room, before any of the known client's.
-        assert isinstance(front.connect(KNOWN), int)
-        assert len(front.table.by_address[KNOWN]) > 10
-        for key in list(front.table.by_address[KNOWN])[1:]:
+        assert isinstance(front.connect(TRUSTED), int)
+        assert len(front.table.by_address[TRUSTED]) > 10
+        for key in list(front.table.by_address[TRUSTED])[1:]:
             front.table.closed(key)
 
 
-def test_a_flood_that_sends_one_sound_request_a_connection_earns_nothing() -> None:
+def test_one_valid_request_a_connection_earns_no_trust() -> None:
     front = Front(Rules(earn_requests=3, earn_over=1.0), 50)
     for _ in range(200):
         key = front.connect()
@@ -195,41 +205,41 @@
         front.request(key)
         front.table.closed(key)
         front.now += 0.1
-    assert front.table.rank(front.now, STRANGER) is Rank.STRANGER
+    assert front.table.rank(front.now, UNTRUSTED) is ClientTrust.UNTRUSTED
     key = front.connect()
     assert isinstance(key, int)
     for _ in range(13):
         front.request(key)
         front.now += 0.1
-    assert front.table.rank(front.now, STRANGER) is Rank.EARNED
+    assert front.table.rank(front.now, UNTRUSTED) is ClientTrust.EARNED
     front.table.malformed(key, front.now)
-    assert front.table.rank(front.now, STRANGER) is Rank.STRANGER
+    assert front.table.rank(front.now, UNTRUSTED) is ClientTrust.UNTRUSTED
 
 
-def test_the_share_of_the_new_is_bounded_and_the_oldest_of_them_go() -> None:
+def test_share_of_new_connections_is_bounded_and_oldest_is_evicted() -> None:
     front = Front(Rules(new_share=0.2), 50)
     keys = [front.connect() for _ in range(12)]
     assert sum(isinstance(key, int) for key in keys) == 10 and keys[-1] is Reason.NEW
     assert isinstance(keys[0], int) and isinstance(keys[1], int)
     front.request(keys[0])
     assert isinstance(front.connect(), int)  # one of them is new no more
-    front.now += SETTLED + 0.1
+    front.now += SETTLED_S + 0.1
     assert isinstance(front.connect(), int) and keys[1] not in front.table.entries
 
 
 def test_new_rules_apply_to_open_connections_without_closing_any() -> None:
     front = Front(Rules(), 50)
-    for address in (STRANGER, NEIGHBOUR, KNOWN):
+    for address in (UNTRUSTED, NEIGHBOUR, TRUSTED):
         for _ in range(4):
             front.connect(address)
     front.table.apply(Rules(per_address=2, per_block=5, known=LISTED, reserve=0.5))
-    assert len(front.table.entries) == 12 and front.table.by_block == {block(STRANGER, 24, 64): 8}
-    assert front.connect() is Reason.CAP_ADDRESS and isinstance(front.connect(KNOWN), int)
+    assert len(front.table.entries) == 12 and front.table.by_block == {address_block(UNTRUSTED, 24, 64): 8}
+    assert front.connect() is Reason.CAP_ADDRESS and isinstance(front.connect(TRUSTED), int)
     front.table.apply(Rules())
     assert isinstance(front.connect(), int)
 
 
-class Admission(RuleBasedStateMachine):
+class AdmissionStateMachine(RuleBasedStateMachine):
     """Connections of everybody doing everything: what must hold whatever comes."""
 
     @initialize(reserve=st.sampled_from([0.0, 0.3]), caps=st.booleans(), share=st.sampled_from([0.3, 1.0]))
@@ -247,7 +257,7 @@
             remembered=16,
         )
         self.front = Front(self.chosen, 20)
-        self.addresses = [pack(f"203.0.{i // 3}.{i}") for i in range(9)] + [KNOWN]
+        self.addresses = [pack_address(f"203.0.{i // 3}.{i}") for i in range(9)] + [TRUSTED]
         self.busy = set[int]()
 
     @rule(who=st.integers(0, 9))
@@ -257,20 +267,21 @@
         result = self.front.connect(address)
         for key in set(before) - set(table.entries):
             entry = before[key]
-            assert key not in self.busy and entry.last < now - SETTLED and entry.rank <= table.rank(now, address)
-        if address == KNOWN and len(before) < table.limit:
+            assert key not in self.busy and entry.last_active < now - SETTLED_S
+            assert entry.trust <= table.rank(now, address)
+        if address == TRUSTED and len(before) < table.limit:
             assert isinstance(result, int)  # the reserve is open to it
         if isinstance(result, Reason):
             assert before == table.entries
 
-    @rule(data=st.data(), answered=st.booleans(), use=st.sampled_from(Use))
-    def speak(self, data: st.DataObject, answered: bool, use: Use) -> None:
+    @rule(data=st.data(), answered=st.booleans(), use=st.sampled_from(ConnectionUsage))
+    def speak(self, data: st.DataObject, answered: bool, use: ConnectionUsage) -> None:
         if not self.front.table.entries:
             return
         key = data.draw(st.sampled_from(sorted(self.front.table.entries)))
-        busy = use is Use.REQUESTS and not answered
+        busy = use is ConnectionUsage.REQUESTS and not answered
         (self.busy.add if busy else self.busy.discard)(key)
-        self.front.table.spoke(key, self.front.now, None if use is Use.NEW else use, busy)
+        self.front.table.spoke(key, self.front.now, None if use is ConnectionUsage.NEW else use, busy)
 
     @rule(data=st.data(), malformed=st.booleans())
     def close(self, data: st.DataObject, malformed: bool) -> None:
@@ -302,21 +313,18 @@
         if not hasattr(self, "front"):
             return
         table = self.front.table
-        strangers = [entry for entry in table.entries.values() if entry.rank is Rank.STRANGER]
+        untrusted = [entry for entry in table.entries.values() if entry.trust is ClientTrust.UNTRUSTED]
         assert len(table.entries) <= table.limit
-        assert table._strangers == len(strangers)
-        assert table._new == sum(entry.use is Use.NEW for entry in strangers)
-        assert sum(table.by_block.values()) == len(strangers)
+        assert table.untrusted_count == len(untrusted)
+        assert table.new_count == sum(entry.usage is ConnectionUsage.NEW for entry in untrusted)
+        assert sum(table.by_block.values()) == len(untrusted)
         assert sum(map(len, table.by_address.values())) == len(table.entries)
-        queued = {
-            key for kind, queue in table._queues.items() for last, key in queue if table._queued(*kind, last, key)
-        }
-        assert queued == set(table.entries) - self.busy
+        assert table.eviction_queues.keys() == set(table.entries) - self.busy
         assert table.remembered <= 5 * 16
 
 
-Admission.TestCase.settings = STEPS
-TestAdmission = Admission.TestCase
+AdmissionStateMachine.TestCase.settings = STEPS
+TestAdmission = AdmissionStateMachine.TestCase
 
 
 # --- the descriptors and deadlines ---
@@ -326,7 +334,7 @@
     st.lists(st.tuples(st.sampled_from(["front", "records", "executor"]), st.booleans()), max_size=120),
     st.integers(0, 30),
 )
-def test_no_part_takes_what_another_has_reserved(steps: list[tuple[str, bool]], other: int) -> None:
+def test_no_part_acquires_descriptors_reserved_for_another(steps: list[tuple[str, bool]], other: int) -> None:
     descriptors = DescriptorBudget(64, {"front": (0, 32), "records": (6, 20), "executor": (2, 2)}, other)
     for name, take in steps:
         part = descriptors.parts[name]
@@ -346,7 +354,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 5), st.floats(0, 30) | st.just(math.inf)), max_size=60))
-def test_deadlines_are_told_once_in_time_and_never_early(steps: list[tuple[int, float]]) -> None:
+def test_deadline_is_due_once_in_time_and_never_early(steps: list[tuple[int, float]]) -> None:
     deadlines, expected, now = Deadlines(), dict[int, float](), 0.0
     for key, ahead in steps:
         deadlines.set(key, now + ahead)
@@ -364,8 +372,8 @@
 
 
 @given(st.integers(1, 9), st.booleans(), st.binary(max_size=20))
-def test_a_proxy_head_in_pieces_tells_the_true_address(size: int, v6: bool, rest: bytes) -> None:
-    source, target = (pack("2001:db8::7"), pack("2001:db8::1")) if v6 else (STRANGER, KNOWN)
+def test_fragmented_proxy_header_yields_client_address(size: int, v6: bool, rest: bytes) -> None:
+    source, target = (pack_address("2001:db8::7"), pack_address("2001:db8::1")) if v6 else (UNTRUSTED, TRUSTED)
     data, head = proxy_head(source, target, 5000, 7000) + rest, ProxyHead()
     for at in range(0, len(data), size):
         if head.done:
@@ -375,7 +383,7 @@
     assert head.done and head.address == source and head.rest == rest
 
 
-GOOD = proxy_head(STRANGER, KNOWN, 1, 2)
+GOOD = proxy_head(UNTRUSTED, TRUSTED, 1, 2)
 
 
 @pytest.mark.parametrize(
@@ -391,12 +399,12 @@
         b"\r\n\r\n\0\r\nQUIT\r",
     ],
 )
-def test_a_forged_or_malformed_proxy_head_is_an_error(data: bytes) -> None:
+def test_malformed_proxy_header_is_an_error(data: bytes) -> None:
     with pytest.raises(ProxyError):
         ProxyHead().feed(data)
 
 
-def test_a_proxy_head_of_the_relay_itself_has_no_address() -> None:
+def test_proxy_header_of_the_relay_itself_has_no_address() -> None:
     head = ProxyHead()
     head.feed(GOOD[:12] + b"\x20\x00\x00\x00rest")
     assert head.done and head.address is None and head.rest == b"rest"
@@ -412,7 +420,7 @@
         self.served: list[socket.socket] = []
 
     def admits(self, address: bytes, short: bool) -> Welcome:
-        return Welcome.SERVE if not short and address == pack("127.0.0.1") else Welcome.TELL
+        return Welcome.SERVE if not short and address == pack_address("127.0.0.1") else Welcome.TELL
 
     def serve(self, sock: socket.socket, address: bytes) -> None:
         self.served.append(sock)
@@ -438,7 +446,7 @@
         return await reader.read()
 
 
-def test_to_listen_at_a_numeric_address_starts_no_thread() -> None:
+def test_listening_at_a_numeric_address_starts_no_thread() -> None:
     """At two starts on a busy machine the loop was seen to stand still while a second thread ran: the look-up."""
 
     async def run() -> int:
@@ -451,7 +459,7 @@
     assert asyncio.run(run()) == 0
 
 
-def test_a_host_by_name_is_still_looked_up() -> None:
+def test_host_name_is_resolved() -> None:
     async def run() -> None:
         acceptor = Acceptor(Gate(), b"", Counters(), Log(Clock()))
         await acceptor.listen("localhost", 0)
@@ -466,7 +474,7 @@
     return [socket.create_connection(("127.0.0.1", port)) for _ in range(50)]
 
 
-def test_dropped_newcomers_hold_few_descriptors_at_a_time_and_are_all_closed() -> None:
+def test_dropped_connections_hold_few_descriptors_at_a_time_and_are_all_closed() -> None:
     class Dropping(Gate):
         def admits(self, address: bytes, short: bool) -> Welcome:
             held.append(acceptor._dropped + 1)
@@ -513,7 +521,7 @@
     assert max(held) <= most + CLOSING_AT_ONCE
 
 
-def test_without_descriptors_newcomers_are_told_and_service_is_back_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connections_without_descriptor_hear_farewell_and_service_resumes(monkeypatch: pytest.MonkeyPatch) -> None:
     """The process has none left but the spare one: modelled by an accept that fails while the spare is held."""
 
     async def test(acceptor: Acceptor, gate: Gate, counters: Counters) -> None:
@@ -539,7 +547,7 @@
     accepting(test)
 
 
-def test_where_even_the_spare_is_gone_accepting_rests_and_a_free_descriptor_ends_that(
+def test_accepting_pauses_without_spare_descriptor_and_resumes_when_one_is_freed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test(acceptor: Acceptor, gate: Gate, counters: Counters) -> None:
@@ -559,7 +567,7 @@
         monkeypatch.setattr(socket.socket, "accept", accept)
         monkeypatch.setattr(os, "open", no_open)
         _, writer = await asyncio.open_connection("127.0.0.1", acceptor.port)
-        await asyncio.sleep(8 * AGAIN_AFTER)
+        await asyncio.sleep(8 * RETRY_DELAY_S)
         assert counters.counts["admission.rests"] and tries[0] < 60  # no spinning
         short[0] = False
         acceptor.room()
@@ -571,7 +579,7 @@
     accepting(test)
 
 
-def test_a_newcomer_at_a_full_table_is_dropped_without_a_word(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connection_at_full_table_is_dropped_without_farewell(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test(acceptor: Acceptor, gate: Gate, counters: Counters) -> None:
         monkeypatch.setattr(gate, "admits", lambda address, short: Welcome.DROP)
         reader, writer = await asyncio.open_connection("127.0.0.1", acceptor.port)
@@ -593,7 +601,7 @@
         (errno.ENOMEM, "admission.no_memory"),
     ],
 )
-def test_other_errors_of_accept_cost_only_the_newcomer(
+def test_other_accept_error_affects_only_its_connection(
     number: int, counter: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test(acceptor: Acceptor, gate: Gate, counters: Counters) -> None:
@@ -618,7 +626,7 @@
 # --- the operator's side ---
 
 
-def test_the_example_block_is_sound_and_explained(tmp_path: object) -> None:
+def test_example_block_is_valid_and_explained(tmp_path: object) -> None:
     text = (ROOT / "deploy" / "node.kdl").read_text().replace("/-admission", "admission")
     rules = rules_of(parse_setup(text).admission)
     assert rules.reserve == 0.25 and rules.rate_address == 10.0 and rules.earned_age == 3600
@@ -651,7 +659,7 @@
         ("reserve (%)60; new-share (%)50", "admission.new-share: with admission.reserve more than 100 %"),
     ],
 )
-def test_a_fault_of_the_block_is_one_line(text: str, message: str) -> None:
+def test_invalid_block_is_reported_in_one_line(text: str, message: str) -> None:
     with pytest.raises(ConfigError) as error:
         parse_setup(f"admission {{ {text} }}")
     assert str(error.value).startswith(message) and "\n" not in str(error.value)
