--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -135,7 +135,7 @@
             times.append(time.perf_counter() - begun)
         times.sort()
         rows.append([f"{size:,}", evicted, 1e6 * times[2500], 1e6 * times[4950]])
-    table(["connections in the table", "evictions in 5,000 newcomers", "median, µs", "99 %, µs"], rows)
+    table(["connections in the table", "evictions in 5,000 new connections", "median, µs", "99 %, µs"], rows)
 
 
 @click.command()
@@ -157,7 +157,7 @@
             "refused",
             "refused within (99 %), ms",
             "at most, ms",
-            "a stranger after it, %",
+            "an untrusted client after it, %",
         ],
         rows,
     )
