--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -19,7 +19,7 @@
 import click
 
 from benchmarks.store import table
-from chutepin.admission import Rules, Table
+from chutepin.admission import ConnectionTable, Rules
 from chutepin.admission.addresses import Networks
 from chutepin.testbench.standins.known_client import Known
 from chutepin.testbench.standins.platform import EXAMPLE, ROOT, Standins
@@ -100,7 +100,7 @@
     rows: list[list[object]] = []
     for size in (100, 1000, 10_000):
         known = Networks([f"10.{number}.0.0/16" for number in range(20)])
-        made = Table(
+        made = ConnectionTable(
             Rules(
                 per_address=64,
                 per_block=10**6,
--- a/chutepin/admin/listener.py
+++ b/chutepin/admin/listener.py
@@ -5,7 +5,7 @@
 import asyncio
 import socket
 
-from ..admission import CLOSING_AT_ONCE, Acceptor, DescriptorBudget, Welcome
+from ..admission import MAX_CLOSING, AcceptDecision, Acceptor, DescriptorBudget
 from ..counters import Counters
 from ..logs import Log
 from .commands import CommandTable, failure
@@ -42,22 +42,20 @@
 
     def _has_descriptor(self, dropped: int) -> bool:
         """Whether one is free, or soon will be: callers that made room hold theirs until their tasks have ended."""
-        return (
-            self._descriptors.available(DESCRIPTOR_PART) > dropped or len(self._making_room) + dropped < CLOSING_AT_ONCE
-        )
+        return self._descriptors.available(DESCRIPTOR_PART) > dropped or len(self._making_room) + dropped < MAX_CLOSING
 
-    def admits(self, address: bytes, short: bool) -> Welcome:
+    def decide(self, address: bytes, short: bool) -> AcceptDecision:
         """Serve a caller if there is room, or if the oldest unfinished one can make some."""
         if self._descriptors.available(DESCRIPTOR_PART) > 0 and not short:
-            return Welcome.SERVE
+            return AcceptDecision.SERVE
         if not self._unfinished:
             self._counters.add("ops.refused")
-            return Welcome.TELL
+            return AcceptDecision.REJECT
         self._counters.add("ops.made_room")
         number = next(iter(self._unfinished))
         self._making_room.add(number)
         self._unfinished.pop(number).cancel()
-        return Welcome.SERVE
+        return AcceptDecision.SERVE
 
     def serve(self, sock: socket.socket, address: bytes) -> None:
         """Take over a caller."""
--- a/chutepin/admission/acceptor.py
+++ b/chutepin/admission/acceptor.py
@@ -25,7 +25,7 @@
 MAX_ACCEPTS_PER_ITERATION = 8
 # Connections that may be closing, dropped and evicted ones, while no descriptor is free. They come out of the budget's
 # margin: more would take what others have reserved there.
-CLOSING_AT_ONCE = 2
+MAX_CLOSING = 2
 BACKLOG = 4096  # the system caps it; a burst that overflows it waits a second until its SYN is sent again
 RETRY_DELAY_S = 0.05  # after which accepting is tried again if nothing announces that it would work
 FAREWELL_READ_BYTES = 4096
@@ -48,18 +48,18 @@
 )
 
 
-class Welcome(Enum):
+class AcceptDecision(Enum):
     """What is done with a new connection."""
 
     SERVE = 1
-    TELL = 2  # rejected: the farewell is sent, and it is closed in order
+    REJECT = 2  # rejected: the farewell is sent, and it is closed in order
     # It is closed without a farewell a few iterations later. Its first request has arrived by then and is unread, so
     # the system resets the connection, and an honest peer sends the request again elsewhere. After an immediate reset
     # the peer would consider the node dead; after a farewell and a close in order it would count the request as lost.
     DROP = 3
 
 
-class Share(Enum):
+class AddressSharing(Enum):
     """Whether others may listen on the same address."""
 
     NONE = 1
@@ -70,7 +70,7 @@
 class Gate(Protocol):
     """Decides about new connections and serves them."""
 
-    def admits(self, address: bytes, short: bool) -> Welcome:
+    def decide(self, address: bytes, short: bool) -> AcceptDecision:
         """What is done with a new connection from this address.
 
         With `short` the process has only the spare descriptor left: then only a trusted connection is served, for which
@@ -113,7 +113,7 @@
         farewell: bytes,
         counters: Counters,
         log: Log,
-        has_descriptor: Callable[[int], bool] = lambda dropped: dropped < CLOSING_AT_ONCE,
+        has_descriptor: Callable[[int], bool] = lambda dropped: dropped < MAX_CLOSING,
     ) -> None:
         """`has_descriptor(dropped)`: whether to accept one more connection while so many dropped ones are open."""
         self._gate = gate
@@ -127,7 +127,7 @@
         self._halted = False
         self._retry: asyncio.TimerHandle | None = None  # accepting is paused until then
 
-    async def listen(self, host: str, port: int, share: Share = Share.NONE) -> None:
+    async def listen(self, host: str, port: int, share: AddressSharing = AddressSharing.NONE) -> None:
         """Listen on all addresses of a host. Raises OSError."""
         endpoints = await _resolve(host, port)
         try:
@@ -136,12 +136,12 @@
                 self._sockets.append(sock)
                 sock.setblocking(False)
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-                if share is Share.LATER:
+                if share is AddressSharing.LATER:
                     # With SO_REUSEPORT the address would be shared with an unrelated process: bind without it first.
                     with socket.socket(family, kind, protocol) as probe:
                         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                         probe.bind(address)
-                if share is not Share.NONE:
+                if share is not AddressSharing.NONE:
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
                 if family == socket.AF_INET6:
                     sock.setsockopt(socket.IPPROTO_IPV6, socket.IPV6_V6ONLY, 1)
@@ -293,10 +293,10 @@
 
     def _handle_accepted(self, sock: socket.socket, address: bytes, short: bool) -> None:
         sock.setblocking(False)
-        decision = self._gate.admits(address, short)
-        if decision is Welcome.SERVE:
+        decision = self._gate.decide(address, short)
+        if decision is AcceptDecision.SERVE:
             self._gate.serve(sock, address)
-        elif decision is Welcome.TELL:
+        elif decision is AcceptDecision.REJECT:
             self.turn_away(sock)
         else:
             self._dropped += 1
--- a/chutepin/admission/table.py
+++ b/chutepin/admission/table.py
@@ -38,7 +38,7 @@
     blocks: list[tuple[str, int]]
 
 
-class Table:
+class ConnectionTable:
     """All connections of a listener. A connection is identified by a number of the caller's."""
 
     def __init__(self, rules: Rules, limit: int) -> None:
--- a/chutepin/cli/admission.py
+++ b/chutepin/cli/admission.py
@@ -4,7 +4,7 @@
 
 import click
 
-from ..admission import Table
+from ..admission import ConnectionTable
 from ..admission.addresses import LOCAL, pack_address
 from ..config import ConfigError, load_setup
 from ..logs import print_line
@@ -40,7 +40,7 @@
     if packed == LOCAL:
         print_line(f"ADDRESS: {address} is no address")
         return 2
-    met = Table(rules, limit).explain(0.0, packed)
+    met = ConnectionTable(rules, limit).explain(0.0, packed)
     if as_json(json_asked):
         show_json(dict(met))
     else:
--- a/chutepin/cluster/streams.py
+++ b/chutepin/cluster/streams.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from ..admission import Acceptor, DescriptorBudget, Welcome
+from ..admission import AcceptDecision, Acceptor, DescriptorBudget
 from ..counters import Counters
 from ..logs import Log
 from .drop_log import DropLog
@@ -53,7 +53,7 @@
         self.delivering = False  # packets are delivered
         self.handlers: dict[bytes, StreamHandler] = {}  # of other protocols, by preface
 
-    def admits(self, address: bytes, short: bool) -> Welcome:
+    def decide(self, address: bytes, short: bool) -> AcceptDecision:
         """Accept a connection if there is room beside the exchanges that this member may begin itself."""
         now = time.monotonic()
         if now >= self._second_started + 1.0:
@@ -62,8 +62,8 @@
         reserved = MAX_OUTGOING - self._outgoing
         if short or self._served >= MAX_SERVED_PER_SECOND or self._descriptors.available(DESCRIPTOR_SHARE) <= reserved:
             self._counters.add("cluster.rejected_connections")
-            return Welcome.DROP
-        return Welcome.SERVE
+            return AcceptDecision.DROP
+        return AcceptDecision.SERVE
 
     def serve(self, sock: socket.socket, address: bytes) -> None:
         """Answer one exchange."""
--- a/chutepin/cluster/transport.py
+++ b/chutepin/cluster/transport.py
@@ -9,7 +9,7 @@
 import socket
 import time
 
-from ..admission import DescriptorBudget, Share
+from ..admission import AddressSharing, DescriptorBudget
 from ..config import Address
 from ..counters import Counters
 from ..logs import Log
@@ -92,7 +92,7 @@
         if self._streams.acceptor.sockets:
             self._streams.acceptor.go_on()
         else:
-            await self._streams.acceptor.listen(host, port, Share.NONE)
+            await self._streams.acceptor.listen(host, port, AddressSharing.NONE)
         asyncio.get_running_loop().add_reader(self._udp, self._readable)
         self._set_open(True)
 
--- a/chutepin/net/resp/connection.py
+++ b/chutepin/net/resp/connection.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from ...admission import ProxyError, ProxyHead, Table
+from ...admission import ConnectionTable, ProxyError, ProxyHead
 from ...broker import Answer, Broker, Verdict
 from ...clock import Clock
 from ...counters import Counters
@@ -26,7 +26,7 @@
     clock: Clock
     counters: Counters
     log: Log
-    table: Table
+    table: ConnectionTable
 
     def record(self, connection: Connection, sent: bool, data: bytes) -> None:
         """Pass bytes to the recorder, if there is one."""
--- a/chutepin/net/resp/listener.py
+++ b/chutepin/net/resp/listener.py
@@ -10,17 +10,17 @@
 from typing import Protocol
 
 from ...admission import (
-    CLOSING_AT_ONCE,
+    MAX_CLOSING,
+    AcceptDecision,
     Acceptor,
+    AddressSharing,
+    ConnectionTable,
+    ConnectionUsage,
     Deadlines,
     DescriptorBudget,
     ProxyHead,
     Reason,
     Rules,
-    Share,
-    Table,
-    Use,
-    Welcome,
 )
 from ...broker import Broker
 from ...clock import Clock
@@ -72,7 +72,7 @@
         self._lifecycle = lifecycle or Lifecycle()
         self.broker, self.clock, self.counters, self.log = broker, clock, counters, log
         self.max_connections = max(8, sockets // 2)
-        self.table = Table(rules or Rules(), self.max_connections)
+        self.table = ConnectionTable(rules or Rules(), self.max_connections)
         self.descriptors = descriptors or DescriptorBudget(2 * sockets, {DESCRIPTOR_PART: (0, sockets)})
         self.connections: dict[int, Connection] = {}
         self._acceptor: Acceptor | None = None
@@ -100,7 +100,7 @@
             request.arrived += connection.time_shift_s
             request.due += connection.time_shift_s
             connection.open[tag] = request.id
-            self.table.spoke(connection.key, connection.last_used_at, Use.REQUESTS, True)
+            self.table.spoke(connection.key, connection.last_used_at, ConnectionUsage.REQUESTS, True)
             self.broker.pick(request, Reply(connection, tag))
         elif verb == CANCEL:
             self.counters.add("cancels")
@@ -110,7 +110,7 @@
         elif verb == HEALTH:
             self.counters.add("checks")
             connection.carries_health_checks = connection.has_valid_message = True
-            self.table.spoke(connection.key, connection.last_used_at, Use.CHECKS, bool(connection.open))
+            self.table.spoke(connection.key, connection.last_used_at, ConnectionUsage.CHECKS, bool(connection.open))
             connection.write(format_health(tag, self.healthy, self.broker.value))
         else:
             raise ProtocolError("an unknown verb")
@@ -146,7 +146,7 @@
             if self.recorder is not None:
                 self.recorder.closed(id(connection))
 
-    async def listen(self, address: Address, share: Share = Share.NONE) -> None:
+    async def listen(self, address: Address, share: AddressSharing = AddressSharing.NONE) -> None:
         """Accept balancers on this address. Raises OSError."""
         acceptor = Acceptor(self, BYE, self.counters, self.log, self._has_descriptor)
         await acceptor.listen(address.host, address.port, share)
@@ -180,11 +180,9 @@
 
         Guards what others have reserved: under a flood the many that are being closed would take it, and a report, the
         executor's link or a call that has to connect just then would find no descriptor."""
-        return (
-            self.descriptors.available(DESCRIPTOR_PART) > dropped or len(self._making_room) + dropped < CLOSING_AT_ONCE
-        )
+        return self.descriptors.available(DESCRIPTOR_PART) > dropped or len(self._making_room) + dropped < MAX_CLOSING
 
-    def admits(self, address: bytes, short: bool) -> Welcome:
+    def decide(self, address: bytes, short: bool) -> AcceptDecision:
         """The table and the descriptors have room for a newcomer, or some is made.
 
         Who breaks a rule is told. Where the table is merely full the newcomer is dropped without a word: an honest
@@ -205,15 +203,15 @@
             if evict is None:
                 self.table.refused[Reason.DESCRIPTORS] += 1
                 self.counters.add("balancers.too_many")
-                return Welcome.TELL
+                return AcceptDecision.REJECT
         if verdict.refused is not None:
             self.counters.add("balancers.too_many")
             full = verdict.refused is Reason.FULL or (verdict.refused is Reason.NEW and self.table.rules.new_share == 1)
-            return Welcome.DROP if full else Welcome.TELL
+            return AcceptDecision.DROP if full else AcceptDecision.REJECT
         if evict is not None and not self._evict(evict, now):
             self.counters.add("balancers.too_many")
-            return Welcome.DROP
-        return Welcome.SERVE
+            return AcceptDecision.DROP
+        return AcceptDecision.SERVE
 
     def _evict(self, key: int, now: float) -> bool:
         """Close a connection to make room for another; false for one on which something has just come. One that never
--- a/chutepin/node.py
+++ b/chutepin/node.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from . import decision, signals
-from .admission import DescriptorBudget, Rules, Share
+from .admission import AddressSharing, DescriptorBudget, Rules
 from .admission.addresses import Networks
 from .broker import Broker
 from .clock import Clock
@@ -408,12 +408,14 @@
             sockets.clear()
         elif not self.front.listeners and self.handover is not None and self.handover.has_predecessor:
             try:
-                await self.front.listen(self.config.listen, Share.BESIDE)
+                await self.front.listen(self.config.listen, AddressSharing.BESIDE)
             except OSError as error:
                 self.log.event("listen.failed", why=error.strerror or str(error))
                 return
         elif not self.front.listeners:
-            await self.front.listen(self.config.listen, Share.LATER if self.handover is not None else Share.NONE)
+            await self.front.listen(
+                self.config.listen, AddressSharing.LATER if self.handover is not None else AddressSharing.NONE
+            )
         if not self._serving:
             self._serving = True
             self.log.event(
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -19,9 +19,11 @@
 
 from chutepin.admin import CommandTable, OperatorListener
 from chutepin.admission import (
-    CLOSING_AT_ONCE,
+    MAX_CLOSING,
+    AcceptDecision,
     Acceptor,
     ClientTrust,
+    ConnectionTable,
     ConnectionUsage,
     Deadlines,
     DescriptorBudget,
@@ -29,8 +31,6 @@
     ProxyHead,
     Reason,
     Rules,
-    Table,
-    Welcome,
 )
 from chutepin.admission.acceptor import RETRY_DELAY_S
 from chutepin.admission.addresses import Networks, address_block, format_block, pack_address
@@ -58,7 +58,7 @@
     """A table driven as the front does: an eviction is a close."""
 
     def __init__(self, rules: Rules, limit: int) -> None:
-        self.table, self.now, self.keys = Table(rules, limit), 100.0, 0
+        self.table, self.now, self.keys = ConnectionTable(rules, limit), 100.0, 0
 
     def connect(self, address: bytes = UNTRUSTED) -> int | Reason:
         verdict = self.table.admit(self.now, address)
@@ -419,8 +419,8 @@
     def __init__(self) -> None:
         self.served: list[socket.socket] = []
 
-    def admits(self, address: bytes, short: bool) -> Welcome:
-        return Welcome.SERVE if not short and address == pack_address("127.0.0.1") else Welcome.TELL
+    def decide(self, address: bytes, short: bool) -> AcceptDecision:
+        return AcceptDecision.SERVE if not short and address == pack_address("127.0.0.1") else AcceptDecision.REJECT
 
     def serve(self, sock: socket.socket, address: bytes) -> None:
         self.served.append(sock)
@@ -476,9 +476,9 @@
 
 def test_dropped_connections_hold_few_descriptors_at_a_time_and_are_all_closed() -> None:
     class Dropping(Gate):
-        def admits(self, address: bytes, short: bool) -> Welcome:
+        def decide(self, address: bytes, short: bool) -> AcceptDecision:
             held.append(acceptor._dropped + 1)
-            return Welcome.DROP
+            return AcceptDecision.DROP
 
     held: list[int] = []
     counters = Counters()
@@ -494,7 +494,7 @@
             peer.close()
 
     asyncio.run(run())
-    assert max(held) <= CLOSING_AT_ONCE and counters.counts["admission.waits"]
+    assert max(held) <= MAX_CLOSING and counters.counts["admission.waits"]
 
 
 def test_silent_operators_callers_hold_few_descriptors_beyond_their_share() -> None:
@@ -518,7 +518,7 @@
         await eventually(lambda: not descriptors.parts["ops"].in_use)
 
     asyncio.run(run())
-    assert max(held) <= most + CLOSING_AT_ONCE
+    assert max(held) <= most + MAX_CLOSING
 
 
 def test_connections_without_descriptor_hear_farewell_and_service_resumes(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -581,7 +581,7 @@
 
 def test_connection_at_full_table_is_dropped_without_farewell(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test(acceptor: Acceptor, gate: Gate, counters: Counters) -> None:
-        monkeypatch.setattr(gate, "admits", lambda address, short: Welcome.DROP)
+        monkeypatch.setattr(gate, "decide", lambda address, short: AcceptDecision.DROP)
         reader, writer = await asyncio.open_connection("127.0.0.1", acceptor.port)
         try:
             assert await heard(reader) == b""
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -20,7 +20,7 @@
 import pytest
 
 from chutepin import signals
-from chutepin.admission import DescriptorBudget, Welcome
+from chutepin.admission import AcceptDecision, DescriptorBudget
 from chutepin.clock import Clock
 from chutepin.config import Address
 from chutepin.counters import Counters
@@ -62,7 +62,7 @@
         return client, front.close_idle
     core.hand.time += 1.9
     front.max_connections = 1
-    return client, lambda: front.admits(b"\x7f\0\0\1", short=False)
+    return client, lambda: front.decide(b"\x7f\0\0\1", short=False)
 
 
 @pytest.mark.parametrize("where", ["lies in the system", "was read"])
@@ -88,7 +88,7 @@
         await eventually(lambda: len(core.ports.ids("exec")) > before)
         monkeypatch.undo()
         ended(core, 1)
-        assert closed[0] is (Welcome.DROP if how == "evicted" else None)
+        assert closed[0] is (AcceptDecision.DROP if how == "evicted" else None)
         client.shutdown(socket.SHUT_WR)
         answers = await heard(client)
         assert [items[1] for items in answers if items[0] == b"7"] == [b"OK"]
@@ -104,7 +104,7 @@
     async def test(core: Core, front: RespListener, port: int) -> None:
         client, closes = await at_rest(core, front, port, how)
         before = len(core.ports.ids("exec"))
-        assert closes() is (Welcome.SERVE if how == "evicted" else None)
+        assert closes() is (AcceptDecision.SERVE if how == "evicted" else None)
         client.sendall(call(core, 7))
         assert not [items for items in await heard(client) if items[0] == b"7"]
         assert len(core.ports.ids("exec")) == before
@@ -164,7 +164,7 @@
             elif how == "evicted":
                 core.hand.time += 1.9
                 front.max_connections = 1
-                assert front.admits(b"\x7f\0\0\1", short=False) is Welcome.SERVE
+                assert front.decide(b"\x7f\0\0\1", short=False) is AcceptDecision.SERVE
             else:
                 client.shutdown(socket.SHUT_WR)
             await eventually(lambda: not front.descriptors.in_use)
@@ -187,7 +187,7 @@
             core.hand.time += 1.9
             front.max_connections = 1
             client.sendall(call(core, 7)[20:30])
-            assert front.admits(b"\x7f\0\0\1", short=False) is Welcome.SERVE
+            assert front.decide(b"\x7f\0\0\1", short=False) is AcceptDecision.SERVE
 
     on_front(test)
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from chutepin.admission import Use, Welcome
+from chutepin.admission import AcceptDecision, ConnectionUsage
 from chutepin.broker import Answer, Verdict
 from chutepin.clock import Clock
 from chutepin.config import Address
@@ -466,11 +466,11 @@
     front.table.limit = front.max_connections = 7
     ages = {"new": 0.1, "last": 1.0, "first": 1.0, "checked": 3.0, "checked later": 2.0, "idle": 2.0, "busy": 9.0}
     uses = {
-        "last": Use.REQUESTS,
-        "checked": Use.CHECKS,
-        "checked later": Use.CHECKS,
-        "idle": Use.REQUESTS,
-        "busy": Use.REQUESTS,
+        "last": ConnectionUsage.REQUESTS,
+        "checked": ConnectionUsage.CHECKS,
+        "checked later": ConnectionUsage.CHECKS,
+        "idle": ConnectionUsage.REQUESTS,
+        "busy": ConnectionUsage.REQUESTS,
     }
     keys = {name: key for key, name in enumerate(ages, 1)}
     now = core.hand.time
@@ -480,9 +480,11 @@
         if name in uses:
             front.table.spoke(keys[name], now - age, uses[name], name == "busy")
     for least in ("first", "checked", "checked later", "idle", "last"):
-        assert front.admits(b"\x7f\0\0\1", short=False) is Welcome.SERVE and keys[least] not in front.connections, least
+        assert (
+            front.decide(b"\x7f\0\0\1", short=False) is AcceptDecision.SERVE and keys[least] not in front.connections
+        ), least
         front.table.opened(len(ages) + keys[least], now, b"\x7f\0\0\1")
-    assert front.admits(b"\x7f\0\0\1", short=False) is Welcome.DROP
+    assert front.decide(b"\x7f\0\0\1", short=False) is AcceptDecision.DROP
     assert set(front.connections) == {keys["busy"], keys["new"]}
 
 
@@ -494,7 +496,7 @@
     front.table.opened(1, now - 1, b"\x7f\0\0\1")
     front.connections[1] = Connection(front, lambda _: None, key=1, last_used_at=now - 1, message_deadline=now + 1)
     front.update_deadline(front.connections[1])
-    assert front.admits(b"\x7f\0\0\1", short=False) is Welcome.SERVE and not front.connections
+    assert front.decide(b"\x7f\0\0\1", short=False) is AcceptDecision.SERVE and not front.connections
     core.hand.time += 5
     front.close_idle()  # it would look for a connection that is gone, and end the sweep of all others
 
