--- a/chutepin/consensus/outbox.py
+++ b/chutepin/consensus/outbox.py
@@ -38,6 +38,12 @@
 
     def __init__(self) -> None:
         self._effects: list[Effect] = []
+        self._last_ticket = 0
+
+    def new_ticket(self) -> int:
+        """Return a ticket for a request that will be completed."""
+        self._last_ticket += 1
+        return self._last_ticket
 
     def add(self, effect: Effect) -> None:
         """Add an effect."""
--- a/chutepin/consensus/participant.py
+++ b/chutepin/consensus/participant.py
@@ -8,9 +8,8 @@
 
 import math
 import random
-from collections import Counter
-from typing import NamedTuple
 
+from .change_reports import ChangeReports, LeaderView
 from .directory import NodeDirectory
 from .errors import RejectedError, UnsupportedFormatError
 from .fetch_queue import FetchQueue, FetchSource
@@ -34,8 +33,6 @@
 from .raft import RaftNode
 from .reads import ReadTracker
 from .replicated_state import (
-    MAX_PROPOSAL_BYTES,
-    PROPOSAL_ID_BYTES,
     Outcome,
     OutcomeState,
     Proposal,
@@ -51,13 +48,6 @@
 MAX_PENDING_REQUESTS = 256  # proposals and reads of this node without an outcome
 
 
-class _Reported(NamedTuple):
-    """What was last logged of the leader."""
-
-    leads: bool
-    leader: str
-
-
 class Participant:
     """One node's part."""
 
@@ -80,15 +70,13 @@
         self.state = ReplicatedState(machine)
         self.observer = Observer(name, now, rng, settings.heartbeat_interval_s)
         self.directory = NodeDirectory(name, now)
-        self.counts: Counter[str] = Counter()
         self._outbox = Outbox()
+        self._reports = ChangeReports(self._outbox, self.raft.membership)
+        self.counts = self._reports.counts
         retries = RetrySchedule(settings, rng)
         self._proposals = ProposalTracker(self._outbox, retries)
         self._reads = ReadTracker(name, self._outbox, retries)
         self._fetches = FetchQueue(settings.max_chunk_bytes, settings.heartbeat_interval_s)
-        self._last_ticket = 0
-        self._reported = _Reported(False, "")
-        self._reported_membership = self.raft.membership
         self._drain_raft()
 
     def drain_effects(self) -> list[Effect]:
@@ -205,28 +193,11 @@
     def _report_changes(self, now: float) -> None:
         """Log a change of leader or membership; send again what the former leader may never answer."""
         leader = self.leader
-        leads = self.raft.role is Role.LEADER
-        if leader and leader != self._reported.leader:
+        if leader and leader != self._reports.leader:
             self._proposals.retry_at(now)
             self._reads.retry_at(now)
-        if (leads, leader) != self._reported:
-            self._report_leader(leads, leader)
-        membership = self.membership
-        if membership != self._reported_membership:
-            self._reported_membership = membership
-            names = {"voters": ",".join(membership.voters), "learners": ",".join(membership.learners)}
-            self._outbox.log("membership_changed", {**names})
-
-    def _report_leader(self, leads: bool, leader: str) -> None:
-        self._reported = _Reported(leads, leader)
-        if leads:
-            event = "leader_elected"
-        elif leader:
-            event = "following_leader"
-        else:
-            event = "no_leader"
-        self.counts[event] += 1
-        self._outbox.log(event, {"leader": leader, "term": self.raft.term})
+        self._reports.report_leader(LeaderView(self.raft.role is Role.LEADER, leader), self.raft.term)
+        self._reports.report_membership(self.membership)
 
     def _apply(self, now: float, entries: tuple[Entry, ...]) -> None:
         for proposal_id, outcome in self.state.apply(entries):
@@ -273,12 +244,16 @@
         `repeated`: it was proposed before under this id, and counts once. `void`: make sure that the proposal with
         this id is never committed, unless it is by now."""
         repeated = repeated or void
-        ticket = self._new_ticket()
+        ticket = self._outbox.new_ticket()
         outcome = self.state.outcome(proposal_id)
         if outcome is not None:
             self._outbox.complete(ticket, outcome)
             return ticket
-        obstacle = self._obstacle(proposal_id, data)
+        obstacle = self._proposals.obstacle(proposal_id, data)
+        if obstacle is None and self.pending_requests >= MAX_PENDING_REQUESTS:
+            obstacle = "full"
+        if obstacle is None and not self.leader:
+            obstacle = "no leader"
         if obstacle is not None:
             self.counts["proposal_rejected"] += 1
             state = OutcomeState.UNKNOWN if repeated or proposal_id in self._proposals else OutcomeState.REJECTED
@@ -291,20 +266,6 @@
         self._submit_proposal(now, message)
         return ticket
 
-    def _new_ticket(self) -> int:
-        self._last_ticket += 1
-        return self._last_ticket
-
-    def _obstacle(self, proposal_id: bytes, data: bytes) -> str | None:
-        """Return why a proposal cannot be made now."""
-        if len(proposal_id) != PROPOSAL_ID_BYTES or len(data) > MAX_PROPOSAL_BYTES:
-            return f"an id has {PROPOSAL_ID_BYTES} bytes, a proposal up to {MAX_PROPOSAL_BYTES}"
-        if proposal_id in self._proposals:
-            return "under way"
-        if self.pending_requests >= MAX_PENDING_REQUESTS:
-            return "full"
-        return None if self.leader else "no leader"
-
     def _submit_proposal(self, now: float, message: ForwardProposal) -> None:
         if self.raft.role is Role.LEADER:
             self._accept_proposal(now, self.name, message)
@@ -334,7 +295,7 @@
         """Have the state here come to show all that is committed now; return the ticket of the answer.
 
         The answer is COMMITTED with the index that the state shows then, or REJECTED."""
-        ticket = self._new_ticket()
+        ticket = self._outbox.new_ticket()
         number = self._reads.new_number()
         if self.pending_requests >= MAX_PENDING_REQUESTS or not self.leader:
             reason = "no leader" if not self.leader else "full"
@@ -366,7 +327,7 @@
             last_leader_contact=self._last_leader_contact(now),
             depth=0 if self.receives_log else self.observer.depth,
             membership=self.membership,
-            make_snapshot=self._make_snapshot,
+            make_snapshot=lambda: self.state.make_snapshot(self.membership),
         )
         for to, reply in self._fetches.replies(now, source):
             self._outbox.send(to, reply)
@@ -376,9 +337,6 @@
             return now
         return self.raft.election.last_leader_contact if self.receives_log else self.observer.last_leader_contact
 
-    def _make_snapshot(self) -> Snapshot:
-        return Snapshot(self.state.applied_index, 0, self.membership, self.state.snapshot())
-
     def _receive_fetched(self, now: float, sender: str, reply: FetchReply) -> None:
         snapshot = self.observer.receive(now, sender, reply, self.state.applied_index)
         if snapshot is not None:
--- a/chutepin/consensus/proposals.py
+++ b/chutepin/consensus/proposals.py
@@ -7,7 +7,7 @@
 
 from .outbox import Outbox
 from .protocol import ForwardProposal, ProposalRejected
-from .replicated_state import Outcome, OutcomeState, ReplicatedState
+from .replicated_state import MAX_PROPOSAL_BYTES, PROPOSAL_ID_BYTES, Outcome, OutcomeState, ReplicatedState
 from .retry import PendingRequest, RetrySchedule
 
 
@@ -35,6 +35,12 @@
         """Whether a proposal with this id has no outcome yet."""
         return proposal_id in self._pending
 
+    def obstacle(self, proposal_id: bytes, data: bytes) -> str | None:
+        """Return why this proposal cannot be tracked; None if it can."""
+        if len(proposal_id) != PROPOSAL_ID_BYTES or len(data) > MAX_PROPOSAL_BYTES:
+            return f"an id has {PROPOSAL_ID_BYTES} bytes, a proposal up to {MAX_PROPOSAL_BYTES}"
+        return "under way" if proposal_id in self._pending else None
+
     def deadlines(self) -> Iterator[float]:
         """Iterate over the times at which `retry` is due."""
         return (pending.wakes_at for pending in self._pending.values())
--- a/chutepin/consensus/replicated_state.py
+++ b/chutepin/consensus/replicated_state.py
@@ -162,6 +162,10 @@
         content = [SNAPSHOT_FORMAT, self.log_digest, decisions, self.machine.version, self.machine.snapshot()]
         return bytes(msgpack.packb(content))
 
+    def make_snapshot(self, membership: Membership) -> Snapshot:
+        """Return a snapshot for members that have no log: the term of its last entry is of no use to them."""
+        return Snapshot(self.applied_index, 0, membership, self.snapshot())
+
     def restore(self, snapshot: Snapshot) -> bool:
         """Take over a later state; return whether it was one. Raises UnsupportedFormatError."""
         if snapshot.up_to_index <= self.applied_index:
--- a/chutepin/consensus/store_writer.py
+++ b/chutepin/consensus/store_writer.py
@@ -33,6 +33,10 @@
             self._log.event("consensus.slow_disk", seconds=round(took_s, 3))
             self._counters.add("consensus.slow_disk")
 
+    async def committed(self) -> None:
+        """Wait until all that was written is on the disk. Raises StoreError."""
+        await self._store.committed()
+
     async def _put(self, key: bytes, value: bytes | None) -> None:
         while True:
             try:
--- a/chutepin/consensus/subsystem.py
+++ b/chutepin/consensus/subsystem.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import random
 import socket
 from collections.abc import Callable
@@ -17,7 +16,8 @@
 from .codec import Hello, WireMessage
 from .errors import JournalError, RejectedError
 from .identity import StoreAcknowledgement, StoreAnnouncement, StoreStatus, node_name
-from .identity_store import identity_operations, load_identity
+from .identity_exchange import IdentityExchange
+from .identity_store import load_identity
 from .journal import Journal
 from .key_value import KeyValueMachine
 from .messages import Apply, Membership, Persist, ReadReady, Restore
@@ -31,7 +31,6 @@
 from .wire import Links, Wire, now
 
 RETRY_AFTER_S = 5.0  # after a fault of the store
-ANNOUNCE_INTERVAL_S = 0.5
 BUSY_TICK_DELAY_S = 0.001  # the shortest, while a write is under way
 
 
@@ -66,6 +65,7 @@
         self.participant: Participant | None = None
         self._journal = Journal()
         self._wire = Wire(links, self._hello, self._deliver, descriptors, counters)
+        self._identities = IdentityExchange(links.cluster, self._identity, self._writer, self._wire.send, log)
         self.idle_reason = "starts"  # why it takes no part
         self._queue: list[Effect] = []
         self._has_work = asyncio.Event()
@@ -73,7 +73,6 @@
         self._busy = False  # effects are being carried out; whoever does it takes up new ones, too
         self._timer: asyncio.TimerHandle | None = None
         self._tickets: dict[int, asyncio.Future[Outcome]] = {}
-        self._acknowledgements: set[asyncio.Task[None]] = set()
 
     def _hello(self, to: str) -> Hello:
         return Hello(self._links.cluster, self._name, self._identity.identity, node_name(to), self.machine.version)
@@ -140,10 +139,11 @@
 
     async def _join(self) -> None:
         """Take part as what the store says, once the identity is durable and the other voters know the store."""
-        await self._write_identity()
+        await self._identities.write()
         while self._identity.status is StoreStatus.FORMING:
-            await self._announce_store()
-        await self._write_identity()
+            self.idle_reason = f"forms: {' '.join(self._identity.awaited)} must have met this store"
+            await self._identities.announce()
+        await self._identities.write()
         self._wire.reconnect()
         self._journal = Journal()
         saved, leftovers = self._journal.load(self._store.get)
@@ -162,19 +162,6 @@
         )
         self.pump()
 
-    async def _write_identity(self) -> None:
-        await self._writer.write(identity_operations(self._links.cluster, self._identity))
-
-    async def _announce_store(self) -> None:
-        """Ask the voters that have yet to acknowledge this store, and wait a while for news."""
-        self.idle_reason = f"forms: {' '.join(self._identity.awaited)} must have met this store"
-        for name in self._identity.awaited:
-            self._wire.send(name, StoreAnnouncement(self._name, self._identity.store_id))
-        self._has_work.clear()
-        with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout_at(asyncio.get_running_loop().time() + ANNOUNCE_INTERVAL_S):
-                await self._has_work.wait()
-
     def _halt(self, reason: str) -> None:
         """Take no part. Effects that were not carried out never will be, as after a crash."""
         self._log.event("consensus.halted", why=reason)
@@ -277,9 +264,9 @@
             case Hello():
                 pass
             case StoreAnnouncement():
-                self._receive_announcement(hello, message)
+                self._identities.receive_announcement(hello, message)
             case StoreAcknowledgement():
-                self._receive_acknowledgement(hello, message)
+                self._identities.receive_acknowledgement(hello, message)
             case _:
                 participant = self.participant
                 if participant is not None:
@@ -287,31 +274,6 @@
                     participant.receive(now(), hello.identity, message)
                     self.pump()
 
-    def _receive_announcement(self, hello: Hello, message: StoreAnnouncement) -> None:
-        is_new = hello.name not in self._identity.known_stores
-        reply = self._identity.acknowledge(hello.name, message)
-        if reply is not None:
-            task = asyncio.get_running_loop().create_task(self._acknowledge(hello.name, reply, is_new))
-            self._acknowledgements.add(task)
-            task.add_done_callback(self._acknowledgements.discard)
-
-    def _receive_acknowledgement(self, hello: Hello, message: StoreAcknowledgement) -> None:
-        if self._identity.receive_acknowledgement(hello.name, message):
-            identity = self._identity
-            self._log.event("consensus.store_status", status=identity.status.value, identity=identity.identity)
-            self._has_work.set()
-
-    async def _acknowledge(self, to: str, reply: StoreAcknowledgement, is_new: bool) -> None:
-        """Send the reply once it is durable here, as it holds for ever."""
-        try:
-            if is_new:
-                await self._write_identity()
-            else:
-                await self._store.committed()
-        except StoreError:
-            return
-        self._wire.send(to, reply)
-
     @property
     def store_status(self) -> StoreStatus:
         """How far the other voters know this node's store."""
