--- a/chutepin/decision/__init__.py
+++ b/chutepin/decision/__init__.py
@@ -22,7 +22,7 @@
 )
 from .errors import DecisionError, SettingsError, UsageError
 from .events import (
-    CallerGone,
+    CallerDisconnected,
     CallNeeded,
     CallReturned,
     DrainNotice,
@@ -43,7 +43,7 @@
     "Call",
     "CallNeeded",
     "CallReturned",
-    "CallerGone",
+    "CallerDisconnected",
     "Cancellation",
     "DecisionError",
     "DrainNotice",
--- a/chutepin/decision/actions.py
+++ b/chutepin/decision/actions.py
@@ -1,4 +1,4 @@
-"""What a decision instance has the host do; each action takes effect at the time of the events that caused it."""
+"""Actions that a decision instance asks of its host; each takes effect at the time of the events that caused it."""
 
 from __future__ import annotations
 
@@ -7,37 +7,37 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """Start a held request."""
+    """Start a queued request."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """Stop a run; its answer stays owed."""
+    """Stop a run; its final answer is still owed."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: shed, with the assurance that this try never ran."""
+    """Final answer: rejected, with the assurance that this attempt never ran."""
 
     id: str
-    retry_after: float = 0.0  # advice to stay away this long
-    no_other_node: bool = False  # asks the caller not to try elsewhere
+    retry_after: float = 0.0  # seconds
+    no_other_node: bool = False  # asks the caller not to retry at another server
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: an error, nothing assured."""
+    """Final answer: an error, which leaves open what ran."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """Make the call that a run stands at."""
+    """Make the call that a run waits for."""
 
     id: str
     time_out: float
@@ -45,14 +45,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SkipCall:
-    """Go on without the call, for less worth."""
+    """Let a run go on without its call, for less weight."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class KeepKey:
-    """Keep the request in the table of keys, so that repeats name it."""
+    """Keep the request's idempotency key, so that repeats name the request."""
 
     id: str
     keep_for: float
@@ -60,14 +60,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ForgetKey:
-    """Take the request's entry out of the table."""
+    """Forget the request's idempotency key."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class ShareResult:
-    """Answer a held request with the result of the one that it repeats."""
+    """Answer a queued request with the result of the one that it repeats."""
 
     id: str
 
@@ -77,7 +77,7 @@
     """How health checks are answered from now on."""
 
     good: bool
-    cheap: bool = True  # from this setting alone, without real work
+    cheap: bool = True  # without real work
 
 
 @dataclass(frozen=True, slots=True)
--- a/chutepin/decision/arrivals.py
+++ b/chutepin/decision/arrivals.py
@@ -46,6 +46,8 @@
         """Start queued requests, the highest weight for each unit of work first, while limit and guards allow."""
         server = self._server
         requests = server.requests
+        if not requests.queued:
+            return
         max_awaiting_calls = server.core_capacity.max_awaiting_calls(server.now, server.run_limit.limit)
         while requests.queued:
             if not (self._has_permit() and server.cores_admit_one()):
--- a/chutepin/decision/core_capacity.py
+++ b/chutepin/decision/core_capacity.py
@@ -29,20 +29,22 @@
 
         Where runs wait for disk, which the configured number leaves out, a warm server uses the margin too: all of
         them back at once are still not over that number."""
-        most = min(self._max_running_per_core * self._cores, self._with_disk_waits(now, USED_SHARE))
-        return max(self.survivable_runs(now), most)
+        survivable = self.survivable_runs(now)
+        with_disk_waits = self._with_disk_waits(now, survivable, USED_SHARE)
+        return max(survivable, min(self._max_running_per_core * self._cores, with_disk_waits))
 
     def limit_ceiling(self, now: float) -> int:
         """The most that the concurrency limit may reach."""
-        return int(self._with_disk_waits(now, 1 - AWAITING_CALL_SHARE) * (1 - AWAITING_CALL_SHARE))
+        runs = self._with_disk_waits(now, self.survivable_runs(now), 1 - AWAITING_CALL_SHARE)
+        return int(runs * (1 - AWAITING_CALL_SHARE))
 
     def max_awaiting_calls(self, now: float, limit: int) -> int:
         """How many runs may wait for calls: all of them back at once still fit on the cores."""
         total = self.total(now)
         return max(1, int(max(total * AWAITING_CALL_SHARE, total - limit)))
 
-    def _with_disk_waits(self, now: float, min_on_core_share: float) -> float:
+    def _with_disk_waits(self, now: float, survivable: float, min_on_core_share: float) -> float:
         """Safe runs where some of them wait for disk, which only the gauge of the cores shows."""
         if self._warm_up.speed(now) < 1:
-            return self.survivable_runs(now)
-        return self.survivable_runs(now) / max(min_on_core_share, self._gauges.on_core_share)
+            return survivable
+        return survivable / max(min_on_core_share, self._gauges.on_core_share)
--- a/chutepin/decision/endings.py
+++ b/chutepin/decision/endings.py
@@ -95,7 +95,7 @@
         in_time = not job.answered and server.now <= job.objective_at
         if outcome is Outcome.OK and job.tenant_index >= 0 and in_time:
             server.tenants.record_served(job.tenant_index)
-        if outcome in (Outcome.CANCELLED, Outcome.MOOT) and not job.answered:
+        if outcome in (Outcome.CANCELLED, Outcome.NOT_STARTED) and not job.answered:
             server.actions.append(Fail(job.id))
         self._remove(job)
 
--- a/chutepin/decision/events.py
+++ b/chutepin/decision/events.py
@@ -1,4 +1,4 @@
-"""What the host tells a decision instance: requests, the ends of runs and calls, timers, the notice to drain.
+"""Events that the host reports to a decision instance: requests, ends of runs and calls, timers, the notice to drain.
 
 Clock times come from the host and never run backwards."""
 
@@ -13,30 +13,30 @@
 
     OK = "ok"
     ERROR = "error"
-    BUSY = "busy"  # turned away unexamined: proof that it never ran
+    BUSY = "busy"  # rejected unexamined: proof that it never ran
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"  # proof that it never ran
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"  # nothing started: the request had finished
+    NOT_STARTED = "moot"  # nothing started: the request had finished
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A request was read and is now held: one final answer is owed by its deadline."""
+    """A request was read and is now queued: one final answer is owed by its deadline."""
 
     id: str
     cls: str
-    unread: float = 0.0  # it reached the machine this long ago
-    size: float = 0.0  # memory while held
+    unread: float = 0.0  # seconds since it reached the machine
+    size: float = 0.0  # KB while queued
     tenant: str | None = None
     key: str | None = None
-    due: float | None = None  # clock time at which the caller gives up this try
-    hint: float | None = None  # expected work
-    rank: float = 0.0  # 0 to 1, by class in order of worth
+    due: float | None = None  # clock time at which the caller gives up this attempt
+    hint: float | None = None  # expected work, in seconds on a standard core
+    rank: float = 0.0  # 0 to 1, by class in order of priority weight
     caller: int = 0
-    repeats: str | None = None  # the kept request that this one repeats
-    is_retry: bool = False  # a further try or a second copy, where the settings say that these are marked
+    repeats: str | None = None  # id of the request that this one repeats
+    is_retry: bool = False  # or a hedged request, where the settings say that these are marked
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerGone:
+class CallerDisconnected:
     """Nobody waits any longer; no answer is owed."""
 
     id: str
@@ -57,14 +57,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CallNeeded:
-    """A run stands at a call below and keeps its memory, but no core."""
+    """A run needs its call to the dependency; meanwhile it keeps its memory, but no core."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class CallReturned:
-    """A call ended. After OK the run goes on by itself; else it stands at the call again."""
+    """A call ended. After OK the run goes on by itself; otherwise it needs the call again."""
 
     id: str
     outcome: Outcome
@@ -73,8 +73,9 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainNotice:
-    """This server leaves: the process is stopped at `stop`. `at`: when the notice was given, if that is known and was
-    earlier than its hearing."""
+    """This server shuts down: the process is stopped at `stop`.
+
+    `at` is when the notice was given, where that is known and earlier than now."""
 
     stop: float
     at: float | None = None
@@ -82,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer set by `SetTimer` ran out; the gauges are named in the settings."""
+    """The timer of a `SetTimer` ran out; the settings name the gauges."""
 
     token: int
     gauges: tuple[float, ...] = ()
@@ -90,10 +91,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerProcessUsage:
-    """What another process on the same cores and memory uses: runs that are or may at once be on the cores, and KB."""
+    """What another process on the same cores and memory uses: runs that are or may soon be on the cores, and KB."""
 
     running: int
     memory: float
 
 
-Event = Request | Finished | CallerGone | CallNeeded | CallReturned | DrainNotice | TimerFired | PeerProcessUsage
+Event = (
+    Request | Finished | CallerDisconnected | CallNeeded | CallReturned | DrainNotice | TimerFired | PeerProcessUsage
+)
--- a/chutepin/decision/policy.py
+++ b/chutepin/decision/policy.py
@@ -15,7 +15,7 @@
 from .endings import Endings, RejectReason
 from .errors import UsageError
 from .events import (
-    CallerGone,
+    CallerDisconnected,
     CallNeeded,
     CallReturned,
     DrainNotice,
@@ -123,11 +123,11 @@
         elif (job := self.server.requests.jobs.get(event.id)) is not None:
             self._dispatch_for_job(job, event)
 
-    def _dispatch_for_job(self, job: Job, event: Finished | CallerGone | CallNeeded | CallReturned) -> None:
+    def _dispatch_for_job(self, job: Job, event: Finished | CallerDisconnected | CallNeeded | CallReturned) -> None:
         match event:
             case Finished():
                 self._endings.finish(job, event.outcome)
-            case CallerGone():
+            case CallerDisconnected():
                 self._endings.abandon(job)
             case CallNeeded():
                 self._calls.need(job)
--- a/chutepin/decision/settings.py
+++ b/chutepin/decision/settings.py
@@ -1,4 +1,4 @@
-"""What a decision instance is told at its start: classes of requests, tenants, limits of the server.
+"""Settings of a decision instance: classes of requests, tenants, limits of the server.
 
 Times are seconds, memory is in kilobytes, work is seconds on a standard core."""
 
@@ -21,7 +21,7 @@
 class LoadSignal(Enum):
     """How callers read the announced value."""
 
-    NONE = "none"  # not at all; announcing is a fault
+    NONE = "none"  # not at all; announcing is an error
     LEVEL = "level"  # requests ranked below it are not sent
     CREDIT = "credit"  # the most requests each caller may have outstanding here
     WEIGHT = "weight"  # the chance, 0 to 1, that a caller does not skip this server
@@ -32,7 +32,7 @@
 
     UNSUPPORTED = "none"  # runs cannot be stopped
     DISCARDS_WORK = "drop"  # the work is lost
-    KEEPS_WORK = "pause"  # the work is kept until the request is run again
+    KEEPS_WORK = "pause"  # the work is kept until the request runs again
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,14 +41,14 @@
 
     name: str
     idempotency: Idempotency
-    priority_weight: float  # for each request answered within its aim
-    latency_objective: float  # an answer this soon after the first try earns the full worth
-    deadline: float  # the client waits this long over all tries
-    late_weight: float = 0.0  # share of the worth earned between aim and deadline
+    priority_weight: float  # for each request answered within its objective
+    latency_objective: float  # an answer this soon after the first attempt earns the full weight
+    deadline: float  # the client waits this long over all attempts
+    late_weight: float = 0.0  # share of the weight earned between objective and deadline
     window: float = 0.0  # keyed only: a repeat may come this long after the arrival
-    makes_calls: bool = False  # may call below
-    weight_without_call: float = 0.0  # share of the worth kept when a call is left out
-    objective_stretch: float = 0.0  # the aim grows by this multiple of the request's own work
+    makes_calls: bool = False  # may call the dependency
+    weight_without_call: float = 0.0  # share of the weight earned when the call is left out
+    objective_stretch: float = 0.0  # the objective grows by this multiple of the request's own work
 
     def __post_init__(self) -> None:
         if not 0 < self.latency_objective <= self.deadline:
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant and what the whole fleet owes it."""
+    """One tenant and its part of the whole fleet."""
 
     name: str
     share: float
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What an instance is told at its start. Everything else it learns from events."""
+    """Everything that an instance knows at its start; it learns the rest from events."""
 
     classes: tuple[RequestClass, ...]
     cores: int
@@ -79,26 +79,26 @@
     warming_up: bool = False
     initial_speed: float = 1.0  # a cold server starts at no less than this share of its speed
     warm_up_time: float = 0.0
-    answer_slack: float = 0.0  # an answer this long after the due time still counts
+    answer_slack: float = 0.0  # an answer this long after the deadline still counts
     drain_grace: float = 0.0  # arrivals later than this after the notice are not run
     max_running_per_core: float = 8.0  # running requests for each core that a warm server survives
     max_running_window: float = 1.0  # as a mean over this time
-    run_factor: float = 1.0  # memory of a running request over that of a held one
+    run_factor: float = 1.0  # memory of a running request over that of a queued one
     key_memory: float = 0.0
-    result_reuse_time: float = 0.0  # a read's answer serves repeats this long; 0 for never
+    result_reuse_time: float = 0.0  # the result of an idempotent request serves repeats this long; 0 for never
     cancellation: Cancellation = Cancellation.UNSUPPORTED
     signal: LoadSignal = LoadSignal.NONE
     announcement_lifetime: float = 1.0  # callers remember an announced value this long
     deep_checks: bool = False
     max_idle_time: float = 30.0  # callers close connections idle for longer
-    max_retry_after: float = 0.0  # the longest advice to stay away that callers honour; 0 for none
+    max_retry_after: float = 0.0  # the longest Retry-After that callers honour; 0 for none
     has_dependency: bool = False
-    max_calls: float = 0.0  # this server's part of the calls that the dependency survives; 0: untold
+    max_calls: float = 0.0  # this server's part of the calls that the dependency survives; 0: not given
     max_calls_window: float = 1.0  # as a mean over this time
-    abandoned_call_time: float = 0.0  # an abandoned call stays in the dependency's hands this long
+    abandoned_call_time: float = 0.0  # the dependency works on an abandoned call for this long
     gauges: tuple[str, ...] = ()
-    passes_deadline: bool = True  # callers say how long they wait; else the class's deadline holds
-    marks_retries: bool = False  # further tries say so; without it, an unmarked request tells nothing
+    passes_deadline: bool = True  # callers pass how long they wait; otherwise the class's deadline holds
+    marks_retries: bool = False  # retries are marked; otherwise an unmarked request may be a retry as well
     weight_by_work: bool = False
     over_quota_weight: float = 1.0
     tick: float = 0.001
--- a/chutepin/decision/simulator_adapter.py
+++ b/chutepin/decision/simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The loop that hosts many instances of the decision module on the simulator's wire."""
+"""Host of many decision instances on the simulator's wire, one batch of lines at a time."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 class Host:
-    """One process: instances by name, one batch at a time. Instances share nothing."""
+    """Decision instances by name; they share nothing."""
 
     def __init__(self) -> None:
         self.instances: dict[str, Policy] = {}
 
     def run(self, source: TextIO, sink: TextIO) -> None:
-        """Answer batches until the input ends."""
+        """Answer batches until the input ends. Raises WireError."""
         pending: list[wire.Obj] | None = None
         for count, line in enumerate(source, 1):
             if not line.strip():
@@ -46,7 +46,7 @@
         return None
 
     def batch(self, messages: list[wire.Obj]) -> list[str]:
-        """The reply to one batch; its first message carries the clock."""
+        """The reply to one batch, whose first message carries the clock. Raises DecisionError."""
         now = wire.number(messages[0], "clock")
         inboxes: dict[str, list[Event]] = {}
         replies: dict[str, list[Action]] = {}
--- a/chutepin/decision/simulator_protocol.py
+++ b/chutepin/decision/simulator_protocol.py
@@ -1,4 +1,4 @@
-"""Translation between the simulator's JSON wire and the types of `api`. No decisions."""
+"""Codec between the simulator's JSON wire and this package's types. It alone knows the simulator's names."""
 
 from __future__ import annotations
 
@@ -24,7 +24,17 @@
     Stop,
 )
 from .errors import DecisionError, SettingsError
-from .events import CallerGone, CallNeeded, CallReturned, DrainNotice, Event, Finished, Outcome, Request, TimerFired
+from .events import (
+    CallerDisconnected,
+    CallNeeded,
+    CallReturned,
+    DrainNotice,
+    Event,
+    Finished,
+    Outcome,
+    Request,
+    TimerFired,
+)
 from .settings import Cancellation, Idempotency, LoadSignal, RequestClass, Settings, Tenant
 
 Obj = dict[str, Any]
@@ -34,14 +44,18 @@
     """Malformed input; the message says what and where."""
 
 
-_REPEAT = {"pure": Idempotency.IDEMPOTENT, "token": Idempotency.KEYED, "side_effect": Idempotency.NOT_IDEMPOTENT}
+_IDEMPOTENCY = {"pure": Idempotency.IDEMPOTENT, "token": Idempotency.KEYED, "side_effect": Idempotency.NOT_IDEMPOTENT}
 _SIGNAL = {
     "none": LoadSignal.NONE,
     "threshold": LoadSignal.LEVEL,
     "window": LoadSignal.CREDIT,
     "share_of": LoadSignal.WEIGHT,
 }
-_HALT = {"none": Cancellation.UNSUPPORTED, "abort": Cancellation.DISCARDS_WORK, "suspend": Cancellation.KEEPS_WORK}
+_CANCELLATION = {
+    "none": Cancellation.UNSUPPORTED,
+    "abort": Cancellation.DISCARDS_WORK,
+    "suspend": Cancellation.KEEPS_WORK,
+}
 _OUTCOME = {
     "done": Outcome.OK,
     "err": Outcome.ERROR,
@@ -50,12 +64,12 @@
     "econnrefused": Outcome.CONNECT_FAILED,
     "econnreset": Outcome.RESET,
     "ecanceled": Outcome.CANCELLED,
-    "skipped": Outcome.MOOT,
+    "skipped": Outcome.NOT_STARTED,
 }
 
 
 def parse_line(line: str) -> Obj:
-    """One message of the wire."""
+    """One message of the wire. Raises WireError."""
     try:
         message = json.loads(line)
     except ValueError as error:
@@ -96,7 +110,7 @@
     return table[value]
 
 
-def _part(obj: Obj, name: str, kind: type, required: bool = False) -> Any:
+def _section(obj: Obj, name: str, kind: type, required: bool = False) -> Any:
     value = obj.get(name)
     if value is None and not required:
         return kind()
@@ -116,21 +130,22 @@
 
 def _row(obj: Obj, name: str, index: int) -> Obj:
     """The value of one class in a row, as an object of its own under the row's name."""
-    row = _part(obj, name, list)
+    row = _section(obj, name, list)
     return {name: row[index]} if index < len(row) else {}
 
 
-def _present(obj: Obj, name: str) -> int:
-    """How many the list held at the start, 1 or more. It may have held none: it was empty, or all had just ended; a
-    node that is there for somebody reckons with one."""
+def _initial_count(obj: Obj, name: str) -> int:
+    """The length of a list at the start, 1 or more.
+
+    The list may have been empty, or all in it may just have ended; a node that serves somebody counts one."""
     count = int(number(obj, name, 1))
     if count < 0:
         raise WireError(f"field '{name}' must not be negative")
     return max(1, count)
 
 
-# The names that the settings have outside, of what is checked inside under another.
-_NAMES = {
+# Outside names of settings that are checked under another name inside.
+_OUTSIDE_NAMES = {
     "classes": "categories",
     "latency_objective": "slo",
     "cores": "familyInfo.cpus",
@@ -153,12 +168,13 @@
 }
 
 
-def _told(error: str) -> str:
-    """An error of the settings under the names that they have outside."""
+def _under_outside_names(error: str) -> str:
+    """An error of the settings, with the fields' outside names."""
     field, _, why = error.partition(":")
-    parts = field.split(".")
-    parts[0], parts[-1] = _NAMES.get(parts[0], parts[0]), _NAMES.get(parts[-1], parts[-1])
-    return ".".join(parts) + ":" + why
+    path = field.split(".")
+    path[0] = _OUTSIDE_NAMES.get(path[0], path[0])
+    path[-1] = _OUTSIDE_NAMES.get(path[-1], path[-1])
+    return ".".join(path) + ":" + why
 
 
 def _class(raw: Any, index: int, info: Obj) -> RequestClass:
@@ -167,9 +183,9 @@
     deadline = number(raw, "deadline")
     return RequestClass(
         name=text(raw, "name"),
-        idempotency=_choice(raw, "idempotency", _REPEAT),
+        idempotency=_choice(raw, "idempotency", _IDEMPOTENCY),
         priority_weight=number(raw, "importance", 1.0),
-        # An aim past the deadline is no contradiction: whatever is answered by then is in time.
+        # An objective past the deadline is no contradiction: whatever is answered by then is in time.
         latency_objective=min(deadline, number(raw, "slo", deadline)),
         deadline=deadline,
         late_weight=number(raw, "lateWorth", 0.0),
@@ -187,20 +203,20 @@
 
 
 def parse_settings(env: Any) -> Settings:
-    """The settings object of a start; unknown keys are skipped."""
+    """The settings of a LAUNCH; unknown keys are skipped. Raises WireError."""
     if not isinstance(env, dict):
         raise WireError("field 'env' is missing or not an object")
-    info = _part(env, "familyInfo", dict, required=True)
-    safety, caps = _part(env, "safety", dict), _part(env, "caps", dict)
-    classes = _part(env, "categories", list, required=True)
+    info = _section(env, "familyInfo", dict, required=True)
+    safety, caps = _section(env, "safety", dict), _section(env, "caps", dict)
+    classes = _section(env, "categories", list, required=True)
     try:
         return Settings(
             classes=tuple(_class(raw, index, info) for index, raw in enumerate(classes)),
-            tenants=tuple(_tenant(raw) for raw in _part(env, "tenants", list)),
+            tenants=tuple(_tenant(raw) for raw in _section(env, "tenants", list)),
             cores=int(number(info, "cpus")),
             memory=number(info, "memoryKb"),
-            servers=_present(env, "servers"),
-            callers=_present(info, "senders"),
+            servers=_initial_count(env, "servers"),
+            callers=_initial_count(info, "senders"),
             warming_up=_flag(info, "cold"),
             initial_speed=number(safety, "coldFrom", 1.0),
             warm_up_time=number(safety, "warmAfter", 0.0),
@@ -211,7 +227,7 @@
             run_factor=number(info, "runFactor", 1.0),
             key_memory=number(info, "kbPerKey", 0.0),
             result_reuse_time=number(info, "shareFor", 0.0),
-            cancellation=_choice(info, "halt", _HALT, "none"),
+            cancellation=_choice(info, "halt", _CANCELLATION, "none"),
             signal=_choice(info, "signal", _SIGNAL, "none"),
             announcement_lifetime=number(info, "saidFor", 1.0),
             deep_checks=_flag(info, "deepChecks"),
@@ -221,15 +237,15 @@
             max_calls=number(info, "callsOut", 0.0),
             max_calls_window=number(info, "callsOver", 1.0),
             abandoned_call_time=number(info, "linger", 0.0),
-            gauges=tuple(str(name) for name in _part(info, "meters", list)),
+            gauges=tuple(str(name) for name in _section(info, "meters", list)),
             passes_deadline=_flag(info, "passesDeadline", True),
-            marks_retries=_flag(_part(env, "clientHabits", dict), "marksRetry"),
+            marks_retries=_flag(_section(env, "clientHabits", dict), "marksRetry"),
             weight_by_work=env.get("worthBy") == "work",
             over_quota_weight=number(env, "overShareWorth", 1.0),
             tick=number(env, "tick", 0.001),
         )
     except SettingsError as error:
-        raise WireError(_told(str(error))) from error
+        raise WireError(_under_outside_names(str(error))) from error
 
 
 def _request(m: Obj) -> Request:
@@ -250,34 +266,34 @@
     )
 
 
-def _returned(m: Obj) -> CallReturned:
+def _call_returned(m: Obj) -> CallReturned:
     return CallReturned(text(m, "tid"), _choice(m, "rc", _OUTCOME), number(m, "elapsed", 0.0))
 
 
 def _gauges(m: Obj) -> tuple[float, ...]:
-    return tuple(float(value) for value in _part(m, "stats", list))
+    return tuple(float(value) for value in _section(m, "stats", list))
 
 
 _EVENTS: dict[str, Callable[[Obj], Event]] = {
     "ORDER": _request,
     "ENDED": lambda m: Finished(text(m, "tid"), _choice(m, "rc", _OUTCOME), number(m, "elapsed", 0.0)),
-    "VANISHED": lambda m: CallerGone(text(m, "tid")),
+    "VANISHED": lambda m: CallerDisconnected(text(m, "tid")),
     "AWAITING": lambda m: CallNeeded(text(m, "tid")),
-    "DOWNSTREAM": _returned,
+    "DOWNSTREAM": _call_returned,
     "QUIESCE": lambda m: DrainNotice(number(m, "due")),
     "DUE": lambda m: TimerFired(int(number(m, "nonce")), _gauges(m)),
 }
 
 
 def parse_event(message: Obj) -> Event:
-    """An event other than start and exit."""
+    """An event other than LAUNCH and EXIT. Raises WireError."""
     make = _EVENTS.get(message["op"])
     if make is None:
         raise WireError(f"unknown event '{message['op']}'")
     return make(message)
 
 
-def _refuse(a: Reject) -> Obj:
+def _rejection(a: Reject) -> Obj:
     obj: Obj = {"op": "NOT_NOW", "tid": a.id}
     if a.retry_after > 0:
         obj["holdOff"] = a.retry_after
@@ -289,7 +305,7 @@
 _ACTIONS: dict[type, Callable[[Any], Obj]] = {
     Run: lambda a: {"op": "PROCESS", "tid": a.id},
     Stop: lambda a: {"op": "ABORT_WORK", "tid": a.id},
-    Reject: _refuse,
+    Reject: _rejection,
     Fail: lambda a: {"op": "REPORT_FAILURE", "tid": a.id},
     Call: lambda a: {"op": "GO_CALL", "tid": a.id, "tryFor": a.time_out},
     SkipCall: lambda a: {"op": "BYPASS", "tid": a.id},
--- a/chutepin/facade.py
+++ b/chutepin/facade.py
@@ -35,7 +35,7 @@
     End.UNREACHABLE: decision.Outcome.CONNECT_FAILED,
     End.BROKEN: decision.Outcome.RESET,
     End.CANCELLED: decision.Outcome.CANCELLED,
-    End.NEVER: decision.Outcome.MOOT,
+    End.NEVER: decision.Outcome.NOT_STARTED,
 }
 
 
@@ -159,7 +159,7 @@
             case CallEnded(id, end, elapsed):
                 self._handle(now, decision.CallReturned(id, _OUTCOME[end], elapsed))
             case Left(id):
-                self._handle(now, decision.CallerGone(id))
+                self._handle(now, decision.CallerDisconnected(id))
             case Drain(stop, notice):
                 self._handle(now, decision.DrainNotice(stop, notice))
 
--- a/tests/decision_world.py
+++ b/tests/decision_world.py
@@ -118,7 +118,7 @@
         if self.requests and self.rng.random() < 0.05:  # late news about something, perhaps long over
             item = self.rng.choice(list(self.requests.values()))
             if item.state == "over":
-                events.append(decision.CallerGone(item.req.id))
+                events.append(decision.CallerDisconnected(item.req.id))
         if events:
             self.apply(self.policy.handle(self.now, events))
         self._check()
@@ -153,7 +153,7 @@
 
     def _goes(self, item: Tracked, events: list[decision.Event]) -> None:
         item.answered = item.gone = True
-        events.append(decision.CallerGone(item.req.id))
+        events.append(decision.CallerDisconnected(item.req.id))
         if item.state in ("held", "sharing"):
             item.state = "over"
         elif item.state in ("at_call", "calling"):
--- a/tests/test_decision_policy.py
+++ b/tests/test_decision_policy.py
@@ -287,7 +287,10 @@
         policy.handle(5.0, [req("a", 9.0)])
     with pytest.raises(decision.UsageError, match="unknown class"):
         policy.handle(5.0, [req("b", 9.0, "nope")])
-    over: list[decision.Event] = [decision.CallerGone("never seen"), decision.Finished("never seen", Outcome.OK)]
+    over: list[decision.Event] = [
+        decision.CallerDisconnected("never seen"),
+        decision.Finished("never seen", Outcome.OK),
+    ]
     assert not ids(policy.handle(5.1, over), decision.Fail)
 
 
@@ -478,7 +481,7 @@
     policy.start(0.0)
     policy.handle(0.0, [req("a", 9.0)])
     for _ in range(5):
-        policy.handle(3.1, [decision.CallerGone("b")])
+        policy.handle(3.1, [decision.CallerDisconnected("b")])
     assert (
         policy.server.requests.jobs["a"].run_started == pytest.approx(3.0)
         and policy.server.requests.jobs["a"].call_wait == 0
--- a/tests/test_decision_rules.py
+++ b/tests/test_decision_rules.py
@@ -80,12 +80,12 @@
         policy = Policy(replace(BASE, cancellation=halt), 1)
         policy.start(0.0)
         policy.handle(0.0, [decision.Request("a", "view", 0.0, 20.0, due=0.5)])
-        news: list[decision.Event] = [] if answered_first else [decision.CallerGone("a")]
+        news: list[decision.Event] = [] if answered_first else [decision.CallerDisconnected("a")]
         actions = policy.handle(0.6 if answered_first else 0.1, news)
         assert decision.Stop("a") in actions and (decision.Fail("a") in actions) is answered_first
         if answered_first:
             assert actions.index(decision.Fail("a")) < actions.index(decision.Stop("a"))  # so that the stop ends it
-        policy.handle(0.7, [decision.CallerGone("a"), decision.Finished("a", decision.Outcome.CANCELLED)])
+        policy.handle(0.7, [decision.CallerDisconnected("a"), decision.Finished("a", decision.Outcome.CANCELLED)])
         assert (
             policy.server.memory.used == 0 and policy.server.requests.running == 0 and not policy.server.requests.jobs
         )
