--- a/chutepin/testbench/standins/flood.py
+++ b/chutepin/testbench/standins/flood.py
@@ -44,6 +44,10 @@
         self.counts: Counter[str] = Counter()
         self.refusals: list[float] = []  # seconds from the connection to its close
 
+    def stop(self) -> None:
+        """End the flood now, before its time."""
+        self._end = min(self._end, time.monotonic())
+
     async def run(self) -> dict[str, object]:
         """Flood until the end."""
         if self._kind == "storm":
