--- a/benchmarks/capacity/measure/changes.py
+++ b/benchmarks/capacity/measure/changes.py
@@ -5,7 +5,7 @@
 import itertools
 from dataclasses import replace
 
-from chutepin.lab.quorum import SETTINGS
+from chutepin.lab.consensus_simulator import SETTINGS
 
 from .log import Played, played
 from .tools import Measured, Table
--- a/benchmarks/capacity/measure/log.py
+++ b/benchmarks/capacity/measure/log.py
@@ -13,9 +13,10 @@
 from benchmarks.fleet_size import ASSUMPTIONS, TARGET
 from chutepin.consensus.codec import encode
 from chutepin.consensus.settings import RaftSettings
-from chutepin.lab.claims import Record, broken
+from chutepin.lab.consensus_history import ConsensusHistory
+from chutepin.lab.consensus_invariants import violations
+from chutepin.lab.consensus_simulator import LINK_DELAY_S, SETTINGS, WRITE_DURATION_S, Simulator
 from chutepin.lab.faults import Schedule
-from chutepin.lab.quorum import SETTINGS, WAY, WRITE, Simulator
 
 from .request import quantile
 from .tools import Measured, Table
@@ -47,20 +48,20 @@
         self.sent_bytes: Counter[str] = Counter()
         self.cpu_s: defaultdict[str, float] = defaultdict(float)
 
-    def _say(self, host: Any, to: str, word: Any) -> None:
+    def _send(self, host: Any, to: str, message: Any) -> None:
         if self.now > FROM:
             self.said[host.name] += 1
-            self.sent_bytes[host.name] += len(encode(word))
-        super()._say(host, to, word)
+            self.sent_bytes[host.name] += len(encode(message))
+        super()._send(host, to, message)
 
     def _tick(self, host: Any, timer: int) -> None:
         begun = time.process_time()
         super()._tick(host, timer)
         self._spent(host, begun)
 
-    def _receive(self, host: Any, sender: str, word: Any) -> None:
+    def _receive(self, host: Any, sender: str, message: Any) -> None:
         begun = time.process_time()
-        super()._receive(host, sender, word)
+        super()._receive(host, sender, message)
         self._spent(host, begun)
 
     def _spent(self, host: Any, begun: float) -> None:
@@ -105,24 +106,24 @@
     simulator = Metered(schedule, seed, voters=VOTERS, every=SETS_IN_ASKS / rate, settings=settings)
     if values is not None:
         simulator._values = values
-    record = simulator.run()
-    if problems := broken(record):
+    history = simulator.run()
+    if problems := violations(history):
         raise RuntimeError(f"{observers} observers, seed {seed}: {sorted(problems)}")
-    leader = next(showed.member for showed in reversed(record.showed) if showed.role == "leader")
+    leader = next(observation.member for observation in reversed(history.observations) if observation.role == "leader")
     followers = [name for name in simulator.hosts if name not in simulator.voters]
     return Played(
         simulator.spending([leader]),
         simulator.spending(followers),
         max(simulator.sent_bytes[name] for name in followers) / COUNTED,
-        _spread(record, observers + VOTERS),
+        _spread(history, observers + VOTERS),
     )
 
 
-def _spread(record: Record, members: int) -> list[float]:
+def _spread(history: ConsensusHistory, members: int) -> list[float]:
     first: dict[int, dict[str, float]] = {}
-    for showed in record.showed:
-        if showed.at > FROM:
-            first.setdefault(showed.applied_index, {}).setdefault(showed.member, showed.at)
+    for observation in history.observations:
+        if observation.at > FROM:
+            first.setdefault(observation.applied_index, {}).setdefault(observation.member, observation.at)
     return [max(at.values()) - min(at.values()) for at in first.values() if len(at) > MOST_HEARD * members]
 
 
@@ -152,7 +153,7 @@
         (
             "changes come at the rate of a peak, also where the page tells of an ordinary day",
             "changes of a few bytes: see the run `changes` for their size",
-            f"virtual time; links of {_ms(WAY)}, as within one place, writes of {_ms(WRITE)}",
+            f"virtual time; links of {_ms(LINK_DELAY_S)}, as within one place, writes of {_ms(WRITE_DURATION_S)}",
             "CPU holds the simulator's work on an event of the member, and its encoding of each word",
             "who takes in several entries at once shows only the last, so few entries count for the spread",
         ),
--- a/benchmarks/consensus.py
+++ b/benchmarks/consensus.py
@@ -22,10 +22,10 @@
 from typing import Any
 
 from chutepin.lab import charts
-from chutepin.lab.assembly import Assembly, play
-from chutepin.lab.claims import broken
+from chutepin.lab.consensus_fleet import Assembly, play
+from chutepin.lab.consensus_invariants import violations
+from chutepin.lab.consensus_simulator import SETTINGS, Simulator
 from chutepin.lab.faults import Fault, Schedule, draw
-from chutepin.lab.quorum import SETTINGS, Simulator
 
 from .parts import Part, Row, quantile, run_parts
 
@@ -55,16 +55,16 @@
 
 def _seed(seed: int) -> Row:
     schedule = draw(seed, (5, 7, 4)[seed % 3], 60.0)
-    record = Simulator(
+    history = Simulator(
         schedule, seed, voters=5 if seed % 3 == 1 else 3, wire=seed % 4 == 0, changes=4.0 * (seed % 2)
     ).run()
     return {
         "seed": seed,
-        "agreed": len(record.agreed()),
-        "reads": len(record.reads()),
+        "agreed": len(history.committed_sets()),
+        "reads": len(history.answered_reads()),
         "faults": len(schedule.faults),
-        "unknown": sum(asked.outcome == "unknown" for asked in record.asked),
-        "broken": sorted(broken(record)),
+        "unknown": sum(request.outcome == "unknown" for request in history.requests),
+        "broken": sorted(violations(history)),
     }
 
 
@@ -86,9 +86,9 @@
     from tests.consensus_mutants import PLANTED
     from tests.test_quorum import seeds_needed
 
-    parts, schedule, claim = PLANTED[name]
-    needed = seeds_needed(parts, schedule, claim, 40)
-    return {"planted": name, "schedule": schedule, "claim": claim, "seeds": 1 + needed}
+    parts, schedule, invariant = PLANTED[name]
+    needed = seeds_needed(parts, schedule, invariant, 40)
+    return {"planted": name, "schedule": schedule, "claim": invariant, "seeds": 1 + needed}
 
 
 def planted() -> list[Row]:
@@ -103,9 +103,13 @@
     names = [f"n{number}" for number in range(1, 6)]
     one, other = rng.sample(names, 2)
     faults = tuple(Fault(5.0 + 2 * number, ("cut", "mend")[number % 2], (one, other)) for number in range(300))
-    record = Simulator(Schedule(5, 620.0, faults), seed, voters=5, every=0.5).run()
-    terms = {showed.term for showed in record.showed if showed.role == "leader" and showed.at > 5.0}
-    return {"elections": len(terms) - 1, "broken": sorted(set(broken(record)) - {"it_agrees_when_well"})}
+    history = Simulator(Schedule(5, 620.0, faults), seed, voters=5, every=0.5).run()
+    terms = {
+        observation.term
+        for observation in history.observations
+        if observation.role == "leader" and observation.at > 5.0
+    }
+    return {"elections": len(terms) - 1, "broken": sorted(set(violations(history)) - {"requests_succeed_after_faults"})}
 
 
 def flapping() -> list[Row]:
@@ -123,20 +127,20 @@
 def _observers(count: int) -> Row:
     simulator = Simulator(Schedule(count + 3, 30.0), 1, every=0.2)
     said: Counter[str] = Counter()
-    say = simulator._say
+    say = simulator._send
 
-    def counted(host: Any, to: str, word: Any) -> None:
+    def counted(host: Any, to: str, message: Any) -> None:
         if simulator.now > 10.0:
             said[host.name] += 1
-        say(host, to, word)
+        say(host, to, message)
 
-    simulator._say = counted  # type: ignore[method-assign]
-    record = simulator.run()
-    leader = next(showed.member for showed in reversed(record.showed) if showed.role == "leader")
+    simulator._send = counted  # type: ignore[method-assign]
+    history = simulator.run()
+    leader = next(observation.member for observation in reversed(history.observations) if observation.role == "leader")
     first: dict[int, dict[str, float]] = {}
-    for showed in record.showed:
-        if showed.at > 10.0:
-            first.setdefault(showed.applied_index, {}).setdefault(showed.member, showed.at)
+    for observation in history.observations:
+        if observation.at > 10.0:
+            first.setdefault(observation.applied_index, {}).setdefault(observation.member, observation.at)
     # Who takes in several entries at once shows the last of them only.
     spread = [max(times.values()) - min(times.values()) for times in first.values() if len(times) > 0.9 * (count + 3)]
     return {
@@ -145,7 +149,7 @@
         "median_words_per_s": round(statistics.median(said.values()) / 20, 1),
         "spread_p50_ms": round(1000 * quantile(spread, 0.5), 1),
         "spread_p99_ms": round(1000 * quantile(spread, 0.99), 1),
-        "broken": sorted(broken(record)),
+        "broken": sorted(violations(history)),
     }
 
 
@@ -166,15 +170,15 @@
     late = Schedule(4, 60.0, (Fault(0.01, "crash", ("n4",)), Fault(45.0, "restart", ("n4",))))
     simulator = Simulator(late, 1, every=1e9, settings=settings)
     sent = Counter[str]()
-    say, state = simulator._say, {"made": 0, "begun": 0.0, "done": 0.0}
+    say, state = simulator._send, {"made": 0, "begun": 0.0, "done": 0.0}
 
-    def counted(host: Any, to: str, word: Any) -> None:
+    def counted(host: Any, to: str, message: Any) -> None:
         if to.startswith("n4"):
             sent[host.name] += 1
-            sent["bytes"] += len(repr(getattr(word, "data", b""))) + sum(
-                len(entry.data) for entry in getattr(word, "entries", ())
+            sent["bytes"] += len(repr(getattr(message, "data", b""))) + sum(
+                len(entry.data) for entry in getattr(message, "entries", ())
             )
-        say(host, to, word)
+        say(host, to, message)
 
     def propose() -> None:
         host = next(
@@ -213,7 +217,7 @@
             state["done"] = simulator.now
         simulator._at(simulator.now + 0.005, look)
 
-    simulator._say = counted  # type: ignore[method-assign]
+    simulator._send = counted  # type: ignore[method-assign]
     simulator._at(3.0, propose)
     simulator._at(45.0, look)
     begun = time.process_time()
@@ -357,16 +361,16 @@
 
 def _campaign(seed: int) -> Row:
     schedule = draw(seed, 5, LASTS)
-    record = asyncio.run(play(schedule, seed, every=0.08))
-    found = broken(record)
+    history = asyncio.run(play(schedule, seed, every=0.08))
+    found = violations(history)
     return {
         "seed": seed,
         "minutes": round(LASTS / 60, 1),
         "faults": len(schedule.faults),
-        "asked": len(record.asked),
-        "agreed": len(record.agreed()),
-        "reads": len(record.reads()),
-        "unknown": sum(asked.outcome == "unknown" for asked in record.asked),
+        "asked": len(history.requests),
+        "agreed": len(history.committed_sets()),
+        "reads": len(history.answered_reads()),
+        "unknown": sum(request.outcome == "unknown" for request in history.requests),
         "broken": {name: lines[:3] for name, lines in found.items()},
     }
 
--- a/benchmarks/equality.py
+++ b/benchmarks/equality.py
@@ -18,9 +18,9 @@
 from typing import Any
 
 from chutepin.decision.simulator_protocol import format_action
-from chutepin.lab import quorum
+from chutepin.lab import consensus_simulator
+from chutepin.lab.consensus_simulator import Simulator as ConsensusSimulator
 from chutepin.lab.faults import draw
-from chutepin.lab.quorum import Simulator as ConsensusSimulator
 from chutepin.lab.scale.virtual import simulate as simulate_scale
 from chutepin.lab.scale.workload import Load
 from chutepin.lab.simulator import Simulator as MembershipSimulator
@@ -75,21 +75,27 @@
 def consensus_figures(seed: int) -> dict[str, Any]:
     """One drawn schedule of faults among five members with changes of voters, every message through its bytes."""
     schedule = replace(draw(seed, 5, 60.0), seconds=90.0)
-    simulator = ConsensusSimulator(schedule, seed, voters=3, changes=4.0, wire=True, settings=quorum.SETTINGS)
-    record = simulator.run()
-    asked = [
-        f"{one.member} {one.name} {one.value} {one.began!r} {one.ended!r} {one.at} {one.up_to_index} {one.times}"
-        for one in record.asked
+    simulator = ConsensusSimulator(
+        schedule, seed, voters=3, changes=4.0, wire=True, settings=consensus_simulator.SETTINGS
+    )
+    history = simulator.run()
+    requests = [
+        f"{one.member} {one.key} {one.value} {one.began!r} {one.ended!r} "
+        f"{one.at_index} {one.up_to_index} {one.times_set}"
+        for one in history.requests
+    ]
+    observations = [
+        f"{one.at!r} {one.member} {one.incarnation} {one.term} {one.applied_index} {one.log_digest}"
+        for one in history.observations
     ]
-    showed = [f"{one.at!r} {one.member} {one.life} {one.term} {one.applied_index} {one.chain}" for one in record.showed]
     return {
-        "messages": simulator.words,
+        "messages": simulator.messages,
         "writes": simulator.writes,
-        "asked": len(asked),
-        "outcome_counts": sorted(Counter(one.outcome for one in record.asked).values()),
-        "asked_sha256": digest(asked),
-        "showed": len(showed),
-        "showed_sha256": digest(showed),
+        "asked": len(requests),
+        "outcome_counts": sorted(Counter(one.outcome for one in history.requests).values()),
+        "asked_sha256": digest(requests),
+        "showed": len(observations),
+        "showed_sha256": digest(observations),
     }
 
 
--- a/chutepin/cli/lab.py
+++ b/chutepin/cli/lab.py
@@ -154,8 +154,8 @@
     """Drive the real consensus through all interleavings of a scope; exit code 1 if an invariant is broken."""
     import time
 
-    from ..lab.explorer import Scope
-    from ..lab.explorer import explore as explored
+    from ..lab.model_checker import Scope
+    from ..lab.model_checker import explore as explored
 
     found = explored(
         Scope(voters, elections, proposals, beats, crashes, twice, snapshots=snapshots),
--- a/chutepin/lab/assembly.py
+++ b/chutepin/lab/consensus_fleet.py
@@ -1,7 +1,8 @@
-"""The log in common of several real processes under a schedule of faults, with askers: the record of what was seen.
+"""A consensus group of real processes under a schedule of faults, with clients: the history of what was seen.
 
-Askers and watchers use the operators' socket only. An asker that is told *unknown* asks again by the id, anywhere,
-until it is told for sure; one that is told nothing (the process was stopped or killed) knows no id and never learns."""
+Clients and watchers use the operators' socket only. A client that is told *unknown* retries by the id, at any node,
+until the outcome is definite; one that gets no answer (the process was stopped or killed) knows no id and never
+learns."""
 
 from __future__ import annotations
 
@@ -12,18 +13,18 @@
 from collections.abc import Callable
 from contextlib import AsyncExitStack
 
-from .claims import Asked, Record, Showed
+from .consensus_history import ClientRequest, ConsensusHistory, Observation
 from .faults import Schedule
 from .fleet import Fleet
 
-AGREES_BY = 30.0  # seconds in which the log must have begun
-LOOK = 0.1  # seconds between looks at what a process shows
-NAMES = 4  # that are set and read
-SETTLE = 12.0  # seconds after the last fault; what is asked later must be agreed
+LEADER_TIMEOUT_S = 30.0  # until all processes show the same leader
+OBSERVATION_INTERVAL_S = 0.1
+KEY_COUNT = 4  # keys that clients set and read
+SETTLE_S = 12.0  # after the last fault; later requests must be committed
 
 
 class Assembly(Fleet):
-    """Processes with a log in common."""
+    """Processes with a replicated log."""
 
     def __init__(
         self,
@@ -34,35 +35,35 @@
         every: float = 0.1,
         note: Callable[[str], None] = lambda _: None,
     ) -> None:
-        """`every`: seconds between asks, on average."""
+        """`every`: seconds between requests, on average."""
         super().__init__(schedule, seed, note=note)
         self.voters = schedule.names()[:voters]
-        self.record = Record()
+        self.log_history = ConsensusHistory()
         self._ask_every, self._chance = every, random.Random(seed)
         self._values = itertools.count()
         self._asking: set[asyncio.Task[None]] = set()
         self._lives: dict[str, int] = {}
 
     async def shown(self, name: str) -> dict[str, str]:
-        """What a process shows of its part; empty where it shows nothing."""
+        """Return the status that a process shows; empty where it shows none."""
         lines = await self.processes[name].ask("agree")
         if not lines or lines[0] != "SUCCESS":
             return {}
         return dict(line.split(maxsplit=1) for line in lines[1:-1] if not line.startswith(("voter", "learner")))
 
     async def agrees(self, names: list[str] | None = None) -> str:
-        """Wait until all show the same leader; who that is. Raises AssertionError."""
-        until = time.monotonic() + AGREES_BY
+        """Wait until all show the same leader; return it. Raises AssertionError."""
+        until = time.monotonic() + LEADER_TIMEOUT_S
         while True:
             shown = await asyncio.gather(*(self.shown(name) for name in names or self.processes))
             leaders = {one.get("leader", "-") for one in shown}
             if len(leaders) == 1 and "-" not in leaders:
                 return leaders.pop()
             assert time.monotonic() < until, f"no common leader: {shown}"
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(OBSERVATION_INTERVAL_S)
 
-    async def run_log(self, stack: AsyncExitStack) -> Record:
-        """Play the schedule, ask and watch meanwhile; the record."""
+    async def run_log(self, stack: AsyncExitStack) -> ConsensusHistory:
+        """Play the schedule under requests and observation; return the history."""
         await self.open(stack)
         await self.joined()
         await self.agrees()
@@ -72,17 +73,17 @@
         for fault in sorted(self.schedule.faults, key=lambda fault: fault.at):
             await asyncio.sleep(max(0.0, fault.at - self.now))
             self._note(f"{self.now:7.2f} {fault.what} {' '.join(fault.members)}".rstrip())
-            self.record.troubles.append(self.now)
+            self.log_history.disturbances.append(self.now)
             await self._do(stack, fault)
-            self.record.troubles.append(self.now)
-        self.record.settled = max(last, self.now) + SETTLE
-        await asyncio.sleep(max(0.0, max(self.schedule.seconds, self.record.settled + 3.0) - self.now))
+            self.log_history.disturbances.append(self.now)
+        self.log_history.settled_at = max(last, self.now) + SETTLE_S
+        await asyncio.sleep(max(0.0, max(self.schedule.seconds, self.log_history.settled_at + 3.0) - self.now))
         for watcher in watchers:
             watcher.cancel()
         await asyncio.gather(*watchers, return_exceptions=True)
         await asyncio.gather(*self._asking)
-        self.record.showed.sort(key=lambda showed: showed.at)
-        return self.record
+        self.log_history.observations.sort(key=lambda observation: observation.at)
+        return self.log_history
 
     async def _watch_log(self, name: str) -> None:
         process = self.processes[name]
@@ -92,8 +93,8 @@
                 life = process.world.process.pid
                 shown = await self.shown(name)
                 if shown and process.running and process.world.process.pid == life:
-                    self.record.showed.append(
-                        Showed(
+                    self.log_history.observations.append(
+                        Observation(
                             self.now,
                             name,
                             life,
@@ -104,10 +105,8 @@
                         )
                     )
             if self.truth.slow or self.truth.loss or self.truth.tear:
-                self.record.troubles.append(self.now)
-            await asyncio.sleep(LOOK)
-
-    # --- who asks ---
+                self.log_history.disturbances.append(self.now)
+            await asyncio.sleep(OBSERVATION_INTERVAL_S)
 
     async def _ask_on(self) -> None:
         while True:
@@ -119,46 +118,46 @@
             await asyncio.sleep(self._ask_every * 2 * self._chance.random())
 
     async def _ask(self, member: str) -> None:
-        """One asker, from its first question to a definite answer."""
+        """Run one client, from its first request to a definite outcome."""
         what = self._chance.choice(("set", "set", "get"))
-        name = f"k{self._chance.randrange(NAMES)}"
-        asked = Asked(what, member, name, f"v{next(self._values)}" if what == "set" else "", self.now)
-        self.record.asked.append(asked)
+        name = f"k{self._chance.randrange(KEY_COUNT)}"
+        request = ClientRequest(what, member, name, f"v{next(self._values)}" if what == "set" else "", self.now)
+        self.log_history.requests.append(request)
         if what == "get":
-            self._read(asked, await self.processes[member].ask(f"agree-get {name}"))
+            self._read(request, await self.processes[member].ask(f"agree-get {name}"))
             return
-        lines = await self.processes[member].ask(f"agree-set {name} {asked.value}")
+        lines = await self.processes[member].ask(f"agree-set {name} {request.value}")
         until = self.now + 60.0
         while lines and lines[0].startswith("FAILURE unknown") and self.now < until:
-            asked.id = lines[0].split()[2]
+            request.proposal_id = lines[0].split()[2]
             await asyncio.sleep(0.5)
             other = self._chance.choice([other for other in self.processes if self.processes[other].running])
             word = (
-                f"agree-void {asked.id}"
+                f"agree-void {request.proposal_id}"
                 if self._chance.random() < 0.3
-                else f"agree-set {name} {asked.value} {asked.id}"
+                else f"agree-set {name} {request.value} {request.proposal_id}"
             )
             lines = await self.processes[other].ask(word) or lines
         if lines and lines[0].startswith(("SUCCESS agreed", "FAILURE refused")):
-            asked.outcome = "committed" if lines[0].startswith("SUCCESS") else "rejected"
-            if asked.outcome == "committed":
-                asked.at = int(lines[0].split()[2])
-            asked.ended = self.now
+            request.outcome = "committed" if lines[0].startswith("SUCCESS") else "rejected"
+            if request.outcome == "committed":
+                request.at_index = int(lines[0].split()[2])
+            request.ended = self.now
 
-    def _read(self, asked: Asked, lines: list[str]) -> None:
+    def _read(self, request: ClientRequest, lines: list[str]) -> None:
         if not lines:
             return
-        asked.ended, asked.outcome = self.now, "rejected"
+        request.ended, request.outcome = self.now, "rejected"
         words = lines[0].split()
         if words[0] == "SUCCESS":
-            asked.outcome, asked.up_to_index = "committed", int(words[2])
+            request.outcome, request.up_to_index = "committed", int(words[2])
             if words[3] == "set-at":
-                asked.at, asked.times, asked.value = int(words[4]), int(words[6]), words[7]
+                request.at_index, request.times_set, request.value = int(words[4]), int(words[6]), words[7]
 
 
 async def play(
     schedule: Schedule, seed: int, voters: int = 3, every: float = 0.1, note: Callable[[str], None] = lambda _: None
-) -> Record:
+) -> ConsensusHistory:
     """Run a schedule on real processes."""
     async with AsyncExitStack() as stack:
         return await Assembly(schedule, seed, voters=voters, every=every, note=note).run_log(stack)
--- /dev/null
+++ b/chutepin/lab/consensus_invariants.py
@@ -0,0 +1,148 @@
+"""What must hold of a replicated log, as functions of its history; the same for the simulator and for real processes.
+
+Each invariant yields one line for each violation."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterator
+
+from .consensus_history import NEVER, ClientRequest, ConsensusHistory, Observation
+
+CAUSE_S = 10.0  # for so long a disturbance explains a change of leader
+MAX_REPORTED = 20  # violations of one invariant
+
+
+def one_leader_per_term(history: ConsensusHistory) -> Iterator[str]:
+    """No two members lead in one term."""
+    leaders: dict[int, str] = {}
+    for seen in history.observations:
+        if seen.role == "leader" and leaders.setdefault(seen.term, seen.member) != seen.member:
+            yield f"{seen.at:.2f} {seen.member} leads in term {seen.term}, so does {leaders[seen.term]}"
+
+
+def equal_logs_up_to_equal_index(history: ConsensusHistory) -> Iterator[str]:
+    """Members that have applied all up to an index have applied the same entries in the same order."""
+    known: dict[int, tuple[str, str]] = {}
+    for seen in history.observations:
+        digest, member = known.setdefault(seen.applied_index, (seen.log_digest, seen.member))
+        if seen.applied_index and digest != seen.log_digest:
+            yield f"{seen.at:.2f} {seen.member} differs from {member} at {seen.applied_index}"
+
+
+def applied_index_and_term_never_decrease(history: ConsensusHistory) -> Iterator[str]:
+    """In one incarnation of a member the applied index and the term only rise."""
+    last: dict[tuple[str, int], Observation] = {}
+    for seen in history.observations:
+        before = last.get((seen.member, seen.incarnation))
+        if before is not None and (seen.applied_index < before.applied_index or seen.term < before.term):
+            yield f"{seen.at:.2f} {seen.member} went back from {before.applied_index} to {seen.applied_index}"
+        last[seen.member, seen.incarnation] = seen
+
+
+def one_proposal_per_index(history: ConsensusHistory) -> Iterator[str]:
+    """An index holds one proposal, and a proposal is committed at one index."""
+    by_index: dict[int, str] = {}
+    by_value: dict[str, int] = {}
+    for request in history.committed_sets():
+        index, value = request.at_index, request.value
+        if by_index.setdefault(index, value) != value:
+            yield f"{value} and {by_index[index]} are both committed at {index}"
+        if by_value.setdefault(value, index) != index:
+            yield f"{value} is committed at {index} and at {by_value[value]}"
+
+
+def requests_are_linearizable(history: ConsensusHistory) -> Iterator[str]:
+    """What ended before a request began stands before it in the log; the index is the witness."""
+    for key in history.keys():
+        sets = [one for one in history.committed_sets() if one.key == key]
+        reads = sorted((one for one in history.answered_reads() if one.key == key), key=lambda one: one.began)
+        yield from _follow_earlier_sets(key, sets, reads)
+        for read in reads:
+            earlier = [other.at_index for other in reads if other.ended < read.began]
+            if earlier and read.at_index < max(earlier):
+                yield (
+                    f"{read.began:.3f} {read.member} reads {key} as of {read.at_index}, {max(earlier)} was read before"
+                )
+
+
+def _follow_earlier_sets(key: str, sets: list[ClientRequest], reads: list[ClientRequest]) -> Iterator[str]:
+    for request in sets + reads:
+        earlier = [other.at_index for other in sets if other.ended < request.began]
+        if not earlier:
+            continue
+        is_set = request.operation == "set"
+        if request.at_index < max(earlier) or (is_set and request.at_index == max(earlier)):
+            yield (
+                f"{request.began:.3f} {request.member} {request.operation} {key}: {request.at_index}, "
+                f"{max(earlier)} was before"
+            )
+
+
+def reads_return_set_values(history: ConsensusHistory) -> Iterator[str]:
+    """What is read was set by a client, at the index that it was told, not rejected, and not in the future."""
+    sets = {one.value: one for one in history.requests if one.operation == "set"}
+    for read in history.answered_reads():
+        if not read.at_index:
+            continue
+        setter = sets.get(read.value)
+        where = f"{read.began:.3f} {read.member}"
+        if setter is None or setter.key != read.key or setter.began > read.ended:
+            yield f"{where} reads {read.key} as {read.value}, which nobody had set"
+        elif setter.outcome == "rejected" or (setter.outcome == "committed" and setter.at_index != read.at_index):
+            yield f"{where} reads {read.value} of {read.at_index}; it was {setter.outcome} {setter.at_index}"
+
+
+def proposals_are_applied_once(history: ConsensusHistory) -> Iterator[str]:
+    """A key was set as often as sets of it were committed; unknown ones may count or not."""
+    for key in history.keys():
+        sets = [one for one in history.requests if one.operation == "set" and one.key == key]
+        for read in history.answered_reads():
+            if read.key != key:
+                continue
+            committed = sum(one.outcome == "committed" and one.at_index <= read.up_to_index for one in sets)
+            unknown = sum(one.outcome == "unknown" and one.began < read.ended for one in sets)
+            if not committed <= read.times_set <= committed + unknown:
+                yield (
+                    f"{read.began:.3f} {read.member}: {key} was set {read.times_set} times, {committed} were "
+                    f"committed, {unknown} may have been"
+                )
+
+
+def requests_succeed_after_faults(history: ConsensusHistory) -> Iterator[str]:
+    """Once no fault is active any more, requests are committed."""
+    late = [one for one in history.requests if one.began > history.settled_at]
+    if history.settled_at < NEVER and not late:
+        yield "nothing was asked in the end"
+    for request in late:
+        if request.outcome != "committed":
+            yield f"{request.began:.2f} {request.member} {request.operation} {request.key}: {request.outcome}"
+
+
+def leader_changes_have_a_cause(history: ConsensusHistory) -> Iterator[str]:
+    """No member becomes the leader without a disturbance in the last seconds."""
+    first: dict[int, Observation] = {}
+    for seen in history.observations:
+        if seen.role == "leader":
+            first.setdefault(seen.term, seen)
+    for seen in first.values():
+        if not any(0 <= seen.at - disturbance <= CAUSE_S for disturbance in (0.0, *history.disturbances)):
+            yield f"{seen.at:.2f} {seen.member} took over in term {seen.term}; nothing had happened"
+
+
+INVARIANTS: tuple[Callable[[ConsensusHistory], Iterator[str]], ...] = (
+    one_leader_per_term,
+    equal_logs_up_to_equal_index,
+    applied_index_and_term_never_decrease,
+    one_proposal_per_index,
+    requests_are_linearizable,
+    reads_return_set_values,
+    proposals_are_applied_once,
+    requests_succeed_after_faults,
+    leader_changes_have_a_cause,
+)
+
+
+def violations(history: ConsensusHistory) -> dict[str, list[str]]:
+    """Return the violations of each invariant that does not hold, by its name."""
+    found = {invariant.__name__: list(invariant(history)) for invariant in INVARIANTS}
+    return {name: lines[:MAX_REPORTED] for name, lines in found.items() if lines}
--- /dev/null
+++ b/chutepin/lab/consensus_simulator.py
@@ -0,0 +1,412 @@
+"""A consensus group in virtual time: the node's own participant, journal and identity on simulated disks and links.
+
+One seed gives one history, byte for byte. A crash loses what the store had not acknowledged, except for a random prefix
+of it. Each message has its own delay, so messages overtake each other, which those of a connection do not."""
+
+from __future__ import annotations
+
+import heapq
+import itertools
+import random
+from collections.abc import Callable
+from dataclasses import replace
+from typing import Any
+
+from ..consensus.codec import Hello, WireMessage, decode, encode
+from ..consensus.errors import RejectedError
+from ..consensus.identity import StoreAcknowledgement, StoreAnnouncement, StoreStatus, node_name
+from ..consensus.key_value import KeyValueMachine, pack_assignment
+from ..consensus.messages import Apply, Membership, Persist, ReadReady, Restore
+from ..consensus.outbox import Effect, RequestCompleted, Send
+from ..consensus.replicated_state import Outcome, OutcomeState
+from ..consensus.settings import RaftSettings
+from ..consensus.state import Role
+from .consensus_history import ClientRequest, ConsensusHistory, Observation
+from .consensus_hosts import PRODUCT_PARTS, Disk, Parts, SimulatedHost
+from .faults import Fault, Schedule
+from .history import Truth
+
+SETTINGS = RaftSettings(
+    election_timeout_s=1.0,
+    heartbeat_interval_s=0.2,
+    max_chunk_bytes=4096,
+    max_in_flight_bytes=8192,
+    max_log_bytes=32768,
+    retained_bytes=3000,
+)
+SNAPSHOT_AFTER_BYTES = 2500  # committed, after which a snapshot is taken
+WRITE_DURATION_S = (0.001, 0.006)
+LINK_DELAY_S = (0.0003, 0.002)
+REQUEST_TIMEOUT_S = 3.0
+ANNOUNCE_INTERVAL_S = 0.3
+KEY_COUNT = 4  # keys that clients set and read
+
+
+class Simulator:
+    """One run."""
+
+    def __init__(
+        self,
+        schedule: Schedule,
+        seed: int,
+        *,
+        voters: int = 3,
+        parts: Parts = PRODUCT_PARTS,
+        every: float = 0.15,
+        changes: float = 0.0,
+        wire: bool = False,
+        settings: RaftSettings = SETTINGS,
+        write: tuple[float, float] = WRITE_DURATION_S,
+    ) -> None:
+        """`every`: seconds between requests, on average; `changes`: between changes of voters (0: none).
+        `wire`: messages are encoded and decoded."""
+        self.schedule, self._parts, self._every, self._changes, self._wire = schedule, parts, every, changes, wire
+        self._settings, self._write = settings, write
+        self._rng = random.Random(seed)
+        self.now = 0.0
+        self.truth = Truth(schedule)
+        self.history = ConsensusHistory()
+        self._events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
+        self._count, self._values = itertools.count(), itertools.count()
+        self.hosts = {name: SimulatedHost(name) for name in schedule.names()}
+        self.voters = tuple(schedule.names()[:voters])
+        self.messages = self.writes = 0
+
+    def _at(self, at: float, work: Callable[..., None], *arguments: Any) -> None:
+        heapq.heappush(self._events, (at, next(self._count), work, arguments))
+
+    def run(self) -> ConsensusHistory:
+        """Play the schedule under requests of clients; return the history."""
+        for host in self.hosts.values():
+            self._start(host)
+        for fault in self.schedule.faults:
+            self._at(fault.at, self._fault, fault)
+        self._at(1.0, self._issue_request)
+        if self._changes:
+            self._at(5.0, self._change_membership)
+        last = max((fault.at for fault in self.schedule.faults), default=0.0)
+        self.history.settled_at = max(last, 5.0) + 10.0
+        still = 0
+        while self._events:
+            at, _, work, arguments = heapq.heappop(self._events)
+            if at > self.schedule.seconds:
+                break
+            still = still + 1 if at <= self.now else 0
+            assert still < 20_000, "time stands still"
+            self.now = max(self.now, at)
+            work(*arguments)
+        return self.history
+
+    def _start(self, host: SimulatedHost) -> None:
+        host.incarnation += 1
+        host.queue, host.busy, host.participant, host.waiting, host.tickets = [], False, None, [], {}
+        store_id = f"{self._rng.getrandbits(32):08x}"
+        stored = host.disk.get(b"who")
+        if stored is not None:
+            store_id, status = stored.decode().split()
+        known_stores = dict(part.split("=") for part in (host.disk.get(b"met") or b"").decode().split())
+        host.identity = self._parts.identity(
+            host.name, self.voters, store_id, StoreStatus(status) if stored else None, known_stores
+        )
+        self._write_identity(host)
+        self._announce(host, host.incarnation)
+
+    def _write_identity(self, host: SimulatedHost) -> None:
+        """Write the identity, durable at once."""
+        assert host.identity is not None
+        identity = host.identity
+        host.disk.write(
+            [
+                (b"who", f"{identity.store_id} {identity.status.value}".encode()),
+                (b"met", " ".join(f"{name}={store_id}" for name, store_id in identity.known_stores.items()).encode()),
+            ]
+        )
+        host.disk.sync(len(host.disk.pending))
+
+    def _announce(self, host: SimulatedHost, incarnation: int) -> None:
+        if host.incarnation != incarnation or host.name not in self.truth.up or host.participant is not None:
+            return
+        assert host.identity is not None
+        if host.identity.status is not StoreStatus.FORMING:
+            self._join(host)
+            return
+        for name in host.identity.awaited:
+            self._send(host, name, StoreAnnouncement(host.name, host.identity.store_id))
+        self._at(self.now + ANNOUNCE_INTERVAL_S, self._announce, host, incarnation)
+
+    def _join(self, host: SimulatedHost) -> None:
+        assert host.identity is not None
+        host.journal = self._parts.journal()
+        saved, leftovers = host.journal.load(host.disk.get)
+        host.disk.write(leftovers)
+        host.disk.sync(len(leftovers))
+        host.machine = KeyValueMachine()
+        host.participant = self._parts.participant(
+            host.identity.identity,
+            Membership(self.voters),
+            saved,
+            host.machine,
+            self.now,
+            random.Random(self._rng.random()),
+            self._settings,
+            self._parts.raft,
+        )
+        self._pump(host)
+
+    def _fault(self, fault: Fault) -> None:
+        self.truth.do(fault)
+        self.history.disturbances.append(self.now)
+        for name in fault.members if fault.what in ("crash", "leave", "restart", "wake", "wipe") else ():
+            host = self.hosts[name]
+            if fault.what in ("crash", "leave", "wipe"):
+                host.incarnation += 1
+                host.disk.crash(self._rng)
+                host.participant = None
+                if fault.what == "wipe":
+                    host.disk = Disk()
+            elif fault.what == "restart" and host.participant is None:
+                self._start(host)
+            elif fault.what == "wake":
+                messages, host.waiting = host.waiting, []
+                for sender, message in messages:
+                    self._receive(host, sender, message)
+                self._tick(host, host.timer)
+
+    def _is_frozen(self, host: SimulatedHost) -> bool:
+        return host.name in self.truth.stopped or (
+            (frozen_share := self.truth.slow.get(host.name, 0.0)) > 0 and self.now % 1.0 < frozen_share
+        )
+
+    def _pump(self, host: SimulatedHost) -> None:
+        member = host.participant
+        if member is None or host.busy:
+            return
+        while True:
+            if member.raft.log.bytes_since_snapshot > SNAPSHOT_AFTER_BYTES:
+                member.compact(self.now)
+            host.queue += member.drain_effects()
+            if not host.queue:
+                break
+            queue, host.queue = host.queue, []
+            operations = [
+                part for effect in queue if isinstance(effect, Persist) for part in host.journal.write(effect)
+            ]
+            if operations:
+                self.writes += 1
+                host.busy = True
+                host.disk.write(operations)
+                if self._parts.acknowledges_early:
+                    self._carry_out(host, queue)
+                    queue = []
+                done = self.now + self._rng.uniform(*self._write)
+                self._at(done, self._written, host, host.incarnation, len(operations), queue)
+                break
+            self._carry_out(host, queue)
+        self._arm(host)
+
+    def _arm(self, host: SimulatedHost) -> None:
+        assert host.participant is not None
+        host.timer += 1
+        self._at(max(self.now + 0.0005, host.participant.next_deadline()), self._tick, host, host.timer)
+
+    def _written(self, host: SimulatedHost, incarnation: int, count: int, queue: list[Effect]) -> None:
+        if host.incarnation != incarnation:
+            return
+        host.disk.sync(count)
+        if self._is_frozen(host):  # the disk has it, the process does not know yet
+            self._at(self.now + 0.05, self._written, host, incarnation, 0, queue)
+            return
+        host.busy = False
+        self._carry_out(host, queue)
+        self._pump(host)
+
+    def _carry_out(self, host: SimulatedHost, queue: list[Effect]) -> None:
+        member = host.participant
+        assert member is not None
+        for effect in queue:
+            match effect:
+                case Send():
+                    self._send(host, effect.to, effect.message)
+                case Apply() | Restore() | ReadReady():
+                    member.done(self.now, effect)
+                    self._observe(host)
+                case RequestCompleted():
+                    if (complete := host.tickets.pop(effect.ticket, None)) is not None:
+                        complete(effect.outcome)
+                case _:
+                    pass
+        self._observe(host)
+
+    def _observe(self, host: SimulatedHost) -> None:
+        member = host.participant
+        assert member is not None
+        role = member.raft.role.name.lower() if member.receives_log else "observer"
+        observation = Observation(
+            self.now,
+            host.name,
+            host.incarnation,
+            role,
+            member.raft.term,
+            member.state.applied_index,
+            member.state.log_digest.hex(),
+        )
+        last = self.history.observations[-1] if self.history.observations else None
+        if last is None or replace(observation, at=0.0) != replace(last, at=0.0):
+            self.history.observations.append(observation)
+
+    def _tick(self, host: SimulatedHost, timer: int) -> None:
+        if host.participant is None or timer != host.timer:
+            return
+        if self._is_frozen(host):
+            if host.name not in self.truth.stopped:
+                self._at(int(self.now) + self.truth.slow[host.name] + 0.001, self._tick, host, timer)
+            return
+        member = host.participant
+        member.set_alive(tuple(sorted(self.truth.up)))
+        member.tick(self.now)
+        self._pump(host)
+        if host.busy:
+            self._arm(host)
+
+    def _send(self, host: SimulatedHost, to: str, message: WireMessage) -> None:
+        assert host.identity is not None
+        self.messages += 1
+        target = self.hosts[node_name(to)]
+        if (host.name, target.name) in self.truth.cuts:
+            return
+        if self._wire:
+            message = decode(encode(message)[8:])
+        for _ in range(1 + (self._rng.random() < self.truth.duplicate)):
+            if self._rng.random() >= self.truth.loss:
+                delay = self._rng.uniform(*LINK_DELAY_S) + self.truth.delay * self._rng.random()
+                self._at(self.now + delay, self._arrive, target, host.identity.identity, message)
+
+    def _arrive(self, host: SimulatedHost, sender: str, message: WireMessage) -> None:
+        if host.name not in self.truth.up:
+            return
+        if self._is_frozen(host):
+            if len(host.waiting) < 256:
+                host.waiting.append((sender, message))
+            if host.name not in self.truth.stopped:
+                self._at(int(self.now) + self.truth.slow[host.name] + 0.001, self._thaw, host)
+            return
+        self._receive(host, sender, message)
+
+    def _thaw(self, host: SimulatedHost) -> None:
+        messages, host.waiting = host.waiting, []
+        for sender, message in messages:
+            self._arrive(host, sender, message)
+
+    def _receive(self, host: SimulatedHost, sender: str, message: WireMessage) -> None:
+        if isinstance(message, StoreAnnouncement | StoreAcknowledgement):
+            self._receive_identity(host, sender, message)
+        elif host.participant is not None and not isinstance(message, Hello):
+            host.participant.directory.learn(sender, 1)
+            host.participant.receive(self.now, sender, message)
+            self._pump(host)
+
+    def _receive_identity(
+        self, host: SimulatedHost, sender: str, message: StoreAnnouncement | StoreAcknowledgement
+    ) -> None:
+        identity = host.identity
+        assert identity is not None
+        if isinstance(message, StoreAcknowledgement):
+            if identity.receive_acknowledgement(node_name(sender), message):
+                self._write_identity(host)
+                self._announce(host, host.incarnation)
+        elif (answer := identity.acknowledge(node_name(sender), message)) is not None:
+            self._write_identity(host)
+            self._send(host, sender, answer)
+
+    def _issue_request(self) -> None:
+        self._at(self.now + self._every * 2 * self._rng.random(), self._issue_request)
+        if self.truth.loss or self.truth.slow or self.truth.delay:
+            self.history.disturbances.append(self.now)
+        name = self._rng.choice(list(self.hosts))
+        if self.now <= self.schedule.seconds - REQUEST_TIMEOUT_S - 1.0:
+            self._request(self.hosts[name], self._rng.choice(("set", "set", "get")))
+
+    def _request(self, host: SimulatedHost, operation: str) -> None:
+        member = host.participant
+        if member is None or self._is_frozen(host):
+            return
+        name = f"k{self._rng.randrange(KEY_COUNT)}"
+        request = ClientRequest(
+            operation, host.name, name, f"v{next(self._values)}" if operation == "set" else "", self.now
+        )
+        self.history.requests.append(request)
+        if operation == "get":
+            host.tickets[member.read(self.now, self.now + REQUEST_TIMEOUT_S)] = lambda outcome: self._read_completed(
+                host, request, outcome
+            )
+        else:
+            id = member.new_proposal_id()
+            data = pack_assignment(name, request.value.encode())
+            ticket = member.propose(self.now, id, data, self.now + REQUEST_TIMEOUT_S)
+            host.tickets[ticket] = lambda outcome: self._proposal_completed(host, request, id, data, outcome)
+        self._pump(host)
+
+    def _read_completed(self, host: SimulatedHost, request: ClientRequest, outcome: Outcome) -> None:
+        if outcome.state is OutcomeState.COMMITTED and host.participant is not None:
+            stored = host.machine.values.get(request.key)
+            request.up_to_index = host.participant.state.applied_index  # it may show more than the read asked for
+            if stored is not None:
+                request.value, request.at_index, request.times_set = (
+                    stored.value.decode(),
+                    stored.at_index,
+                    stored.times_set,
+                )
+        request.ended, request.outcome = self.now, outcome.state.name.lower()
+
+    def _proposal_completed(
+        self, host: SimulatedHost, request: ClientRequest, id: bytes, data: bytes, outcome: Outcome
+    ) -> None:
+        """Record the outcome; a client that does not know it retries, in half of the cases at another node."""
+        if outcome.state is OutcomeState.UNKNOWN and request.began < self.schedule.seconds - 4 * REQUEST_TIMEOUT_S:
+            other = host if self._rng.random() < 0.5 else self._rng.choice(list(self.hosts.values()))
+            self._at(self.now + 0.5 * self._rng.random(), self._retry, other, request, id, data)
+            return
+        request.ended, request.outcome, request.at_index = self.now, outcome.state.name.lower(), outcome.at_index
+
+    def _retry(self, host: SimulatedHost, request: ClientRequest, id: bytes, data: bytes) -> None:
+        member = host.participant
+        if member is None or self._is_frozen(host):
+            self._at(self.now + 1.0, self._retry, self._rng.choice(list(self.hosts.values())), request, id, data)
+            return
+        void = self._rng.random() < 0.3
+        ticket = member.propose(
+            self.now, id, b"" if void else data, self.now + REQUEST_TIMEOUT_S, repeated=True, void=void
+        )
+        host.tickets[ticket] = lambda outcome: self._proposal_completed(host, request, id, data, outcome)
+        self._pump(host)
+
+    def _change_membership(self) -> None:
+        """Have an operator add or remove a voter."""
+        if self.now > self.history.settled_at - 5.0:
+            return  # the history must settle: also a leadership transfer rejects proposals for a moment
+        self._at(self.now + self._changes * (0.5 + self._rng.random()), self._change_membership)
+        for host in self.hosts.values():
+            member = host.participant
+            if member is None or member.raft.role is not Role.LEADER or self._is_frozen(host):
+                continue
+            members = member.raft.membership
+            identities = [node.identity for node in member.directory.known.values()]
+            outside = [identity for identity in identities if identity not in members.everybody]
+            if members.learners:
+                new = Membership((*members.voters, members.learners[0]), members.learners[1:])
+            elif len(members.voters) > 3 or not outside:
+                removed = self._rng.choice(members.voters)
+                new = Membership(tuple(name for name in members.voters if name != removed), members.learners)
+            else:
+                new = Membership(members.voters, (self._rng.choice(outside),))
+            if len(new.voters) < 3:
+                continue
+            try:
+                if member.name not in new.voters:  # a leader transfers its leadership first
+                    member.transfer_leadership(self.now, next(iter(member.raft.voters_by_lag())))
+                else:
+                    member.change_membership(self.now, new)
+            except RejectedError:
+                continue
+            self.history.disturbances.append(self.now)
+            self._pump(host)
--- a/tests/consensus_mutants.py
+++ b/tests/consensus_mutants.py
@@ -9,7 +9,7 @@
 from chutepin.consensus.messages import RequestVote
 from chutepin.consensus.participant import Participant
 from chutepin.consensus.replicated_state import ReplicatedState, StateMachine, new_proposal_id
-from chutepin.lab.quorum import Parts
+from chutepin.lab.consensus_hosts import Parts
 
 
 class NoPreVote(RaftNode):
@@ -103,12 +103,12 @@
 
 # A planted error, the schedule that brings it out, and the claim that must find it.
 PLANTED: dict[str, tuple[Parts, str, str]] = {
-    "acknowledged before the sync": (Parts(acknowledges_early=True), "blackout", "one_state_at_an_index"),
-    "no pre-vote": (Parts(raft=NoPreVote), "deaf", "a_leader_stands"),
-    "reads without a check": (Parts(raft=ReadsAtOnce), "lone", "order_is_that_of_time"),
-    "a snapshot that skips one": (Parts(participant=SnapshotSkips), "power", "one_state_at_an_index"),
-    "sessions forgotten": (Parts(participant=SessionsForgotten), "lossy", "every_proposal_counts_once"),
-    "ids that repeat": (Parts(participant=IdsRepeat), "calm", "every_entry_is_one_proposal"),
-    "a lost disk votes": (Parts(identity=LostDiskVotes), "wiped", "one_state_at_an_index"),
-    "what is not agreed is told": (Parts(participant=TellsUnagreed), "parted", "one_state_at_an_index"),
+    "acknowledged before the sync": (Parts(acknowledges_early=True), "blackout", "equal_logs_up_to_equal_index"),
+    "no pre-vote": (Parts(raft=NoPreVote), "deaf", "leader_changes_have_a_cause"),
+    "reads without a check": (Parts(raft=ReadsAtOnce), "lone", "requests_are_linearizable"),
+    "a snapshot that skips one": (Parts(participant=SnapshotSkips), "power", "equal_logs_up_to_equal_index"),
+    "sessions forgotten": (Parts(participant=SessionsForgotten), "lossy", "proposals_are_applied_once"),
+    "ids that repeat": (Parts(participant=IdsRepeat), "calm", "one_proposal_per_index"),
+    "a lost disk votes": (Parts(identity=LostDiskVotes), "wiped", "equal_logs_up_to_equal_index"),
+    "what is not agreed is told": (Parts(participant=TellsUnagreed), "parted", "equal_logs_up_to_equal_index"),
 }
--- a/tests/test_assembly.py
+++ b/tests/test_assembly.py
@@ -19,8 +19,8 @@
 from chutepin.config.consensus import ConsensusSetup
 from chutepin.consensus.subsystem import ConsensusSubsystem
 from chutepin.counters import Counters
-from chutepin.lab.assembly import Assembly, play
-from chutepin.lab.claims import broken
+from chutepin.lab.consensus_fleet import Assembly, play
+from chutepin.lab.consensus_invariants import violations
 from chutepin.lab.faults import Fault, Schedule, split
 from chutepin.logs import Log
 from chutepin.store import Store, StoreFullError
@@ -90,9 +90,9 @@
 
 @pytest.mark.parametrize("name", SCHEDULES)
 def test_every_claim_holds_of_real_processes(name: str) -> None:
-    record = asyncio.run(play(SCHEDULES[name], 1))
-    assert broken(record) == {}
-    assert len(record.agreed()) > 60 and len(record.reads()) > 20 and len(record.showed) > 300
+    history = asyncio.run(play(SCHEDULES[name], 1))
+    assert violations(history) == {}
+    assert len(history.committed_sets()) > 60 and len(history.answered_reads()) > 20 and len(history.observations) > 300
 
 
 async def until(holds: Callable[[], Awaitable[object]]) -> None:
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -24,7 +24,7 @@
 from chutepin.consensus.leadership import Leadership
 from chutepin.consensus.messages import AppendEntries, AppendEntriesReply, RaftMessage, RequestVote, RequestVoteReply
 from chutepin.consensus.state import NodeState
-from chutepin.lab.explorer import Scope, explore, walk
+from chutepin.lab.model_checker import Scope, explore, walk
 
 THREE = Membership(("v1", "v2", "v3"))
 
--- a/tests/test_quorum.py
+++ b/tests/test_quorum.py
@@ -18,9 +18,11 @@
 from chutepin.consensus.messages import AppendEntries, InstallSnapshotChunk
 from chutepin.consensus.protocol import FetchReply, FetchRequest, ForwardProposal, Greeting, ProposalRejected
 from chutepin.consensus.replicated_state import Outcome, OutcomeState
-from chutepin.lab.claims import Record, broken
+from chutepin.lab.consensus_history import ConsensusHistory
+from chutepin.lab.consensus_hosts import Disk, Parts
+from chutepin.lab.consensus_invariants import violations
+from chutepin.lab.consensus_simulator import WRITE_DURATION_S, Simulator
 from chutepin.lab.faults import Fault, Schedule, draw, split
-from chutepin.lab.quorum import WRITE, Disk, Parts, Simulator
 
 from .consensus_mutants import PLANTED
 from .helper import STEPS
@@ -122,27 +124,29 @@
 }
 
 
-def played(name: str, seed: int, parts: Parts = SOUND) -> Record:
-    every, write = {"blackout": (0.02, (0.001, 0.06)), "lone": (0.015, WRITE)}.get(name, (0.05, WRITE))
+def played(name: str, seed: int, parts: Parts = SOUND) -> ConsensusHistory:
+    every, write = {"blackout": (0.02, (0.001, 0.06)), "lone": (0.015, WRITE_DURATION_S)}.get(
+        name, (0.05, WRITE_DURATION_S)
+    )
     return Simulator(SCHEDULES[name](random.Random(seed)), seed, parts=parts, every=every, write=write).run()
 
 
 @pytest.mark.parametrize("name", SCHEDULES)
 @pytest.mark.parametrize("seed", range(2))
 def test_every_claim_holds_under_one_kind_of_fault(name: str, seed: int) -> None:
-    record = played(name, seed)
-    assert broken(record) == {}
-    assert len(record.agreed()) > 50 and len(record.reads()) > 20
+    history = played(name, seed)
+    assert violations(history) == {}
+    assert len(history.committed_sets()) > 50 and len(history.answered_reads()) > 20
 
 
 @pytest.mark.parametrize("first", range(0, 24, 4))
 def test_every_claim_holds_under_drawn_faults_and_changes_of_voters(first: int) -> None:
     for seed in range(first, first + 4):
         schedule = draw(seed, (5, 7, 4)[seed % 3], 60.0)
-        record = Simulator(
+        history = Simulator(
             schedule, seed, voters=5 if seed % 3 == 1 else 3, wire=seed % 4 == 0, changes=4.0 * (seed % 2)
         ).run()
-        assert broken(record) == {}, f"seed {seed}"
+        assert violations(history) == {}, f"seed {seed}"
 
 
 def test_one_seed_is_one_record() -> None:
@@ -153,18 +157,18 @@
 
 @pytest.mark.parametrize("planted", PLANTED)
 def test_every_planted_error_is_found(planted: str) -> None:
-    parts, schedule, claim = PLANTED[planted]
-    assert seeds_needed(parts, schedule, claim, 40) < 40
+    parts, schedule, invariant = PLANTED[planted]
+    assert seeds_needed(parts, schedule, invariant, 40) < 40
 
 
-def seeds_needed(parts: Parts, schedule: str, claim: str, most: int) -> int:
+def seeds_needed(parts: Parts, schedule: str, invariant: str, most: int) -> int:
     """The first seed under which the claim is broken."""
     for seed in range(most):
         try:
-            found = broken(played(schedule, seed, parts))
+            found = violations(played(schedule, seed, parts))
         except (AssertionError, JournalError):  # an invariant of the core's own was there first
             continue
-        if claim in found:
+        if invariant in found:
             return seed
     return most
 
@@ -205,8 +209,8 @@
         ),
     )
     simulator = Simulator(late, 3, every=0.02)
-    record = simulator.run()
-    assert broken(record) == {}
+    history = simulator.run()
+    assert violations(history) == {}
     applied = {
         name: host.participant.state.applied_index
         for name, host in simulator.hosts.items()
@@ -234,7 +238,7 @@
     disk, journal, model = Disk(), Journal(), PersistentState()
     for _ in range(rng.randrange(1, 25)):
         change = drawn_change(rng, model)
-        disk.lay(journal.write(change))
+        disk.write(journal.write(change))
         after = replace(model, entries=model.entries[:])
         after.persist(change)
         if rng.random() < 0.3:
@@ -243,7 +247,7 @@
             check_between(loaded, model, after)
             journal, model = Journal(), loaded
             journal.load(disk.get)
-            disk.lay(rest)
+            disk.write(rest)
             model = replace(loaded, entries=loaded.entries[:])
         else:
             model = after
@@ -290,8 +294,8 @@
 
 def test_a_damaged_journal_is_refused() -> None:
     disk, journal = Disk(), Journal()
-    disk.lay(journal.write(Persist(1, "n1", 1, (entry(1, 1), entry(2, 1), entry(3, 1)))))
-    disk.lay(journal.write(Persist(1, "n1", 0, (), Snapshot(3, 1, Membership(("n1",)), b"state"), 1)))
+    disk.write(journal.write(Persist(1, "n1", 1, (entry(1, 1), entry(2, 1), entry(3, 1)))))
+    disk.write(journal.write(Persist(1, "n1", 0, (), Snapshot(3, 1, Membership(("n1",)), b"state"), 1)))
     disk.sync(len(disk.pending))
     for key, value in (
         (entry_key(2), None),
@@ -301,7 +305,7 @@
     ):
         hurt = Disk()
         hurt.durable = dict(disk.durable)
-        hurt.lay([(key, value)])
+        hurt.write([(key, value)])
         hurt.sync(1)
         with pytest.raises(JournalError):
             Journal().load(hurt.get)
@@ -310,7 +314,7 @@
 # --- words ---
 
 CHANGE = Entry(4, 3, EntryKind.VOTERS, b"", Membership(("n1", "n2"), ("n3~a",)))
-MESSAGE_TYPES: list[WireMessage] = [
+MESSAGES: list[WireMessage] = [
     Hello("fleet", "n1", "n1~ab", "n2", 1),
     AppendEntries(3, 2, 1, (entry(3, 2), CHANGE), 2, 9),
     InstallSnapshotChunk(1, 5, 1, Membership(("n1",)), 3, 77, 0, b"abc", 4),
@@ -324,10 +328,10 @@
 
 
 def test_words_come_out_of_their_bytes_as_they_went_in_however_they_are_cut() -> None:
-    data = b"".join(map(encode, MESSAGE_TYPES))
+    data = b"".join(map(encode, MESSAGES))
     for step in (1, 7, len(data)):
         reader = FrameReader()
-        assert [word for at in range(0, len(data), step) for word in reader.feed(data[at : at + step])] == MESSAGE_TYPES
+        assert [word for at in range(0, len(data), step) for word in reader.feed(data[at : at + step])] == MESSAGES
 
 
 @STEPS
@@ -337,7 +341,7 @@
         FrameReader().feed(data)
     except CodecError:
         pass
-    for word in MESSAGE_TYPES:
+    for word in MESSAGES:
         frame = bytearray(encode(word)[8:])
         if data:
             frame[len(data) % len(frame)] ^= data[0]
