--- a/benchmarks/equality.py
+++ b/benchmarks/equality.py
@@ -21,7 +21,7 @@
 from chutepin.testbench.faults.schedule import draw
 from chutepin.testbench.scale.virtual import simulate as simulate_scale
 from chutepin.testbench.scale.workload import Load
-from chutepin.testbench.simulators import consensus as quorum
+from chutepin.testbench.simulators import consensus as consensus_simulator
 from chutepin.testbench.simulators.consensus import Simulator as ConsensusSimulator
 from chutepin.testbench.simulators.membership import Simulator as MembershipSimulator
 from tests.decision_world import play
@@ -75,21 +75,27 @@
 def consensus_figures(seed: int) -> dict[str, Any]:
     """One drawn schedule of faults among five members with changes of voters, every message through its bytes."""
     schedule = replace(draw(seed, 5, 60.0), seconds=90.0)
-    simulator = ConsensusSimulator(schedule, seed, voters=3, changes=4.0, wire=True, settings=quorum.SETTINGS)
-    record = simulator.run()
-    asked = [
-        f"{one.member} {one.name} {one.value} {one.began!r} {one.ended!r} {one.at} {one.up_to_index} {one.times}"
-        for one in record.asked
+    simulator = ConsensusSimulator(
+        schedule, seed, voters=3, changes=4.0, wire=True, settings=consensus_simulator.SETTINGS
+    )
+    history = simulator.run()
+    requests = [
+        f"{one.member} {one.key} {one.value} {one.began!r} {one.ended!r} "
+        f"{one.at_index} {one.up_to_index} {one.times_set}"
+        for one in history.requests
+    ]
+    observations = [
+        f"{one.at!r} {one.member} {one.incarnation} {one.term} {one.applied_index} {one.log_digest}"
+        for one in history.observations
     ]
-    showed = [f"{one.at!r} {one.member} {one.life} {one.term} {one.applied_index} {one.chain}" for one in record.showed]
     return {
-        "messages": simulator.words,
+        "messages": simulator.messages,
         "writes": simulator.writes,
-        "asked": len(asked),
-        "outcome_counts": sorted(Counter(one.outcome for one in record.asked).values()),
-        "asked_sha256": digest(asked),
-        "showed": len(showed),
-        "showed_sha256": digest(showed),
+        "asked": len(requests),
+        "outcome_counts": sorted(Counter(one.outcome for one in history.requests).values()),
+        "asked_sha256": digest(requests),
+        "showed": len(observations),
+        "showed_sha256": digest(observations),
     }
 
 
--- a/chutepin/testbench/checks/consensus_invariants.py
+++ b/chutepin/testbench/checks/consensus_invariants.py
@@ -1,190 +1,148 @@
-"""What must hold of a log in common, as functions of what was seen from outside: one text for simulator and real
-processes.
+"""What must hold of a replicated log, as functions of its history; the same for the simulator and for real processes.
 
-Each takes a record and gives the faults it found as lines; none is right. Values that are set are all different, so a
-value tells who set it."""
+Each invariant yields one line for each violation."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterator
-from dataclasses import dataclass, field
 
-CAUSE = 10.0  # seconds for which a trouble explains that another one leads
+from chutepin.testbench.checks.consensus_history import NEVER, ClientRequest, ConsensusHistory, Observation
 
+CAUSE_S = 10.0  # for so long a disturbance explains a change of leader
+MAX_REPORTED = 20  # violations of one invariant
 
-@dataclass(slots=True)
-class Asked:
-    """A name was set or read at a member. `outcome`: committed, rejected, unknown (also: no answer). Of a read, `at`
-    is the entry that set what it showed (0: not set), `up_to_index` the index that it was good for, `times` how often
-    the name was set."""
 
-    what: str  # set, get
-    member: str
-    name: str
-    value: str
-    began: float
-    ended: float = float("inf")
-    outcome: str = "unknown"
-    at: int = 0
-    up_to_index: int = 0
-    times: int = 0
-    id: str = ""
-
-
-@dataclass(frozen=True, slots=True)
-class Showed:
-    """What one life of a member showed of itself."""
-
-    at: float
-    member: str
-    life: int
-    role: str
-    term: int
-    applied_index: int
-    chain: str
-
-
-@dataclass(slots=True)
-class Record:
-    """All that was asked and seen; `settled` is when nothing was broken any more."""
-
-    asked: list[Asked] = field(default_factory=list)
-    showed: list[Showed] = field(default_factory=list)
-    settled: float = float("inf")
-    troubles: list[float] = field(default_factory=list)  # when something was done to members or links, or went on
-
-    def agreed(self) -> list[Asked]:
-        """Sets that were agreed."""
-        return [asked for asked in self.asked if asked.what == "set" and asked.outcome == "committed"]
-
-    def reads(self) -> list[Asked]:
-        """Reads that were answered."""
-        return [asked for asked in self.asked if asked.what == "get" and asked.outcome == "committed"]
-
-    def names(self) -> list[str]:
-        """All names that were asked for."""
-        return sorted({asked.name for asked in self.asked})
-
-
-def one_leader_a_term(record: Record) -> Iterator[str]:
-    """In no term two members lead."""
+def one_leader_per_term(history: ConsensusHistory) -> Iterator[str]:
+    """No two members lead in one term."""
     leaders: dict[int, str] = {}
-    for showed in record.showed:
-        if showed.role == "leader" and leaders.setdefault(showed.term, showed.member) != showed.member:
-            yield f"{showed.at:.2f} {showed.member} leads in term {showed.term}, so does {leaders[showed.term]}"
+    for seen in history.observations:
+        if seen.role == "leader" and leaders.setdefault(seen.term, seen.member) != seen.member:
+            yield f"{seen.at:.2f} {seen.member} leads in term {seen.term}, so does {leaders[seen.term]}"
 
 
-def one_state_at_an_index(record: Record) -> Iterator[str]:
-    """Whoever has applied all up to an index has applied the same, in the same order."""
+def equal_logs_up_to_equal_index(history: ConsensusHistory) -> Iterator[str]:
+    """Members that have applied all up to an index have applied the same entries in the same order."""
     known: dict[int, tuple[str, str]] = {}
-    for showed in record.showed:
-        chain, member = known.setdefault(showed.applied_index, (showed.chain, showed.member))
-        if showed.applied_index and chain != showed.chain:
-            yield f"{showed.at:.2f} {showed.member} differs from {member} at {showed.applied_index}"
+    for seen in history.observations:
+        digest, member = known.setdefault(seen.applied_index, (seen.log_digest, seen.member))
+        if seen.applied_index and digest != seen.log_digest:
+            yield f"{seen.at:.2f} {seen.member} differs from {member} at {seen.applied_index}"
 
 
-def nobody_goes_back(record: Record) -> Iterator[str]:
-    """In one life what was applied and the term only rise."""
-    last: dict[tuple[str, int], Showed] = {}
-    for showed in record.showed:
-        before = last.get((showed.member, showed.life))
-        if before is not None and (showed.applied_index < before.applied_index or showed.term < before.term):
-            yield f"{showed.at:.2f} {showed.member} went back from {before.applied_index} to {showed.applied_index}"
-        last[showed.member, showed.life] = showed
+def applied_index_and_term_never_decrease(history: ConsensusHistory) -> Iterator[str]:
+    """In one incarnation of a member the applied index and the term only rise."""
+    last: dict[tuple[str, int], Observation] = {}
+    for seen in history.observations:
+        before = last.get((seen.member, seen.incarnation))
+        if before is not None and (seen.applied_index < before.applied_index or seen.term < before.term):
+            yield f"{seen.at:.2f} {seen.member} went back from {before.applied_index} to {seen.applied_index}"
+        last[seen.member, seen.incarnation] = seen
 
 
-def every_entry_is_one_proposal(record: Record) -> Iterator[str]:
-    """An index is agreed for one proposal, and a proposal at one index."""
+def one_proposal_per_index(history: ConsensusHistory) -> Iterator[str]:
+    """An index holds one proposal, and a proposal is committed at one index."""
     by_index: dict[int, str] = {}
     by_value: dict[str, int] = {}
-    for asked in record.agreed():
-        if by_index.setdefault(asked.at, asked.value) != asked.value:
-            yield f"{asked.value} and {by_index[asked.at]} are both agreed at {asked.at}"
-        if by_value.setdefault(asked.value, asked.at) != asked.at:
-            yield f"{asked.value} is agreed at {asked.at} and at {by_value[asked.value]}"
-
-
-def order_is_that_of_time(record: Record) -> Iterator[str]:
-    """Linearizable, with the index as witness: what ended before something else began stands before it."""
-    for name in record.names():
-        sets = [asked for asked in record.agreed() if asked.name == name]
-        reads = sorted((asked for asked in record.reads() if asked.name == name), key=lambda asked: asked.began)
-        ended = sorted(sets, key=lambda asked: asked.ended)
-        for asked in sets + reads:
-            before = [other.at for other in ended if other.ended < asked.began]
-            if before and (asked.at <= max(before) if asked.what == "set" else asked.at < max(before)):
-                yield f"{asked.began:.3f} {asked.member} {asked.what} {name}: {asked.at}, {max(before)} was before"
-        highest = sorted(reads, key=lambda asked: asked.ended)
+    for request in history.committed_sets():
+        index, value = request.at_index, request.value
+        if by_index.setdefault(index, value) != value:
+            yield f"{value} and {by_index[index]} are both committed at {index}"
+        if by_value.setdefault(value, index) != index:
+            yield f"{value} is committed at {index} and at {by_value[value]}"
+
+
+def requests_are_linearizable(history: ConsensusHistory) -> Iterator[str]:
+    """What ended before a request began stands before it in the log; the index is the witness."""
+    for key in history.keys():
+        sets = [one for one in history.committed_sets() if one.key == key]
+        reads = sorted((one for one in history.answered_reads() if one.key == key), key=lambda one: one.began)
+        yield from _follow_earlier_sets(key, sets, reads)
         for read in reads:
-            seen = [other.at for other in highest if other.ended < read.began]
-            if seen and read.at < max(seen):
-                yield f"{read.began:.3f} {read.member} reads {name} as of {read.at}, {max(seen)} was read before"
+            earlier = [other.at_index for other in reads if other.ended < read.began]
+            if earlier and read.at_index < max(earlier):
+                yield (
+                    f"{read.began:.3f} {read.member} reads {key} as of {read.at_index}, {max(earlier)} was read before"
+                )
 
 
-def reads_show_what_was_set(record: Record) -> Iterator[str]:
-    """What is read was set by somebody, at the index that the setter was told, not refused, and not in the future."""
-    sets = {asked.value: asked for asked in record.asked if asked.what == "set"}
-    for read in record.reads():
-        if not read.at:
+def _follow_earlier_sets(key: str, sets: list[ClientRequest], reads: list[ClientRequest]) -> Iterator[str]:
+    for request in sets + reads:
+        earlier = [other.at_index for other in sets if other.ended < request.began]
+        if not earlier:
+            continue
+        is_set = request.operation == "set"
+        if request.at_index < max(earlier) or (is_set and request.at_index == max(earlier)):
+            yield (
+                f"{request.began:.3f} {request.member} {request.operation} {key}: {request.at_index}, "
+                f"{max(earlier)} was before"
+            )
+
+
+def reads_return_set_values(history: ConsensusHistory) -> Iterator[str]:
+    """What is read was set by a client, at the index that it was told, not rejected, and not in the future."""
+    sets = {one.value: one for one in history.requests if one.operation == "set"}
+    for read in history.answered_reads():
+        if not read.at_index:
             continue
-        asked = sets.get(read.value)
-        if asked is None or asked.name != read.name or asked.began > read.ended:
-            yield f"{read.began:.3f} {read.member} reads {read.name} as {read.value}, which nobody had set"
-        elif asked.outcome == "rejected" or (asked.outcome == "committed" and asked.at != read.at):
-            yield f"{read.began:.3f} {read.member} reads {read.value} of {read.at}; it was {asked.outcome} {asked.at}"
-
-
-def every_proposal_counts_once(record: Record) -> Iterator[str]:
-    """A name was set as often as sets of it were agreed, those that may have been not counted for sure."""
-    for name in record.names():
-        sets = {asked.value: asked for asked in record.asked if asked.what == "set" and asked.name == name}
-        for read in record.reads():
-            if read.name != name:
+        setter = sets.get(read.value)
+        where = f"{read.began:.3f} {read.member}"
+        if setter is None or setter.key != read.key or setter.began > read.ended:
+            yield f"{where} reads {read.key} as {read.value}, which nobody had set"
+        elif setter.outcome == "rejected" or (setter.outcome == "committed" and setter.at_index != read.at_index):
+            yield f"{where} reads {read.value} of {read.at_index}; it was {setter.outcome} {setter.at_index}"
+
+
+def proposals_are_applied_once(history: ConsensusHistory) -> Iterator[str]:
+    """A key was set as often as sets of it were committed; unknown ones may count or not."""
+    for key in history.keys():
+        sets = [one for one in history.requests if one.operation == "set" and one.key == key]
+        for read in history.answered_reads():
+            if read.key != key:
                 continue
-            sure = sum(asked.outcome == "committed" and asked.at <= read.up_to_index for asked in sets.values())
-            perhaps = sum(asked.outcome == "unknown" and asked.began < read.ended for asked in sets.values())
-            if not sure <= read.times <= sure + perhaps:
+            committed = sum(one.outcome == "committed" and one.at_index <= read.up_to_index for one in sets)
+            unknown = sum(one.outcome == "unknown" and one.began < read.ended for one in sets)
+            if not committed <= read.times_set <= committed + unknown:
                 yield (
-                    f"{read.began:.3f} {read.member}: {name} was set {read.times} times, {sure} were agreed, "
-                    f"{perhaps} may have been"
+                    f"{read.began:.3f} {read.member}: {key} was set {read.times_set} times, {committed} were "
+                    f"committed, {unknown} may have been"
                 )
 
 
-def it_agrees_when_well(record: Record) -> Iterator[str]:
-    """Once nothing is broken any more, what is asked is agreed."""
-    late = [asked for asked in record.asked if asked.began > record.settled]
-    if record.settled < float("inf") and not late:
+def requests_succeed_after_faults(history: ConsensusHistory) -> Iterator[str]:
+    """Once no fault is active any more, requests are committed."""
+    late = [one for one in history.requests if one.began > history.settled_at]
+    if history.settled_at < NEVER and not late:
         yield "nothing was asked in the end"
-    for asked in late:
-        if asked.outcome != "committed":
-            yield f"{asked.began:.2f} {asked.member} {asked.what} {asked.name}: {asked.outcome}"
-
-
-def a_leader_stands(record: Record) -> Iterator[str]:
-    """Nobody takes over without a cause in the last seconds."""
-    first: dict[int, Showed] = {}
-    for showed in record.showed:
-        if showed.role == "leader":
-            first.setdefault(showed.term, showed)
-    for showed in first.values():
-        if not any(0 <= showed.at - trouble <= CAUSE for trouble in (0.0, *record.troubles)):
-            yield f"{showed.at:.2f} {showed.member} took over in term {showed.term}; nothing had happened"
-
-
-CLAIMS: tuple[Callable[[Record], Iterator[str]], ...] = (
-    one_leader_a_term,
-    one_state_at_an_index,
-    nobody_goes_back,
-    every_entry_is_one_proposal,
-    order_is_that_of_time,
-    reads_show_what_was_set,
-    every_proposal_counts_once,
-    it_agrees_when_well,
-    a_leader_stands,
+    for request in late:
+        if request.outcome != "committed":
+            yield f"{request.began:.2f} {request.member} {request.operation} {request.key}: {request.outcome}"
+
+
+def leader_changes_have_a_cause(history: ConsensusHistory) -> Iterator[str]:
+    """No member becomes the leader without a disturbance in the last seconds."""
+    first: dict[int, Observation] = {}
+    for seen in history.observations:
+        if seen.role == "leader":
+            first.setdefault(seen.term, seen)
+    for seen in first.values():
+        if not any(0 <= seen.at - disturbance <= CAUSE_S for disturbance in (0.0, *history.disturbances)):
+            yield f"{seen.at:.2f} {seen.member} took over in term {seen.term}; nothing had happened"
+
+
+INVARIANTS: tuple[Callable[[ConsensusHistory], Iterator[str]], ...] = (
+    one_leader_per_term,
+    equal_logs_up_to_equal_index,
+    applied_index_and_term_never_decrease,
+    one_proposal_per_index,
+    requests_are_linearizable,
+    reads_return_set_values,
+    proposals_are_applied_once,
+    requests_succeed_after_faults,
+    leader_changes_have_a_cause,
 )
 
 
-def broken(record: Record) -> dict[str, list[str]]:
-    """Which claims do not hold, and how that shows."""
-    found = {claim.__name__: list(claim(record)) for claim in CLAIMS}
-    return {name: lines[:20] for name, lines in found.items() if lines}
+def violations(history: ConsensusHistory) -> dict[str, list[str]]:
+    """Return the violations of each invariant that does not hold, by its name."""
+    found = {invariant.__name__: list(invariant(history)) for invariant in INVARIANTS}
+    return {name: lines[:MAX_REPORTED] for name, lines in found.items() if lines}
