--- a/benchmarks/equality.py
+++ b/benchmarks/equality.py
@@ -25,7 +25,7 @@
 from chutepin.lab.scale.workload import Load
 from chutepin.lab.simulator import Simulator as MembershipSimulator
 from tests.decision_world import play
-from tests.test_decision_rules import ODD
+from tests.test_decision_rules import SETTINGS_VARIANTS
 
 KEPT = Path(__file__).parents[1] / "tests" / "data" / "equality.json"
 DECISION_SEEDS = (1,)
@@ -43,7 +43,7 @@
 def decision_figures() -> dict[str, Any]:
     """The decision module's actions, as the simulator's wire has them, under every kind of settings."""
     figures = {}
-    for name, settings in ODD.items():
+    for name, settings in SETTINGS_VARIANTS.items():
         lines = [format_action(action, "i") for seed in DECISION_SEEDS for action in play(settings, seed).log]
         figures[name] = {"actions": len(lines), "sha256": digest(lines)}
     return figures
--- a/tests/decision_world.py
+++ b/tests/decision_world.py
@@ -1,6 +1,6 @@
-"""Random but legal event sequences for one instance, with the four rules checked on its actions.
+"""Random but legal event sequences for one decision instance, with the four rules checked on its actions.
 
-This is no model of a server: it knows nothing of speed. It only keeps the books that the rules need.
+This is no model of a server, as it knows nothing of speed; it only counts what the rules need.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from chutepin.decision import Cancellation, Idempotency, LoadSignal, Outcome, RequestClass, Settings, Tenant
 from chutepin.decision.policy import Policy
 
-SAFE = RequestClass("view", Idempotency.IDEMPOTENT, 1.0, 0.8, 2.0, 0.2, 0.0, True, 0.5)
-KEYED = RequestClass("pay", Idempotency.KEYED, 4.0, 1.0, 2.5, 0.2, 3.0, True)
-UNSAFE = RequestClass("send", Idempotency.NOT_IDEMPOTENT, 2.0, 1.0, 2.5, 0.0, 0.0, True)
+IDEMPOTENT_CLASS = RequestClass("view", Idempotency.IDEMPOTENT, 1.0, 0.8, 2.0, 0.2, 0.0, True, 0.5)
+KEYED_CLASS = RequestClass("pay", Idempotency.KEYED, 4.0, 1.0, 2.5, 0.2, 3.0, True)
+NOT_IDEMPOTENT_CLASS = RequestClass("send", Idempotency.NOT_IDEMPOTENT, 2.0, 1.0, 2.5, 0.0, 0.0, True)
 
 BASE = Settings(
-    classes=(SAFE, KEYED, UNSAFE),
+    classes=(IDEMPOTENT_CLASS, KEYED_CLASS, NOT_IDEMPOTENT_CLASS),
     cores=2,
     memory=4000.0,
     tenants=(Tenant("a", 0.5, 20.0), Tenant("b", 0.5, 5.0)),
@@ -61,7 +61,7 @@
     arrived: float
     due: float
     read: float
-    state: str = "held"  # held, running, at_call, calling, sharing, over
+    state: str = "queued"  # queued, running, at_call, calling, sharing, over
     answered: bool = False
     gone: bool = False
     ran: bool = False
@@ -78,9 +78,9 @@
     speed: float = 3.0  # runs ended a second, on average, for each core
     call_failures: float = 0.3
     callers: int = 3
-    dues: float = 0.9  # requests that tell how long their caller waits
-    leaves: float = 0.1  # callers a second that leave, and are heard of
-    marks: float = 0.0  # requests marked as further tries
+    deadline_share: float = 0.9  # of the requests, those that pass a deadline
+    disconnects_per_s: float = 0.1  # for each request
+    marked_share: float = 0.0  # of the requests, those marked as retries
     now: float = 100.0
     drain_at: float | None = None
     stop_at: float = 0.0
@@ -115,7 +115,7 @@
         fired = [token for at, token in self.timers if at <= self.now]
         self.timers = [timer for timer in self.timers if timer[0] > self.now]
         events += [decision.TimerFired(token, (self.rng.random(),)) for token in fired]
-        if self.requests and self.rng.random() < 0.05:  # late news about something, perhaps long over
+        if self.requests and self.rng.random() < 0.05:  # a late event of a request, perhaps long over
             item = self.rng.choice(list(self.requests.values()))
             if item.state == "over":
                 events.append(decision.CallerDisconnected(item.req.id))
@@ -148,13 +148,13 @@
         elif item.state == "sharing" and roll < 2 * gap:
             item.state, item.answered = "over", True
             events.append(decision.Finished(item.req.id, Outcome.OK))
-        elif item.state != "over" and not item.answered and roll > 1 - self.leaves * gap:
+        elif item.state != "over" and not item.answered and roll > 1 - self.disconnects_per_s * gap:
             self._goes(item, events)
 
     def _goes(self, item: Tracked, events: list[decision.Event]) -> None:
         item.answered = item.gone = True
         events.append(decision.CallerDisconnected(item.req.id))
-        if item.state in ("held", "sharing"):
+        if item.state in ("queued", "sharing"):
             item.state = "over"
         elif item.state in ("at_call", "calling"):
             item.state = "over"
@@ -189,7 +189,7 @@
                 ]
                 repeats = kept[-1].req.id if kept else None
         wait = self.rng.choice([cls.deadline, cls.deadline, 0.4, 0.05])
-        due = self.now - unread + wait if self.rng.random() < self.dues else None
+        due = self.now - unread + wait if self.rng.random() < self.deadline_share else None
         tenant = self.rng.choice(self.settings.tenants).name if self.settings.tenants else None
         req = decision.Request(
             f"r{self.serial}",
@@ -203,7 +203,7 @@
             0.5,
             self.rng.randrange(self.callers),
             repeats,
-            self.marks > 0 and self.rng.random() < self.marks,
+            self.marked_share > 0 and self.rng.random() < self.marked_share,
         )
         arrived = self.now - unread
         due = max(self.now, arrived + cls.deadline if due is None else due)
@@ -229,7 +229,7 @@
                     getattr(self, "_" + type(action).__name__.lower())(item, action)
 
     def _run(self, item: Tracked, action: decision.Run) -> None:
-        must(item.state == "held" and not item.answered, "run of what is not held")
+        must(item.state == "queued" and not item.answered, "run of a request that is not queued")
         must(
             not (item.ran and item.cls.idempotency is not Idempotency.IDEMPOTENT), "duplicate: second run after a stop"
         )
@@ -253,7 +253,7 @@
 
     def _answer(self, item: Tracked) -> None:
         item.answered = True
-        if item.state in ("held", "sharing"):
+        if item.state in ("queued", "sharing"):
             item.state = "over"
         elif item.state in ("at_call", "calling"):
             if item.state == "calling":
@@ -266,7 +266,7 @@
         if item.state != "running":
             return
         paused = self.settings.cancellation is Cancellation.KEEPS_WORK  # keeps the memory of a run
-        item.state = "over" if item.answered else "paused" if paused else "held"
+        item.state = "over" if item.answered else "paused" if paused else "queued"
         self.inbox.append(decision.Finished(item.req.id, Outcome.CANCELLED))
 
     def _call(self, item: Tracked, action: decision.Call) -> None:
@@ -305,7 +305,7 @@
         for item in self.requests.values():
             if item.state == "over":
                 continue
-            memory += item.req.size * (1 if item.state in ("held", "sharing") else s.run_factor)
+            memory += item.req.size * (1 if item.state in ("queued", "sharing") else s.run_factor)
             running += item.state == "running"
             calling += item.state == "calling"
             in_time = self.now <= item.due + s.answer_slack
--- a/tests/test_decision_rules.py
+++ b/tests/test_decision_rules.py
@@ -1,4 +1,4 @@
-"""The four rules, on random legal event sequences, under usual and odd settings."""
+"""The four rules hold on random legal event sequences, under usual and odd settings."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 from chutepin.decision.job import Job
 from chutepin.decision.policy import Policy
 from chutepin.decision.server_state import ServerState
-from tests.decision_world import BASE, KEYED, SAFE, UNSAFE, RuleBrokenError, cold, play
+from tests.decision_world import BASE, IDEMPOTENT_CLASS, KEYED_CLASS, NOT_IDEMPOTENT_CLASS, RuleBrokenError, cold, play
 
-ODD: dict[str, Settings] = {
+SETTINGS_VARIANTS: dict[str, Settings] = {
     "usual": BASE,
     "cold": cold(BASE),
     "credit": replace(BASE, signal=LoadSignal.CREDIT),
@@ -45,37 +45,37 @@
     "table of at most one connection": replace(BASE, gauges=("links",)),
     "no idle connections": replace(BASE, max_idle_time=0.0),
     "windows beyond memory": replace(BASE, key_memory=400.0),
-    "single class": replace(BASE, classes=(SAFE,)),
-    "unsafe with calls": replace(BASE, classes=(UNSAFE,)),
-    "keyed only": replace(BASE, classes=(KEYED,)),
+    "single class": replace(BASE, classes=(IDEMPOTENT_CLASS,)),
+    "unsafe with calls": replace(BASE, classes=(NOT_IDEMPOTENT_CLASS,)),
+    "keyed only": replace(BASE, classes=(KEYED_CLASS,)),
     "no calls": replace(BASE, classes=tuple(replace(c, makes_calls=False) for c in BASE.classes)),
 }
 
 
-@pytest.mark.parametrize("name", ODD)
+@pytest.mark.parametrize("name", SETTINGS_VARIANTS)
 @pytest.mark.parametrize("seed", range(4))
 def test_rules_hold(name: str, seed: int) -> None:
-    world = play(ODD[name], seed)
+    world = play(SETTINGS_VARIANTS[name], seed)
     assert any(isinstance(action, decision.Run) for action in world.log)
 
 
-NEWS: dict[str, dict[str, float]] = {
-    "no due times": {"dues": 0.0},
-    "no due times, marks": {"dues": 0.0, "marks": 0.7},
-    "nobody heard to leave": {"leaves": 0.0, "dues": 0.0},
-    "everybody leaves": {"leaves": 20.0},
+EVENT_VARIANTS: dict[str, dict[str, float]] = {
+    "no due times": {"deadline_share": 0.0},
+    "no due times, marked_share": {"deadline_share": 0.0, "marked_share": 0.7},
+    "nobody heard to leave": {"disconnects_per_s": 0.0, "deadline_share": 0.0},
+    "everybody disconnects_per_s": {"disconnects_per_s": 20.0},
 }
 
 
-@pytest.mark.parametrize("news", NEWS)
+@pytest.mark.parametrize("news", EVENT_VARIANTS)
 @pytest.mark.parametrize("name", ["usual", "no halt", "pause", "marked tries", "credit", "silent"])
-def test_rules_hold_where_news_is_missing_or_odd(name: str, news: str) -> None:
-    world = play(ODD[name], 11, 900, True, **NEWS[news])
+def test_rules_hold_where_events_are_missing_or_odd(name: str, news: str) -> None:
+    world = play(SETTINGS_VARIANTS[name], 11, 900, True, **EVENT_VARIANTS[news])
     assert any(isinstance(action, decision.Run) for action in world.log)
 
 
 @pytest.mark.parametrize("halt", [Cancellation.KEEPS_WORK, Cancellation.DISCARDS_WORK])
-def test_run_whose_caller_leaves_is_stopped_once_and_its_memory_comes_back(halt: Cancellation) -> None:
+def test_run_whose_caller_disconnects_is_stopped_once_and_its_memory_is_released(halt: Cancellation) -> None:
     for answered_first in (True, False):
         policy = Policy(replace(BASE, cancellation=halt), 1)
         policy.start(0.0)
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_rules_and_memory_hold_when_callers_never_repeat(seed: int) -> None:
+def test_rules_and_memory_bounds_hold_when_callers_never_return(seed: int) -> None:
     world = play(replace(BASE, max_idle_time=1e6), seed, steps=9000, drain=False, callers=10**9)
     assert world.serial > MAX_CALLERS
     assert (
@@ -154,25 +154,43 @@
 
 
 GUARDS: list[tuple[type, str, Callable[..., Any], str, Settings]] = [
-    (Arrivals, "_keep_key", _keep_nothing, "duplicate: second run in the window", replace(BASE, classes=(KEYED,))),
+    (
+        Arrivals,
+        "_keep_key",
+        _keep_nothing,
+        "duplicate: second run in the window",
+        replace(BASE, classes=(KEYED_CLASS,)),
+    ),
     (Endings, "fail", _fail_nothing, "lost", BASE),
-    (Endings, "fail", _reject_what_ran, "duplicate: refused after a run", replace(BASE, classes=(UNSAFE,))),
+    (
+        Endings,
+        "fail",
+        _reject_what_ran,
+        "duplicate: refused after a run",
+        replace(BASE, classes=(NOT_IDEMPOTENT_CLASS,)),
+    ),
     (Arrivals, "_rejection_reason", _reject_nothing, "drain: run after the grace", BASE),
     (
         Arrivals,
         "_rejection_reason",
         _reject_nothing,
         "fall-over: memory",
-        replace(BASE, key_memory=400.0, classes=(KEYED,)),
+        replace(BASE, key_memory=400.0, classes=(KEYED_CLASS,)),
+    ),
+    (
+        Arrivals,
+        "_join_original",
+        _never_join,
+        "duplicate: second run in the window",
+        replace(BASE, classes=(KEYED_CLASS,)),
     ),
-    (Arrivals, "_join_original", _never_join, "duplicate: second run in the window", replace(BASE, classes=(KEYED,))),
     (Policy, "_on_drain", _drain_late, "drain: unanswered at the stop", BASE),
     (CallBudget, "remaining_time", _always_remaining, "fall-over: calls below", replace(BASE, max_calls=0.6)),
 ]
 
 
-def test_the_ceiling_is_needed(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Without the limit under its ceiling the cores are crowded past what they survive."""
+def test_ceiling_of_the_limit_is_needed(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Without it more runs than the cores survive are on them."""
     monkeypatch.setattr(AimdLimit, "set_ceiling", _no_ceiling)
     monkeypatch.setattr(ServerState, "cores_admit_one", _admit_always)
     with pytest.raises(RuleBrokenError, match="fall-over: crowd"):
@@ -189,7 +207,7 @@
     settings: Settings,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """With a guard taken out, some sequence breaks the rule that it keeps."""
+    """Without a guard, some sequence breaks the rule that it keeps."""
     monkeypatch.setattr(owner, guard, without)
     seen: list[str] = []
     for seed in range(30):
