--- a/chutepin/broker.py
+++ b/chutepin/broker/core.py
@@ -6,139 +6,32 @@
 
 from __future__ import annotations
 
-import hashlib
 import heapq
 import math
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass
-from enum import Enum
-from typing import Protocol
-
-from . import decision, facade
-from .clock import Clock
-from .counters import Counters
-from .decision import Idempotency
-from .facade import CallEnded, CallWanted, Drain, End, Facade, Left, Offer, RunEnded
-from .idempotency import IdempotencyRecord, IdempotencyTable, KeyOwnership, KeyRequest, NoPeerProcess, PeerProcess
-from .logs import Log
-from .request_metrics import RequestMetrics
 
-MAX_REQUESTS = 2048  # requests in hand; each holds a body of up to 2 KiB
-KEYS_PART = 1 / 3  # of the node's own memory that the table of keys may take
-LINGER = 60.0  # seconds that a run nobody waits for may go on where the executor cannot see that
-OVERDUE = 0.06  # seconds past its due time at which the core itself answers what the module did not
-AHEAD = 1.0  # seconds by which a caller's times may be beyond what its contract and our clock allow
-ASK_BY = 0.5  # seconds in which the node's other process must say whether a key may be taken
-METER_WAIT = 0.015  # seconds that a timer waits for fresh gauges
-
-
-class Verdict(Enum):
-    """A final answer."""
-
-    SERVED = "served"
-    REFUSED = "refused"
-    FAILED = "failed"
-
-
-_COLUMNS = {Verdict.SERVED: "answered", Verdict.REFUSED: "deferred", Verdict.FAILED: "errored"}  # of the figures
-
-
-@dataclass(frozen=True, slots=True)
-class Answer:
-    """A final answer, with what the caller is told along with it."""
-
-    verdict: Verdict
-    body: bytes = b""
-    retry_after: float = 0.0  # seconds the caller should stay away
-    no_other_node: bool = False  # no other node should be tried
-    value: float | None = None  # the free value
-
-
-class Caller(Protocol):
-    """Who waits for an answer."""
-
-    def answer(self, answer: Answer) -> None: ...
-
-
-class Executor(Protocol):
-    """Who does the work."""
-
-    def exec(self, id: str, cls: str, body: bytes, repeatable: bool) -> None: ...
-    def kill(self, id: str) -> None: ...
-    def give_back(self, id: str, reply: bytes) -> None: ...
-    def bypass(self, id: str, notice: int) -> None: ...
-    def resolve(self, id: str) -> None: ...
-    def meter(self) -> bool: ...
-
-
-class Records(Protocol):
-    """The service below. `call` ends in one `Broker.called`, unless it is given up before."""
+from .. import decision, facade
+from ..clock import Clock
+from ..counters import Counters
+from ..decision import Idempotency
+from ..facade import CallEnded, CallWanted, Drain, End, Facade, Left, Offer, RunEnded
+from ..idempotency import IdempotencyRecord, IdempotencyTable, KeyOwnership, KeyRequest, NoPeerProcess, PeerProcess
+from ..logs import Log
+from ..request_metrics import RequestMetrics
+from .attempts import NOT_STARTED, Attempt, Phase
+from .ports import Caller, Executor, Records, Timer
+from .requests import Answer, Request, Verdict, fingerprint
 
-    def call(self, id: str, deadline: float, body: bytes, repeatable: bool) -> None: ...
-    def give_up(self, id: str) -> None: ...
-
-
-class Alarm(Protocol):
-    """Has `Broker.tick` called once at this time or soon after; a new time replaces the old one."""
-
-    def set(self, at: float) -> None: ...
-
-
-@dataclass(slots=True)
-class Request:
-    """A request as a front read it."""
-
-    id: str
-    cls: str
-    body: bytes
-    arrived: float
-    due: float  # absolute; after it nobody waits for this try; infinite where the caller did not tell
-    size: float = 0.0
-    tenant: str | None = None
-    subject: str | None = None
-    key: str | None = None  # the same for all tries of one request
-    rank: float = 0.0
-    caller: int = 0
-    is_retry: bool = False
-    watched: bool = True  # the executor sees for itself when the request is over
-    remembered: float = 0.0  # seconds that a key is remembered at least, from the arrival
-
-
-def _fingerprint(request: Request) -> bytes:
-    """Tells whether two tries of one key carry the same."""
-    head = f"{request.cls} {request.tenant} ".encode("utf-8", "surrogateescape")
-    return hashlib.blake2b(head + request.body, digest_size=16).digest()
-
-
-class Phase(Enum):
-    """Where an attempt stands."""
-
-    HELD = "held"
-    RUNNING = "running"
-    STOPPED = "stopped"
-    AT_CALL = "at call"
-    CALLING = "calling"
-    SHARING = "sharing"
-    REQUESTING_KEY = "requesting key"  # from the node's other process; the module does not know of it yet
-
-
-_NOT_BEGUN = (Phase.HELD, Phase.SHARING, Phase.REQUESTING_KEY)  # nothing runs: over once nobody is owed an answer
-
-
-@dataclass(slots=True)
-class Attempt:
-    """A request in hand, from its reading until it is answered and its run is over."""
+MAX_REQUESTS = 2048  # requests in hand; each holds a body of up to 2 KiB
+KEY_MEMORY_SHARE = 1 / 3  # of the node's own memory that the table of keys may take
+UNWATCHED_RUN_LIMIT_S = 60.0  # seconds that a run nobody waits for may go on where the executor cannot see that
+OVERDUE_ANSWER_S = 0.06  # seconds past its due time at which the core itself answers what the module did not
+MAX_CLOCK_LEAD_S = 1.0  # seconds by which a caller's times may be beyond what its contract and our clock allow
+KEY_REQUEST_TIMEOUT_S = 0.5  # seconds in which the node's other process must say whether a key may be taken
+GAUGE_TIMEOUT_S = 0.015  # seconds that a timer waits for fresh gauges
 
-    request: Request
-    caller: Caller
-    idempotency: Idempotency
-    phase: Phase = Phase.HELD
-    owed: bool = True
-    notice: int = 0
-    call_body: bytes = b""
-    call_since: float = 0.0
-    late_at: float = 0.0  # when the core itself answers; an earlier look in the heap of dues means nothing any more
+_COLUMNS = {Verdict.SERVED: "answered", Verdict.REJECTED: "deferred", Verdict.FAILED: "errored"}  # of the figures
 
 
 class Broker:
@@ -153,12 +46,12 @@
         log: Log,
         executor: Executor,
         records: Records,
-        alarm: Alarm,
+        timer: Timer,
         memory: int,
     ) -> None:
-        self.keys = IdempotencyTable(int(memory * KEYS_PART))
+        self.keys = IdempotencyTable(int(memory * KEY_MEMORY_SHARE))
         self._clock, self._counters, self._log = clock, counters, log
-        self._executor, self._records, self._alarm = executor, records, alarm
+        self._executor, self._records, self._timer = executor, records, timer
         self._classes = {cls.name: cls for cls in settings.classes}
         self._tenants = {None, *(tenant.name for tenant in settings.tenants)} if settings.tenants else None
         self._gauge_count = len(settings.gauges)
@@ -168,7 +61,7 @@
         self._facade = Facade(settings, seed, self)
         self.metrics = RequestMetrics(self._classes)
         self._started = False
-        self.began: Callable[[], None] = lambda: None  # told once the executor is up
+        self.on_started: Callable[[], None] = lambda: None  # told once the executor is up
         self.peer: PeerProcess = NoPeerProcess()
         self._attempts: dict[str, Attempt] = {}
         self._reports: deque[facade.Report] = deque()
@@ -198,12 +91,12 @@
         return self._started
 
     @property
-    def in_hand(self) -> int:
+    def awaiting_response_count(self) -> int:
         """Requests that are owed an answer."""
         return self.metrics.current
 
     @property
-    def unsettled(self) -> bool:
+    def has_open_attempts(self) -> bool:
         """A request is owed an answer, or a run goes on."""
         return bool(self._attempts)
 
@@ -224,8 +117,8 @@
         # Times that no caller can mean; what is only late passes, and is answered as late.
         sane = (
             cls is not None
-            and request.arrived < now + AHEAD
-            and (0 < request.due - request.arrived < cls.deadline + AHEAD)
+            and request.arrived < now + MAX_CLOCK_LEAD_S
+            and (0 < request.due - request.arrived < cls.deadline + MAX_CLOCK_LEAD_S)
         )
         if cls is None or not known or not sane or request.id in self._attempts:
             # The module takes no class that it was not told of and no id twice; neither is a caller's right.
@@ -233,7 +126,7 @@
             self._answer_now(request.cls, caller, Answer(Verdict.FAILED, value=self._value))
             return
         record = self.keys.find(request.key, request.arrived) if cls.idempotency is Idempotency.KEYED else None
-        if record is not None and record.fingerprint != _fingerprint(request):
+        if record is not None and record.fingerprint != fingerprint(request):
             # Another request under a key that is taken: it must not get a result that no run made for it.
             self._counters.add("requests.malformed")
             self._answer_now(request.cls, caller, Answer(Verdict.FAILED, value=self._value))
@@ -245,7 +138,7 @@
             # Before the executor is up nothing can run; a full table could not keep a run from being
             # repeated; without a key nothing tells a repeat.
             self._counters.add("requests.full" if full else "requests.not_taken")
-            verdict = Verdict.FAILED if self._key_ran(request) else Verdict.REFUSED
+            verdict = Verdict.FAILED if self._key_ran(request) else Verdict.REJECTED
             self._answer_now(request.cls, caller, Answer(verdict, value=self._value))
             return
         ownership = (
@@ -260,9 +153,9 @@
         attempt = self._attempts[request.id] = Attempt(request, caller, cls.idempotency)
         if ownership is KeyOwnership.ASK_PEER:
             attempt.phase = Phase.REQUESTING_KEY
-            self._due_at(request.id, min(request.due, now + ASK_BY))
+            self._due_at(request.id, min(request.due, now + KEY_REQUEST_TIMEOUT_S))
             self.peer.request_key(
-                KeyRequest(request.id, request.key or "", _fingerprint(request), request.arrived + cls.window)
+                KeyRequest(request.id, request.key or "", fingerprint(request), request.arrived + cls.window)
             )
             return
         self._offer(attempt, record)
@@ -286,24 +179,24 @@
         self._settle(lambda: self._facade.pick(now, offer))
         if request.id in self._attempts:
             deadline = self._classes[request.cls].deadline
-            self._due_at(request.id, max(now, min(request.due, now + deadline)) + OVERDUE)
+            self._due_at(request.id, max(now, min(request.due, now + deadline)) + OVERDUE_ANSWER_S)
 
     def _due_at(self, id: str, at: float) -> None:
         """Look then whether a request still lacks its answer."""
-        self._attempts[id].late_at = at
+        self._attempts[id].answer_deadline = at
         heapq.heappush(self._dues, (at, id))
         if len(self._dues) > 2 * len(self._attempts) + MAX_REQUESTS:  # most are answered long before
             self._dues = [due for due in self._dues if due[1] in self._attempts]
             heapq.heapify(self._dues)
         self._arm()
 
-    def gone(self, id: str) -> None:
+    def caller_disconnected(self, id: str) -> None:
         """The caller no longer waits: no answer is owed."""
         attempt = self._attempts.get(id)
-        if attempt is None or not attempt.owed:
+        if attempt is None or not attempt.awaiting_response:
             return
         self._counters.add("callers.gone")
-        attempt.owed = False
+        attempt.awaiting_response = False
         self.metrics.request_ended(attempt.request.cls, "withdrawn")
         self._end_unwatched(attempt)
         self._report(Left(id))
@@ -354,11 +247,11 @@
             return
         if not is_granted:
             self._counters.add("keys.not_granted")
-            self._answer(attempt, Answer(Verdict.REFUSED, value=self._value))
+            self._answer(attempt, Answer(Verdict.REJECTED, value=self._value))
             return
-        attempt.phase = Phase.HELD
+        attempt.phase = Phase.QUEUED
         record = self.keys.find(key, attempt.request.arrived)
-        if record is not None and record.fingerprint != _fingerprint(attempt.request):
+        if record is not None and record.fingerprint != fingerprint(attempt.request):
             self._counters.add("requests.malformed")
             self._answer(attempt, Answer(Verdict.FAILED, value=self._value))
             return
@@ -392,7 +285,7 @@
         """The other process has gone: its room is free; what it ran stays in doubt; what asks it is turned away."""
         self._waited(self.keys.peer_lost(), End.ERROR, b"")
         for attempt in [a for a in self._attempts.values() if a.phase is Phase.REQUESTING_KEY]:
-            self._answer(attempt, Answer(Verdict.REFUSED, value=self._value))
+            self._answer(attempt, Answer(Verdict.REJECTED, value=self._value))
         self.set_peer_usage(0, 0.0)
 
     # --- for the executor's link ---
@@ -403,7 +296,7 @@
             return
         self._started = True
         self._settle(lambda: self._facade.start(self._clock.now(), born, cold))
-        self.began()
+        self.on_started()
         if self._drain_stop is not None and self._last_arrival is not None:
             self._report(Drain(self._drain_stop, self._last_arrival - self._grace))
 
@@ -414,7 +307,7 @@
             self._counters.add("runs.unknown")
             return
         self._counters.add(f"runs.{end.value}")
-        if attempt.phase is Phase.CALLING:
+        if attempt.phase is Phase.CALLING_DEPENDENCY:
             self._records.give_up(id)
         self._key_ended(attempt, end, result)
         if end in (End.OK, End.ERROR):
@@ -436,7 +329,7 @@
         if attempt is None:
             self._counters.add("runs.unknown")
             return
-        attempt.phase, attempt.notice, attempt.call_body = Phase.AT_CALL, notice, body
+        attempt.phase, attempt.call_notice, attempt.call_body = Phase.CALL_WANTED, notice, body
         self._report(CallWanted(id))
         self._end_unwatched(attempt)
 
@@ -460,11 +353,11 @@
     def called(self, id: str, end: End, reply: bytes) -> None:
         """A call is over; after OK the run goes on with the reply, unchanged."""
         attempt = self._attempts.get(id)
-        if attempt is None or attempt.phase is not Phase.CALLING:
+        if attempt is None or attempt.phase is not Phase.CALLING_DEPENDENCY:
             self._counters.add("calls.unknown")
             return
         self._counters.add(f"calls.{end.value}")
-        attempt.phase = Phase.AT_CALL
+        attempt.phase = Phase.CALL_WANTED
         if end is End.OK:
             attempt.phase, attempt.call_body = Phase.RUNNING, b""
             self._executor.give_back(id, reply)
@@ -479,7 +372,7 @@
             while self._timers and self._timers[0][0] <= now:
                 self._metered.append(heapq.heappop(self._timers)[1])
                 if len(self._metered) == 1:
-                    self._meter_until = now + METER_WAIT if self._executor.meter() else now
+                    self._meter_until = now + GAUGE_TIMEOUT_S if self._executor.meter() else now
             if self._metered and now >= self._meter_until:
                 self._fire()
             self._answer_overdue(now)
@@ -494,17 +387,17 @@
         late = []
         while self._dues and self._dues[0][0] <= now:
             late.append(heapq.heappop(self._dues)[1])
-        stopping = self._drain_stop is not None and now >= self._drain_stop + OVERDUE / 2
+        stopping = self._drain_stop is not None and now >= self._drain_stop + OVERDUE_ANSWER_S / 2
         if stopping:
             late += list(self._attempts)
         for id in late:
             attempt = self._attempts.get(id)
-            if attempt is not None and attempt.late_at > now and not stopping:
+            if attempt is not None and attempt.answer_deadline > now and not stopping:
                 continue
             if attempt is not None and attempt.phase is Phase.REQUESTING_KEY:
                 self._counters.add("keys.not_granted")
-                self._answer(attempt, Answer(Verdict.REFUSED, value=self._value))
-            elif attempt is not None and attempt.owed:
+                self._answer(attempt, Answer(Verdict.REJECTED, value=self._value))
+            elif attempt is not None and attempt.awaiting_response:
                 self._counters.add("answers.overdue")
                 self._answer(attempt, Answer(Verdict.FAILED, value=self._value))
                 self._report(Left(id))
@@ -525,8 +418,8 @@
             self._dues[0][0] if self._dues else math.inf,
         )
         if self._drain_stop is not None and self._attempts:
-            at = min(at, max(self._clock.now() + 0.01, self._drain_stop + OVERDUE / 2))
-        self._alarm.set(min(at, self._meter_until) if self._metered else at)
+            at = min(at, max(self._clock.now() + 0.01, self._drain_stop + OVERDUE_ANSWER_S / 2))
+        self._timer.set(min(at, self._meter_until) if self._metered else at)
 
     # --- what the module has done (facade.Core) ---
 
@@ -555,8 +448,8 @@
         attempt = self._attempts.get(id)
         if attempt is None:  # answered when it was overdue
             return
-        never = attempt.phase is Phase.HELD and not self._key_ran(attempt.request)
-        verdict = Verdict.REFUSED if never else Verdict.FAILED
+        never = attempt.phase is Phase.QUEUED and not self._key_ran(attempt.request)
+        verdict = Verdict.REJECTED if never else Verdict.FAILED
         self._answer(attempt, Answer(verdict, b"", hold_off, terminal, self._value))
 
     def fail(self, id: str) -> None:
@@ -567,23 +460,23 @@
     def call(self, id: str, deadline: float) -> None:
         """Make the call that a run stands at."""
         attempt = self._attempts[id]
-        if self._counters.check_invariant(attempt.phase is Phase.AT_CALL, "call only at a call"):
-            attempt.phase, attempt.call_since = Phase.CALLING, self._clock.now()
+        if self._counters.check_invariant(attempt.phase is Phase.CALL_WANTED, "call only at a call"):
+            attempt.phase, attempt.call_since = Phase.CALLING_DEPENDENCY, self._clock.now()
             self._counters.add("calls")
             self._records.call(id, deadline, attempt.call_body, attempt.idempotency is Idempotency.IDEMPOTENT)
 
     def skip_call(self, id: str) -> None:
         """Go on without the call."""
         attempt = self._attempts[id]
-        if self._counters.check_invariant(attempt.phase is Phase.AT_CALL, "skip only at a call"):
+        if self._counters.check_invariant(attempt.phase is Phase.CALL_WANTED, "skip only at a call"):
             attempt.phase = Phase.RUNNING
             self._counters.add("calls.skipped")
-            self._executor.bypass(id, attempt.notice)
+            self._executor.bypass(id, attempt.call_notice)
 
     def share(self, id: str) -> None:
         """Answer with the result of the try that ran, now or once it ends."""
         attempt = self._attempts[id]
-        attempt.phase = Phase.SHARING
+        attempt.phase = Phase.SHARING_RESULT
         record = self.keys.records.get(attempt.request.key or "")
         if record is None:
             self._share_ends(id, End.ERROR, b"")
@@ -617,19 +510,19 @@
 
     def _answer(self, attempt: Attempt, answer: Answer) -> None:
         """The one place where a request in hand is answered; a second answer is dropped."""
-        if not attempt.owed:
+        if not attempt.awaiting_response:
             return
-        attempt.owed = False
+        attempt.awaiting_response = False
         self._answer_now(attempt.request.cls, attempt.caller, answer)
         self._end_unwatched(attempt)
-        if attempt.phase in _NOT_BEGUN:
+        if attempt.phase in NOT_STARTED:
             self._forget(attempt.request.id)
 
     def _end_unwatched(self, attempt: Attempt) -> None:
         """A run at a call ends once its request is over. Where the executor cannot see that (its callers are
         not on its machine), it is told; else the run would keep its memory and the module its count."""
-        at_call = attempt.phase in (Phase.AT_CALL, Phase.CALLING)
-        if at_call and not attempt.owed and not attempt.request.watched:
+        at_call = attempt.phase in (Phase.CALL_WANTED, Phase.CALLING_DEPENDENCY)
+        if at_call and not attempt.awaiting_response and not attempt.request.watched:
             self._executor.kill(attempt.request.id)
 
     def _answer_now(self, cls: str, caller: Caller, answer: Answer) -> None:
@@ -641,7 +534,9 @@
         attempt = self._attempts.pop(id, None)
         if attempt is not None and attempt.idempotency is Idempotency.KEYED:
             self._key_unused(attempt.request)  # also of one that the module has yet to hear about
-        if attempt is not None and not self._counters.check_invariant(not attempt.owed, "answered before forgotten"):
+        if attempt is not None and not self._counters.check_invariant(
+            not attempt.awaiting_response, "answered before forgotten"
+        ):
             self._answer_now(attempt.request.cls, attempt.caller, Answer(Verdict.FAILED, value=self._value))
 
     def _report(self, what: facade.Report) -> None:
@@ -664,7 +559,7 @@
                     self._forget(what.id)
                 elif isinstance(what, Left):
                     attempt = self._attempts.get(what.id)
-                    if attempt is not None and attempt.phase in _NOT_BEGUN:
+                    if attempt is not None and attempt.phase in NOT_STARTED:
                         self._forget(what.id)
         finally:
             self._reporting = False
@@ -679,7 +574,7 @@
     def keep_key(self, id: str, until: float) -> None:
         """Enter a try into the table, or hand an record that never ran over to a newer try."""
         request = self._attempts[id].request
-        self.keys.reserve(request.key or "", id, request.arrived, until, _fingerprint(request))
+        self.keys.reserve(request.key or "", id, request.arrived, until, fingerprint(request))
 
     def forget_key(self, id: str) -> None:
         """Take an record out whose try never ran."""
@@ -708,7 +603,7 @@
         self._counters.add("keys.peer_not_notified")
         if (record := self.keys.records.get(request.key or "")) is not None:
             self._waited(self.keys.remove(record), End.ERROR, b"")
-        self._answer(attempt, Answer(Verdict.REFUSED, value=self._value))
+        self._answer(attempt, Answer(Verdict.REJECTED, value=self._value))
         return False
 
     def _key_ended(self, attempt: Attempt, end: End, result: bytes) -> None:
@@ -724,7 +619,7 @@
 
     def _share_ends(self, id: str, end: End, result: bytes) -> None:
         attempt = self._attempts.get(id)
-        if attempt is None or not attempt.owed:
+        if attempt is None or not attempt.awaiting_response:
             return
         self._counters.add("answers.shared")
         self._answer(attempt, Answer(Verdict.SERVED if end is End.OK else Verdict.FAILED, result, value=self._value))
@@ -733,10 +628,10 @@
     def _sweep(self, now: float) -> None:
         """Drop entries whose window is over, unless their run still goes on; settle runs in doubt."""
         for id, attempt in self._attempts.items():
-            if not attempt.owed and attempt.phase in (Phase.RUNNING, Phase.STOPPED):
+            if not attempt.awaiting_response and attempt.phase in (Phase.RUNNING, Phase.STOPPED):
                 if attempt.request.watched:
                     self._executor.resolve(id)
-                elif attempt.request.due + LINGER < now:
+                elif attempt.request.due + UNWATCHED_RUN_LIMIT_S < now:
                     self._executor.kill(id)
         for record in self.keys.expired(now, self._attempts.__contains__):
             self._waited(self.keys.discard(record), End.ERROR, b"")  # the other process sweeps for itself
--- a/chutepin/net/amqp.py
+++ b/chutepin/net/amqp.py
@@ -387,7 +387,7 @@
         if tag not in session.unsettled:
             self.counters.add("amqp.settled_too_late")
             return
-        if answer.verdict is Verdict.REFUSED:
+        if answer.verdict is Verdict.REJECTED:
             self.counters.add("amqp.nack")
             session.settle(tag, commands.Basic.Nack(tag, requeue=True))
             self._again_at[delivery.queue] = self.clock.now() + max(MIN_PAUSE, answer.retry_after)
@@ -415,7 +415,7 @@
             if delivery.session is session:
                 del self._open[id]
                 if self.broker.classes[self.config.queues[delivery.queue].cls].idempotency.value != "keyed":
-                    self.broker.gone(id)
+                    self.broker.caller_disconnected(id)
 
     def look(self, session: Session) -> None:
         """Keep the window and the pauses: the free value is the window, 0 closes it."""
--- a/chutepin/net/resp.py
+++ b/chutepin/net/resp.py
@@ -48,7 +48,7 @@
 READ = 4096  # bytes that one connection may have taken in before others have their turn
 CHECKS_IDLE = 60.0  # seconds that a connection for health checks may be silent
 BYE_GRACE = 2.0  # seconds that a balancer has to close an idle connection once told
-_WORDS = {Verdict.SERVED: b"OK", Verdict.REFUSED: b"BUSY", Verdict.FAILED: b"FAILED"}
+_WORDS = {Verdict.SERVED: b"OK", Verdict.REJECTED: b"BUSY", Verdict.FAILED: b"FAILED"}
 
 
 class RespParser:
@@ -167,7 +167,7 @@
     fields = []
     if answer.value is not None:
         fields.append(f"v={answer.value:.6g}")
-    if answer.verdict is Verdict.REFUSED:
+    if answer.verdict is Verdict.REJECTED:
         if answer.retry_after > 0:
             fields.append(f"w={max(1, round(answer.retry_after * 1000))}")
         if answer.no_other_node:
@@ -233,7 +233,7 @@
         """Its peer cannot be understood any more: fail what is open, say goodbye and read no more."""
         self.closing = True
         for tag, id in list(self.open.items()):
-            self.front.broker.gone(id)
+            self.front.broker.caller_disconnected(id)
             self.answer(tag, Answer(Verdict.FAILED, value=self.front.broker.value))
         self.bye(self.front.clock.now())
 
@@ -369,7 +369,7 @@
         elif verb == b"RPC.CANCEL":
             self.counters.add("cancels")
             if (id := connection.open.pop(tag, None)) is not None:
-                self.broker.gone(id)
+                self.broker.caller_disconnected(id)
             self.table.spoke(connection.key, connection.last_used, None, bool(connection.open))
         elif verb == b"RPC.HEALTH":
             self.counters.add("checks")
@@ -567,7 +567,7 @@
             self._links.pop(key, None)
             self._unsent.pop(key, None)
             for request in connection.open.values():
-                self.broker.gone(request)
+                self.broker.caller_disconnected(request)
             connection.open.clear()
             if self.tap is not None:
                 self.tap.closed(id(connection))
--- a/chutepin/node.py
+++ b/chutepin/node.py
@@ -41,7 +41,7 @@
 FINISH_MARGIN = 0.7  # seconds
 
 
-class LoopAlarm:
+class LoopTimer:
     """Runs the core's one timer on the event loop."""
 
     def __init__(self, clock: Clock) -> None:
@@ -143,7 +143,7 @@
         self.counters = Counters()
         self.lifecycle = Lifecycle()
         self.log = Log(self.clock, log_format)
-        alarm = LoopAlarm(self.clock)
+        alarm = LoopTimer(self.clock)
         session = Session(
             self.clock, self.counters, self.log, config.settings.cancellation is decision.Cancellation.KEEPS_WORK
         )
@@ -172,7 +172,7 @@
             alarm,
             config.memory,
         )
-        self.broker.began = self._began
+        self.broker.on_started = self._began
         alarm.broker = session.notices = self.records.listener = self.broker
         self.front = Front(
             self.broker,
@@ -384,7 +384,7 @@
             await asyncio.sleep(0.01)
         await source.run()
         self.log.event("pcap.read", **dataclasses.asdict(source.report))
-        while self.broker.in_hand:
+        while self.broker.awaiting_response_count:
             await asyncio.sleep(0.01)
         self._request_leave(self.clock.now())
 
@@ -491,7 +491,9 @@
             await asyncio.sleep(0.02)
         self.front.leave()
         while self.clock.now() < stop + STOP_MARGIN / 3 and (
-            self.broker.in_hand or self.front.connections or (self.consumer is not None and not self.consumer.settled)
+            self.broker.awaiting_response_count
+            or self.front.connections
+            or (self.consumer is not None and not self.consumer.settled)
         ):
             await asyncio.sleep(0.01)
 
@@ -504,7 +506,9 @@
             self.consumer.leave()
         self.front.yield_ownership()
         while self.clock.now() < stop + STOP_MARGIN / 3 and (
-            self.broker.unsettled or self.front.connections or (self.consumer is not None and not self.consumer.settled)
+            self.broker.has_open_attempts
+            or self.front.connections
+            or (self.consumer is not None and not self.consumer.settled)
         ):
             await asyncio.sleep(0.01)
 
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from chutepin import broker
+from chutepin.broker import core as broker_core
 from chutepin.facade import End
 from chutepin.idempotency import KEY_GRACE_S
 
@@ -174,7 +174,7 @@
 def test_a_repeat_of_what_ran_is_not_turned_away_by_a_full_node(monkeypatch: pytest.MonkeyPatch) -> None:
     core = Core()
     core.pick("a", "work-order", key="k")
-    monkeypatch.setattr(broker, "MAX_REQUESTS", 1)
+    monkeypatch.setattr(broker_core, "MAX_REQUESTS", 1)
     core.pick("b", "work-order", key="k")
     core.pick("c", "work-order", key="other")
     assert core.words("b") == ["failed"] and core.words("c") == ["refused"]
@@ -183,7 +183,7 @@
 def test_a_run_that_was_stopped_before_the_executor_knew_none_is_over() -> None:
     core = Core()
     core.pick("a", "position-push")
-    core.broker.gone("a")
+    core.broker.caller_disconnected("a")
     assert core.ports.ids("kill") == ["a"]
     core.broker.not_carried_out("EXEC", "a")
     core.broker.not_carried_out("KILL", "a")
@@ -193,7 +193,7 @@
 def test_proof_that_nothing_started_frees_the_key() -> None:
     core = Core()
     core.pick("a", "work-order", key="k")
-    core.broker.gone("a")
+    core.broker.caller_disconnected("a")
     core.end("a", End.NEVER)
     core.pick("b", "work-order", key="k")
     assert core.ports.ids("exec") == ["a", "b"]
@@ -286,7 +286,7 @@
         if (id := self.some(list(self.live), data)) is not None:
             if not self.core.ports.answers[id]:
                 self.gone.add(id)
-            self.core.broker.gone(id)
+            self.core.broker.caller_disconnected(id)
 
     @rule(seconds=st.floats(0.001, 3.0))
     def time_passes(self, seconds: float) -> None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -429,7 +429,7 @@
     """Never begun, it would have kept its place for good: nothing else tells what became of it."""
     core = Core()
     core.pick("a", cls="status-read" if stopped else "work-order", key=None if stopped else "k")
-    core.broker.gone("a")
+    core.broker.caller_disconnected("a")
     assert core.ports.ids("kill") == ["a"] * stopped
     core.pass_time(2.1)
     assert core.ports.ids("resolve")
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -500,7 +500,7 @@
 
 
 def test_an_answer_tells_when_to_come_back() -> None:
-    refusal = Answer(Verdict.REFUSED, b"", 0.25, True, 3.5)
+    refusal = Answer(Verdict.REJECTED, b"", 0.25, True, 3.5)
     assert format_answer(b"7", refusal) == array(b"7", b"BUSY", b"v=3.5,w=250,l=1", b"")
     assert format_answer(b"7", Answer(Verdict.SERVED, b"x")) == array(b"7", b"OK", b"", b"x")
     assert format_answer(b"7", Answer(Verdict.FAILED, retry_after=1.0)) == array(b"7", b"FAILED", b"", b"")
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -110,8 +110,8 @@
     core.pick("a", "position-push")  # an id that is open: failed, and counted as such
     core.pick("b", "position-push", tenant="nobody")
     core.pick("c", "position-push")
-    core.broker.gone("c")
-    core.broker.gone("c")
+    core.broker.caller_disconnected("c")
+    core.broker.caller_disconnected("c")
     row = core.broker.metrics.rows["position-push"]
     assert (row.received, row.errored, row.withdrawn, core.broker.metrics.current) == (4, 2, 1, 1)
     core.end("a")
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -220,7 +220,7 @@
 def answer_all(core: Core) -> None:
     """End all runs with long results, until nothing is in hand."""
     begun: set[str] = set()
-    while core.broker.in_hand:
+    while core.broker.awaiting_response_count:
         for id in set(core.ports.ids("exec")) - begun:
             begun.add(id)
             core.broker.ended(id, End.OK, 0.1, b"r" * 3500)
