--- a/chutepin/net/resp/connection.py
+++ b/chutepin/net/resp/connection.py
@@ -99,7 +99,7 @@
         """Fail every open request, ask the balancer to close, and read no more."""
         self.closing = True
         for tag, id in list(self.open.items()):
-            self.listener.broker.gone(id)
+            self.listener.broker.caller_disconnected(id)
             self.answer(tag, Answer(Verdict.FAILED, value=self.listener.broker.value))
         self.send_bye(self.listener.clock.now())
 
--- a/chutepin/net/resp/listener.py
+++ b/chutepin/net/resp/listener.py
@@ -105,7 +105,7 @@
         elif verb == CANCEL:
             self.counters.add("cancels")
             if (id := connection.open.pop(tag, None)) is not None:
-                self.broker.gone(id)
+                self.broker.caller_disconnected(id)
             self.table.spoke(connection.key, connection.last_used_at, None, bool(connection.open))
         elif verb == HEALTH:
             self.counters.add("checks")
@@ -307,7 +307,7 @@
             self._links.pop(key, None)
             self._unsent.forget(key)
             for request in connection.open.values():
-                self.broker.gone(request)
+                self.broker.caller_disconnected(request)
             connection.open.clear()
             if self.recorder is not None:
                 self.recorder.closed(id(connection))
--- a/chutepin/net/resp/messages.py
+++ b/chutepin/net/resp/messages.py
@@ -17,7 +17,7 @@
 MAX_NUMBER_CHARACTERS = 24
 CALL, CANCEL, HEALTH = b"RPC.CALL", b"RPC.CANCEL", b"RPC.HEALTH"
 BYE = array(b"0", b"BYE")  # asks the balancer to send nothing more on this connection and to close it
-_WORDS = {Verdict.SERVED: b"OK", Verdict.REFUSED: b"BUSY", Verdict.FAILED: b"FAILED"}
+_WORDS = {Verdict.SERVED: b"OK", Verdict.REJECTED: b"BUSY", Verdict.FAILED: b"FAILED"}
 
 
 def number(raw: str, most: float = 2.0**53) -> float:
@@ -73,7 +73,7 @@
     fields = []
     if answer.value is not None:
         fields.append(f"v={answer.value:.6g}")
-    if answer.verdict is Verdict.REFUSED:
+    if answer.verdict is Verdict.REJECTED:
         if answer.retry_after > 0:
             fields.append(f"w={max(1, round(answer.retry_after * 1000))}")
         if answer.no_other_node:
