--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -118,7 +118,7 @@
         for key in range(size):
             now += 0.001
             address = (key * 2654435761 % 2**32).to_bytes(4, "big")
-            if made.admit(now, address).refused is None:
+            if made.admit(now, address).rejection is None:
                 made.opened(key, now, address)
         now += 10.0
         times, evicted = [], 0
@@ -130,7 +130,7 @@
             if verdict.evict is not None:
                 evicted += 1
                 made.closed(verdict.evict)
-            if verdict.refused is None:
+            if verdict.rejection is None:
                 made.opened(key, now, address)
             times.append(time.perf_counter() - begun)
         times.sort()
--- a/chutepin/admin/listener.py
+++ b/chutepin/admin/listener.py
@@ -18,7 +18,7 @@
 
 
 class OperatorListener:
-    """Serves callers at one address (`admission.Gate`).
+    """Serves callers at one address (`admission.ConnectionHandler`).
 
     Callers that have not finished their line give way to new ones, oldest first: they can't shut the others out."""
 
@@ -74,7 +74,7 @@
         self._unfinished.pop(number, None)
         self._making_room.discard(number)
         self._descriptors.release(DESCRIPTOR_PART)
-        self._acceptor.room()
+        self._acceptor.descriptor_freed()
 
     async def _serve_caller(self, number: int, sock: socket.socket) -> None:
         loop = asyncio.get_running_loop()
--- a/chutepin/admission/__init__.py
+++ b/chutepin/admission/__init__.py
@@ -9,7 +9,7 @@
 from .deadlines import Deadlines
 from .descriptor_budget import DescriptorBudget
 from .proxy import ProxyError, ProxyHead
-from .rules import Reason, Rules, Verdict
+from .rules import AdmissionResult, RejectionReason, Rules
 from .table import ConnectionTable
 from .trust import ClientTrust, ConnectionUsage
 
@@ -18,6 +18,7 @@
     "AcceptDecision",
     "Acceptor",
     "AddressSharing",
+    "AdmissionResult",
     "ClientTrust",
     "ConnectionTable",
     "ConnectionUsage",
@@ -25,7 +26,6 @@
     "DescriptorBudget",
     "ProxyError",
     "ProxyHead",
-    "Reason",
+    "RejectionReason",
     "Rules",
-    "Verdict",
 ]
--- a/chutepin/admission/acceptor.py
+++ b/chutepin/admission/acceptor.py
@@ -67,7 +67,7 @@
     BESIDE = 3  # another process of this node does now
 
 
-class Gate(Protocol):
+class ConnectionHandler(Protocol):
     """Decides about new connections and serves them."""
 
     def decide(self, address: bytes, short: bool) -> AcceptDecision:
@@ -109,14 +109,14 @@
 
     def __init__(
         self,
-        gate: Gate,
+        handler: ConnectionHandler,
         farewell: bytes,
         counters: Counters,
         log: Log,
         has_descriptor: Callable[[int], bool] = lambda dropped: dropped < MAX_CLOSING,
     ) -> None:
         """`has_descriptor(dropped)`: whether to accept one more connection while so many dropped ones are open."""
-        self._gate = gate
+        self._handler = handler
         self._farewell = farewell
         self._counters = counters
         self._log = log
@@ -167,7 +167,7 @@
         """The listening sockets, for a successor process."""
         return list(self._sockets)
 
-    def halt(self) -> None:
+    def pause(self) -> None:
         """Accept no more, but keep the sockets: another process accepts what waits in their backlog."""
         self._halted = True
         if self._retry is not None:
@@ -176,7 +176,7 @@
         for sock in self._sockets:
             asyncio.get_running_loop().remove_reader(sock)
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Accept again."""
         self._halted = False
         self._add_readers()
@@ -186,7 +186,7 @@
         """The port of the first listening socket."""
         return int(self._sockets[0].getsockname()[1])
 
-    def take_rest(self) -> None:
+    def accept_backlog(self) -> None:
         """Accept everything in the backlog: closing the listening socket would reset it, with the data it has sent."""
         for listener in self._sockets if not self._halted else ():
             with contextlib.suppress(OSError):  # the backlog is empty, or no descriptor is left
@@ -208,7 +208,7 @@
             os.close(self._spare)
             self._spare = -1
 
-    def room(self) -> None:
+    def descriptor_freed(self) -> None:
         """A descriptor was freed: resume accepting if it is paused."""
         if self._spare < 0 and self._sockets:
             self._open_spare()
@@ -223,7 +223,7 @@
         for sock in self._sockets:
             loop.add_reader(sock, self._accept_some, sock)
 
-    def _pause(self, counter: str = "admission.rests") -> None:
+    def _pause_briefly(self, counter: str = "admission.rests") -> None:
         """Stop accepting for a while, so that the loop does not spin on a backlog that can't be accepted."""
         if self._retry is not None:
             return
@@ -246,7 +246,7 @@
     def _accept_some(self, listener: socket.socket) -> None:
         for _ in range(MAX_ACCEPTS_PER_ITERATION):
             if not self._has_descriptor(self._dropped):
-                self._pause("admission.waits")
+                self._pause_briefly("admission.waits")
                 return
             try:
                 sock, address = listener.accept()
@@ -271,14 +271,14 @@
             self._counters.add("admission.no_memory")
         else:
             self._log.event("admission.accept_failed", why=error.strerror or str(error))
-        self._pause()
+        self._pause_briefly()
         return False
 
     def _accept_with_spare(self, listener: socket.socket) -> bool:
         """Accept one connection with the spare descriptor; whether to go on."""
         self._counters.add("admission.no_descriptor")
         if self._spare < 0:
-            self._pause()
+            self._pause_briefly()
             return False
         os.close(self._spare)
         self._spare = -1
@@ -293,11 +293,11 @@
 
     def _handle_accepted(self, sock: socket.socket, address: bytes, short: bool) -> None:
         sock.setblocking(False)
-        decision = self._gate.decide(address, short)
+        decision = self._handler.decide(address, short)
         if decision is AcceptDecision.SERVE:
-            self._gate.serve(sock, address)
+            self._handler.serve(sock, address)
         elif decision is AcceptDecision.REJECT:
-            self.turn_away(sock)
+            self.reject(sock)
         else:
             self._dropped += 1
             loop = asyncio.get_running_loop()
@@ -307,9 +307,9 @@
     def _close_dropped(self, sock: socket.socket) -> None:
         sock.close()
         self._dropped -= 1
-        self.room()
+        self.descriptor_freed()
 
-    def turn_away(self, sock: socket.socket) -> None:
+    def reject(self, sock: socket.socket) -> None:
         """Send the farewell and close, after reading what was received: unread data would cause a reset."""
         with contextlib.suppress(OSError):
             sock.send(self._farewell)
--- a/chutepin/admission/rules.py
+++ b/chutepin/admission/rules.py
@@ -41,7 +41,7 @@
         return max(1, int(self.new_share * limit))
 
 
-class Reason(Enum):
+class RejectionReason(Enum):
     """Why a new connection is rejected. Each is a counter `admission.refused.…`."""
 
     RATE_ADDRESS = "rate_address"
@@ -54,9 +54,9 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class AdmissionResult:
     """The result for a new connection: rejected for a reason, or admitted, in place of `evict` if that is set."""
 
-    refused: Reason | None = None
+    rejection: RejectionReason | None = None
     evict: int | None = None
-    wait: float = 0.0  # seconds after which its rate would allow it
+    retry_after_s: float = 0.0  # after which its rate would allow it
--- a/chutepin/admission/table.py
+++ b/chutepin/admission/table.py
@@ -25,7 +25,7 @@
 from .explanation import RuleExplanation, explain_rules
 from .rates import RateLimiter
 from .reputation import Reputation
-from .rules import Reason, Rules, Verdict
+from .rules import AdmissionResult, RejectionReason, Rules
 from .trust import ClientTrust, ConnectionUsage
 
 MAX_FORGOTTEN = 64  # addresses of each kind in one call
@@ -47,7 +47,7 @@
         self.entries: dict[int, TrackedConnection] = {}
         self.by_address: dict[bytes, set[int]] = {}
         self.by_block: Counter[bytes] = Counter()  # untrusted connections alone
-        self.refused: Counter[Reason] = Counter()
+        self.rejections: Counter[RejectionReason] = Counter()
         self.untrusted_count = 0
         self.new_count = 0  # untrusted connections without a valid request
         self.eviction_queues = EvictionQueues(self.entries)
@@ -76,47 +76,47 @@
         self._address_rate = _rate_limiter(rules.rate_address, rules.burst_address, rules)
         self._block_rate = _rate_limiter(rules.rate_block, rules.burst_block, rules)
 
-    def rank(self, now: float, address: bytes) -> ClientTrust:
+    def trust_of(self, now: float, address: bytes) -> ClientTrust:
         """How well an address is known."""
         if address in self.rules.known or address in self.rules.relays:
             return ClientTrust.LISTED
         return ClientTrust.EARNED if self._reputation.is_earned(now, address) else ClientTrust.UNTRUSTED
 
-    def judge(self, now: float, address: bytes) -> Verdict:
+    def judge(self, now: float, address: bytes) -> AdmissionResult:
         """What the result for a new connection would be now. Changes nothing."""
-        trust = self.rank(now, address)
+        trust = self.trust_of(now, address)
         if trust is not ClientTrust.LISTED and (rejected := self._check_address(now, address)) is not None:
             return rejected
         if trust is ClientTrust.UNTRUSTED:
             if (rejected := self._check_block(now, self._block_of(address))) is not None:
                 return rejected
             if self.new_count >= self.rules.max_new(self.limit):
-                return self._evict_or_reject(now, trust, (ConnectionUsage.NEW,), Reason.NEW)
+                return self._evict_or_reject(now, trust, (ConnectionUsage.NEW,), RejectionReason.NEW)
         if self._has_place(trust):
-            return Verdict()
-        return self._evict_or_reject(now, trust, tuple(ConnectionUsage), Reason.FULL)
+            return AdmissionResult()
+        return self._evict_or_reject(now, trust, tuple(ConnectionUsage), RejectionReason.FULL)
 
-    def _check_address(self, now: float, address: bytes) -> Verdict | None:
+    def _check_address(self, now: float, address: bytes) -> AdmissionResult | None:
         """A rejection by the rate or cap of the address, or None."""
         if self._address_rate is not None and (wait := self._address_rate.wait(now, address)) > 0:
-            return Verdict(Reason.RATE_ADDRESS, wait=wait)
+            return AdmissionResult(RejectionReason.RATE_ADDRESS, retry_after_s=wait)
         if self.rules.per_address and len(self.by_address.get(address, ())) >= self.rules.per_address:
-            return Verdict(Reason.CAP_ADDRESS)
+            return AdmissionResult(RejectionReason.CAP_ADDRESS)
         return None
 
-    def _check_block(self, now: float, block: bytes) -> Verdict | None:
+    def _check_block(self, now: float, block: bytes) -> AdmissionResult | None:
         """A rejection by the rate or cap of the block, or None."""
         if self._block_rate is not None and (wait := self._block_rate.wait(now, block)) > 0:
-            return Verdict(Reason.RATE_BLOCK, wait=wait)
+            return AdmissionResult(RejectionReason.RATE_BLOCK, retry_after_s=wait)
         if self.rules.per_block and self.by_block[block] >= self.rules.per_block:
-            return Verdict(Reason.CAP_BLOCK)
+            return AdmissionResult(RejectionReason.CAP_BLOCK)
         return None
 
     def _evict_or_reject(
-        self, now: float, trust: ClientTrust, usages: tuple[ConnectionUsage, ...], reason: Reason
-    ) -> Verdict:
+        self, now: float, trust: ClientTrust, usages: tuple[ConnectionUsage, ...], reason: RejectionReason
+    ) -> AdmissionResult:
         evict = self.eviction_queues.first(now, trust, usages)
-        return Verdict(reason) if evict is None else Verdict(evict=evict)
+        return AdmissionResult(reason) if evict is None else AdmissionResult(evict=evict)
 
     def _has_place(self, trust: ClientTrust) -> bool:
         if len(self.entries) >= self.limit:
@@ -128,20 +128,20 @@
         """Places that untrusted connections may not take."""
         return self.rules.reserved_places(self.limit)
 
-    def least_below(self, now: float, address: bytes) -> int | None:
+    def evictable_below(self, now: float, address: bytes) -> int | None:
         """The connection to evict first among those of less trust than this address."""
-        trust = self.rank(now, address)
+        trust = self.trust_of(now, address)
         if trust is ClientTrust.UNTRUSTED:
             return None
         return self.eviction_queues.first(now, ClientTrust(trust - 1), tuple(ConnectionUsage))
 
-    def admit(self, now: float, address: bytes) -> Verdict:
+    def admit(self, now: float, address: bytes) -> AdmissionResult:
         """As `judge`, and charges its rates, also for a connection that another rule than its rate rejects."""
         verdict = self.judge(now, address)
-        if verdict.refused is not None:
-            self.refused[verdict.refused] += 1
-        if verdict.refused not in (Reason.RATE_ADDRESS, Reason.RATE_BLOCK):
-            trust = self.rank(now, address)
+        if verdict.rejection is not None:
+            self.rejections[verdict.rejection] += 1
+        if verdict.rejection not in (RejectionReason.RATE_ADDRESS, RejectionReason.RATE_BLOCK):
+            trust = self.trust_of(now, address)
             if self._address_rate is not None and trust is not ClientTrust.LISTED:
                 self._address_rate.take(now, address)
             if self._block_rate is not None and trust is ClientTrust.UNTRUSTED:
@@ -151,7 +151,7 @@
     def opened(self, key: int, now: float, address: bytes) -> None:
         """A connection that was admitted is open. One that was evicted for it has been closed before."""
         connection = TrackedConnection(
-            key, address, self._block_of(address), self.rank(now, address), ConnectionUsage.NEW, now
+            key, address, self._block_of(address), self.trust_of(now, address), ConnectionUsage.NEW, now
         )
         self.entries[key] = connection
         self.by_address.setdefault(address, set()).add(key)
@@ -169,25 +169,25 @@
         if not keys:
             del self.by_address[connection.address]
 
-    def spoke(self, key: int, now: float, use: ConnectionUsage | None, open: bool) -> None:
+    def message_received(self, key: int, now: float, usage: ConnectionUsage | None, open: bool) -> None:
         """A complete, valid message was received.
 
-        `use`: what the message uses the connection for; None says nothing of that. `open`: whether the connection
+        `usage`: what the message uses the connection for; None says nothing of that. `open`: whether the connection
         has an open request now."""
         connection = self.entries.get(key)
         if connection is None:
             return
         first = connection.usage is ConnectionUsage.NEW
         # A connection that carries health checks counts as one, whatever else it carries.
-        if use is not None and (first or use < connection.usage):
+        if usage is not None and (first or usage < connection.usage):
             self._count(connection, -1)
-            connection.usage = use
+            connection.usage = usage
             self._count(connection, 1)
         connection.last_active = now
         connection.busy = open
         if not open:
             self.eviction_queues.add(connection)
-        if not first and use is ConnectionUsage.REQUESTS and connection.trust is not ClientTrust.LISTED:
+        if not first and usage is ConnectionUsage.REQUESTS and connection.trust is not ClientTrust.LISTED:
             if self._reputation.record_valid(now, connection.address):
                 self._update_trust(connection.address, now)
 
@@ -219,7 +219,7 @@
 
     def _update_trust(self, address: bytes, now: float) -> None:
         """Give all connections of an address the trust that it has now."""
-        trust = self.rank(now, address)
+        trust = self.trust_of(now, address)
         for key in self.by_address.get(address, ()):
             connection = self.entries[key]
             self._count(connection, -1)
@@ -255,7 +255,7 @@
 
     def explain(self, now: float, address: bytes) -> list[RuleExplanation]:
         """Which rules an address meets, and what each says of it now."""
-        return explain_rules(self.rules, self.limit, address, self.rank(now, address))
+        return explain_rules(self.rules, self.limit, address, self.trust_of(now, address))
 
 
 def _rate_limiter(rate: float, burst: int, rules: Rules) -> RateLimiter | None:
--- a/chutepin/cluster/streams.py
+++ b/chutepin/cluster/streams.py
@@ -98,7 +98,7 @@
         def ended(task: asyncio.Task[None]) -> None:
             sock.close()
             self._descriptors.release(DESCRIPTOR_SHARE)
-            self.acceptor.room()
+            self.acceptor.descriptor_freed()
             self._tasks.discard(task)
 
         task.add_done_callback(ended)
--- a/chutepin/cluster/transport.py
+++ b/chutepin/cluster/transport.py
@@ -70,7 +70,7 @@
                 self._udp = sock
                 self._descriptors.parts[DESCRIPTOR_SHARE].in_use += 1
             else:
-                self._streams.acceptor.halt()
+                self._streams.acceptor.pause()
                 self._streams.acceptor.adopt([sock])
         return others
 
@@ -90,7 +90,7 @@
         with contextlib.suppress(OSError):
             self._udp.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         if self._streams.acceptor.sockets:
-            self._streams.acceptor.go_on()
+            self._streams.acceptor.resume()
         else:
             await self._streams.acceptor.listen(host, port, AddressSharing.NONE)
         asyncio.get_running_loop().add_reader(self._udp, self._readable)
@@ -110,7 +110,7 @@
         """Receive nothing: another process of this node reads the same sockets."""
         if self._open and self._udp is not None:
             asyncio.get_running_loop().remove_reader(self._udp)
-            self._streams.acceptor.halt()
+            self._streams.acceptor.pause()
             if self._reading_paused is not None:
                 self._reading_paused.cancel()
                 self._reading_paused = None
--- a/chutepin/net/resp/listener.py
+++ b/chutepin/net/resp/listener.py
@@ -19,7 +19,7 @@
     Deadlines,
     DescriptorBudget,
     ProxyHead,
-    Reason,
+    RejectionReason,
     Rules,
 )
 from ...broker import Broker
@@ -100,17 +100,19 @@
             request.arrived += connection.time_shift_s
             request.due += connection.time_shift_s
             connection.open[tag] = request.id
-            self.table.spoke(connection.key, connection.last_used_at, ConnectionUsage.REQUESTS, True)
+            self.table.message_received(connection.key, connection.last_used_at, ConnectionUsage.REQUESTS, True)
             self.broker.pick(request, Reply(connection, tag))
         elif verb == CANCEL:
             self.counters.add("cancels")
             if (id := connection.open.pop(tag, None)) is not None:
                 self.broker.caller_disconnected(id)
-            self.table.spoke(connection.key, connection.last_used_at, None, bool(connection.open))
+            self.table.message_received(connection.key, connection.last_used_at, None, bool(connection.open))
         elif verb == HEALTH:
             self.counters.add("checks")
             connection.carries_health_checks = connection.has_valid_message = True
-            self.table.spoke(connection.key, connection.last_used_at, ConnectionUsage.CHECKS, bool(connection.open))
+            self.table.message_received(
+                connection.key, connection.last_used_at, ConnectionUsage.CHECKS, bool(connection.open)
+            )
             connection.write(format_health(tag, self.healthy, self.broker.value))
         else:
             raise ProtocolError("an unknown verb")
@@ -166,14 +168,14 @@
     def yield_ownership(self) -> None:
         """Another process accepts from now on: ask that nothing more be sent on the open connections."""
         if self._acceptor is not None:
-            self._acceptor.halt()
+            self._acceptor.pause()
         for connection in self.connections.values():
             connection.send_bye(self.clock.now())
 
     def resume_ownership(self) -> None:
         """Accept again."""
         if self._acceptor is not None:
-            self._acceptor.go_on()
+            self._acceptor.resume()
 
     def _has_descriptor(self, dropped: int) -> bool:
         """One is free, or few are about to be: connections that made room hold theirs for some turns of the loop.
@@ -197,16 +199,18 @@
         )
         verdict = self.table.admit(now, address)
         evict = verdict.evict
-        if verdict.refused is None and short and evict is None:
+        if verdict.rejection is None and short and evict is None:
             # The process has no descriptor left, whatever the table says: who is known may have that of another.
-            evict = self.table.least_below(now, address)
+            evict = self.table.evictable_below(now, address)
             if evict is None:
-                self.table.refused[Reason.DESCRIPTORS] += 1
+                self.table.rejections[RejectionReason.DESCRIPTORS] += 1
                 self.counters.add("balancers.too_many")
                 return AcceptDecision.REJECT
-        if verdict.refused is not None:
+        if verdict.rejection is not None:
             self.counters.add("balancers.too_many")
-            full = verdict.refused is Reason.FULL or (verdict.refused is Reason.NEW and self.table.rules.new_share == 1)
+            full = verdict.rejection is RejectionReason.FULL or (
+                verdict.rejection is RejectionReason.NEW and self.table.rules.new_share == 1
+            )
             return AcceptDecision.DROP if full else AcceptDecision.REJECT
         if evict is not None and not self._evict(evict, now):
             self.counters.add("balancers.too_many")
@@ -282,7 +286,7 @@
             self._making_room.discard(connection.key)
             self.descriptors.release(DESCRIPTOR_PART)
             if self._acceptor is not None:
-                self._acceptor.room()
+                self._acceptor.descriptor_freed()
 
     async def _run_connection(self, connection: Connection, link: SocketLink, writer: asyncio.StreamWriter) -> None:
         transport, key = link.transport, connection.key
@@ -329,7 +333,7 @@
         now, key = self.clock.now(), connection.key
         self.table.closed(key)
         verdict = self.table.admit(now, address)
-        if verdict.refused is not None:
+        if verdict.rejection is not None:
             self.counters.add("balancers.too_many")
             return False
         if verdict.evict is not None and not self._evict(verdict.evict, now):
@@ -340,7 +344,7 @@
 
     def metrics(self) -> dict[str, int]:
         """What was refused and why, for an operator."""
-        return {f"admission.refused.{reason.value}": count for reason, count in self.table.refused.items()}
+        return {f"admission.refused.{reason.value}": count for reason, count in self.table.rejections.items()}
 
     def apply(self, rules: Rules) -> None:
         """Go by other rules from now on; open connections stay."""
@@ -422,7 +426,7 @@
     def leave(self) -> None:
         """Take no new connections and ask that nothing more be sent on the open ones."""
         if self._acceptor is not None:
-            self._acceptor.take_rest()
+            self._acceptor.accept_backlog()
             self._acceptor.close()
             self._acceptor = None
         for connection in self.connections.values():
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -29,7 +29,7 @@
     DescriptorBudget,
     ProxyError,
     ProxyHead,
-    Reason,
+    RejectionReason,
     Rules,
 )
 from chutepin.admission.acceptor import RETRY_DELAY_S
@@ -60,10 +60,10 @@
     def __init__(self, rules: Rules, limit: int) -> None:
         self.table, self.now, self.keys = ConnectionTable(rules, limit), 100.0, 0
 
-    def connect(self, address: bytes = UNTRUSTED) -> int | Reason:
+    def connect(self, address: bytes = UNTRUSTED) -> int | RejectionReason:
         verdict = self.table.admit(self.now, address)
-        if verdict.refused is not None:
-            return verdict.refused
+        if verdict.rejection is not None:
+            return verdict.rejection
         if verdict.evict is not None:
             self.table.closed(verdict.evict)
         self.keys += 1
@@ -71,7 +71,7 @@
         return self.keys
 
     def request(self, key: int, answered: bool = True) -> None:
-        self.table.spoke(key, self.now, ConnectionUsage.REQUESTS, True)
+        self.table.message_received(key, self.now, ConnectionUsage.REQUESTS, True)
         if answered:
             self.table.answered(key)
 
@@ -176,9 +176,9 @@
     front = Front(Rules(per_address=3, per_block=40, known=LISTED), 400)
     results = [front.connect(pack_address(f"203.0.113.{i}")) for i in range(200) for _ in range(3)]
     assert sum(isinstance(result, int) for result in results) == 40
-    assert front.table.refused[Reason.CAP_BLOCK] == 560
+    assert front.table.rejections[RejectionReason.CAP_BLOCK] == 560
     assert [isinstance(front.connect(pack_address("198.51.100.1")), int) for _ in range(4)] == [True] * 3 + [False]
-    assert front.table.refused[Reason.CAP_ADDRESS] == 1
+    assert front.table.rejections[RejectionReason.CAP_ADDRESS] == 1
 
 
 def test_trusted_client_reconnects_at_limit_and_untrusted_stay_out_of_reserve() -> None:
@@ -205,21 +205,21 @@
         front.request(key)
         front.table.closed(key)
         front.now += 0.1
-    assert front.table.rank(front.now, UNTRUSTED) is ClientTrust.UNTRUSTED
+    assert front.table.trust_of(front.now, UNTRUSTED) is ClientTrust.UNTRUSTED
     key = front.connect()
     assert isinstance(key, int)
     for _ in range(13):
         front.request(key)
         front.now += 0.1
-    assert front.table.rank(front.now, UNTRUSTED) is ClientTrust.EARNED
+    assert front.table.trust_of(front.now, UNTRUSTED) is ClientTrust.EARNED
     front.table.malformed(key, front.now)
-    assert front.table.rank(front.now, UNTRUSTED) is ClientTrust.UNTRUSTED
+    assert front.table.trust_of(front.now, UNTRUSTED) is ClientTrust.UNTRUSTED
 
 
 def test_share_of_new_connections_is_bounded_and_oldest_is_evicted() -> None:
     front = Front(Rules(new_share=0.2), 50)
     keys = [front.connect() for _ in range(12)]
-    assert sum(isinstance(key, int) for key in keys) == 10 and keys[-1] is Reason.NEW
+    assert sum(isinstance(key, int) for key in keys) == 10 and keys[-1] is RejectionReason.NEW
     assert isinstance(keys[0], int) and isinstance(keys[1], int)
     front.request(keys[0])
     assert isinstance(front.connect(), int)  # one of them is new no more
@@ -234,7 +234,7 @@
             front.connect(address)
     front.table.apply(Rules(per_address=2, per_block=5, known=LISTED, reserve=0.5))
     assert len(front.table.entries) == 12 and front.table.by_block == {address_block(UNTRUSTED, 24, 64): 8}
-    assert front.connect() is Reason.CAP_ADDRESS and isinstance(front.connect(TRUSTED), int)
+    assert front.connect() is RejectionReason.CAP_ADDRESS and isinstance(front.connect(TRUSTED), int)
     front.table.apply(Rules())
     assert isinstance(front.connect(), int)
 
@@ -268,10 +268,10 @@
         for key in set(before) - set(table.entries):
             entry = before[key]
             assert key not in self.busy and entry.last_active < now - SETTLED_S
-            assert entry.trust <= table.rank(now, address)
+            assert entry.trust <= table.trust_of(now, address)
         if address == TRUSTED and len(before) < table.limit:
             assert isinstance(result, int)  # the reserve is open to it
-        if isinstance(result, Reason):
+        if isinstance(result, RejectionReason):
             assert before == table.entries
 
     @rule(data=st.data(), answered=st.booleans(), use=st.sampled_from(ConnectionUsage))
@@ -281,7 +281,7 @@
         key = data.draw(st.sampled_from(sorted(self.front.table.entries)))
         busy = use is ConnectionUsage.REQUESTS and not answered
         (self.busy.add if busy else self.busy.discard)(key)
-        self.front.table.spoke(key, self.front.now, None if use is ConnectionUsage.NEW else use, busy)
+        self.front.table.message_received(key, self.front.now, None if use is ConnectionUsage.NEW else use, busy)
 
     @rule(data=st.data(), malformed=st.booleans())
     def close(self, data: st.DataObject, malformed: bool) -> None:
@@ -570,7 +570,7 @@
         await asyncio.sleep(8 * RETRY_DELAY_S)
         assert counters.counts["admission.rests"] and tries[0] < 60  # no spinning
         short[0] = False
-        acceptor.room()
+        acceptor.descriptor_freed()
         await asyncio.sleep(0)
         await asyncio.sleep(0.01)
         assert len(gate.served) == 1  # at once, not after the rest
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -478,7 +478,7 @@
         front.table.opened(keys[name], now - age, b"\x7f\0\0\1")
         front.connections[keys[name]] = Connection(front, lambda _: None, key=keys[name])
         if name in uses:
-            front.table.spoke(keys[name], now - age, uses[name], name == "busy")
+            front.table.message_received(keys[name], now - age, uses[name], name == "busy")
     for least in ("first", "checked", "checked later", "idle", "last"):
         assert (
             front.decide(b"\x7f\0\0\1", short=False) is AcceptDecision.SERVE and keys[least] not in front.connections
