--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from chutepin.config import ConfigError
-from chutepin.config.cluster import KNOWN
+from chutepin.config.cluster import CHECKS
 
 HIGHEST_TRIED = 2**20
 
@@ -17,7 +17,7 @@
 
 def most_members() -> int:
     """The largest `members` that the block `cluster` accepts."""
-    check = KNOWN["members"]
+    check = CHECKS["members"]
     assert callable(check)
 
     def accepted(value: int) -> bool:
--- a/chutepin/cli/cluster.py
+++ b/chutepin/cli/cluster.py
@@ -8,7 +8,7 @@
 
 import click
 
-from .ask import OPS, ask, rows
+from .node_client import OPS_OPTION, parse_rows, request
 from .output import as_json, show_json, show_table
 
 if TYPE_CHECKING:
@@ -33,11 +33,11 @@
 
 
 @command.command()
-@OPS
+@OPS_OPTION
 @JSON
 def members(ops: str, json_asked: bool) -> int:
     """All members; exit code 1 while one is suspect or dead."""
-    found = rows(ask(ops, "members")[1], MEMBER)
+    found = parse_rows(request(ops, "members")[1], MEMBER)
     if as_json(json_asked):
         show_json(found)
     else:
@@ -46,11 +46,11 @@
 
 
 @command.command()
-@OPS
+@OPS_OPTION
 @JSON
 def links(ops: str, json_asked: bool) -> int:
     """Links that are bad in one direction, and since when."""
-    found = rows(ask(ops, "links")[1], LINK)
+    found = parse_rows(request(ops, "links")[1], LINK)
     if as_json(json_asked):
         show_json(found)
     elif found:
@@ -63,7 +63,7 @@
 def changes(ops: str) -> list[dict[str, Any]]:
     """What has happened, the oldest first."""
     found = []
-    for line in ask(ops, "changes")[1]:
+    for line in request(ops, "changes")[1]:
         number, age, what, member, incarnation, *fields = line.split()
         found.append(
             {
@@ -81,9 +81,9 @@
 def picture(ops: str) -> dict[str, Any]:
     """All that a picture shows."""
     return {
-        "view": dict(line.split(maxsplit=1) for line in ask(ops, "view")[1]),
-        "members": rows(ask(ops, "members")[1], MEMBER),
-        "links": rows(ask(ops, "links")[1], LINK),
+        "view": dict(line.split(maxsplit=1) for line in request(ops, "view")[1]),
+        "members": parse_rows(request(ops, "members")[1], MEMBER),
+        "links": parse_rows(request(ops, "links")[1], LINK),
         "changes": changes(ops)[-LAST:],
     }
 
@@ -145,7 +145,7 @@
 
 
 @command.command()
-@OPS
+@OPS_OPTION
 @JSON
 @click.option("--seconds", type=click.FloatRange(0), default=0.0, help="End after so long; 0: until interrupted.")
 def watch(ops: str, json_asked: bool, seconds: float) -> int:
--- a/chutepin/cli/consensus.py
+++ b/chutepin/cli/consensus.py
@@ -8,7 +8,7 @@
 
 import click
 
-from .ask import OPS, AskError, ask, line
+from .node_client import OPS_OPTION, NodeRequestError, request, request_line
 from .output import as_json, show_fields, show_json, show_table
 
 if TYPE_CHECKING:
@@ -28,7 +28,7 @@
 def status_of(ops: str) -> dict[str, Any]:
     """A node's part in the log, by field; voters and learners with what they lack."""
     found: dict[str, Any] = {"voters": {}, "learners": {}}
-    for words in map(str.split, ask(ops, "agree")[1]):
+    for words in map(str.split, request(ops, "agree")[1]):
         if words[0] in ("voter", "learner"):
             found[words[0] + "s"][words[1]] = None if words[3] == "-" else int(words[3])
         else:
@@ -37,7 +37,7 @@
 
 
 @command.command()
-@OPS
+@OPS_OPTION
 @JSON
 def status(ops: str, json_asked: bool) -> int:
     """Role, term, leader, how far all is agreed and applied; at the leader what each voter lacks. Exit code 1 while no
@@ -61,13 +61,13 @@
 
 def _said(ops: str, call: str, json_asked: bool) -> int:
     """Show a call's one line; the exit code is 0 for what was done, 1 for what is not known, 2 for what was not."""
-    answer = line(ops, call)
+    answer = request_line(ops, call)
     if answer.startswith("FAILURE unknown"):
         code = 1
     elif answer.startswith("SUCCESS"):
         code = 0
     else:
-        raise AskError(f"{ops}: {answer}")
+        raise NodeRequestError(f"{ops}: {answer}")
     if as_json(json_asked):
         show_json({"answer": answer, "done": code == 0})
     else:
@@ -79,7 +79,7 @@
 @click.argument("name")
 @click.argument("value")
 @click.option("--id", "known", default="", help="Of an earlier try whose outcome is unknown: it counts once.")
-@OPS
+@OPS_OPTION
 @JSON
 def set_(name: str, value: str, known: str, ops: str, json_asked: bool) -> int:
     """Agree on NAME = VALUE. Exit code 1: not known yet, the answer has the id."""
@@ -88,7 +88,7 @@
 
 @command.command()
 @click.argument("name")
-@OPS
+@OPS_OPTION
 @JSON
 def get(name: str, ops: str, json_asked: bool) -> int:
     """What NAME is, with all that was agreed before this call."""
@@ -98,7 +98,7 @@
 @command.command("ask")
 @click.argument("id")
 @click.option("--void", is_flag=True, help="If it was not agreed by now, it never will be.")
-@OPS
+@OPS_OPTION
 @JSON
 def ask_(id: str, void: bool, ops: str, json_asked: bool) -> int:
     """What has become of a proposal whose outcome was unknown."""
@@ -112,7 +112,7 @@
 
 @voters.command()
 @click.argument("name")
-@OPS
+@OPS_OPTION
 @JSON
 def add(name: str, ops: str, json_asked: bool) -> int:
     """Let NAME learn; called again, once it has caught up, let it vote."""
@@ -121,7 +121,7 @@
 
 @voters.command()
 @click.argument("name")
-@OPS
+@OPS_OPTION
 @JSON
 def remove(name: str, ops: str, json_asked: bool) -> int:
     """Let NAME vote no more. A leader that is to go hands over first."""
@@ -130,7 +130,7 @@
 
 @command.command()
 @click.argument("name")
-@OPS
+@OPS_OPTION
 @JSON
 def transfer(name: str, ops: str, json_asked: bool) -> int:
     """Have NAME lead. To be asked of the leader."""
@@ -138,7 +138,7 @@
 
 
 @command.command()
-@OPS
+@OPS_OPTION
 @JSON
 def snapshot(ops: str, json_asked: bool) -> int:
     """Keep this node's state now, and let go of its log before it."""
@@ -155,7 +155,7 @@
 
 def open_log(directory: Path, work: Callable[[str, PersistentState], Persist] | None = None) -> StoredLog:
     """Read a store that no node has open; where there is `work` to do by the node's identity, write what it returns.
-    Raises ClickException for damage, AskError where there is nothing."""
+    Raises ClickException for damage, NodeRequestError where there is nothing."""
     from ..consensus.errors import JournalError
     from ..consensus.identity import IDENTITY_KEY, Identity, StoredIdentity
     from ..consensus.journal import Journal
@@ -166,7 +166,7 @@
         with Store.open(directory) as store:
             raw, journal = store.get(IDENTITY_KEY), Journal()
             if raw is None:
-                raise AskError(f"{directory}: there is no log in it")
+                raise NodeRequestError(f"{directory}: there is no log in it")
             owner = StoredIdentity.unpack(raw)
             durable, _ = journal.load(store.get)
             written = None
@@ -180,7 +180,7 @@
     except JournalError as error:
         raise click.ClickException(f"{directory}: {error}") from None
     except StoreError as error:
-        raise AskError(str(error)) from None
+        raise NodeRequestError(str(error)) from None
 
 
 @command.command()
--- a/chutepin/config/checks.py
+++ b/chutepin/config/checks.py
@@ -32,13 +32,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Many:
-    """A setting that takes one value or several."""
+class OneOrMore:
+    """A setting that takes one value or more."""
 
     check: Check
 
 
-def quantity(units: Mapping[str, float], least: float, most: float) -> Check:
+def quantity(units: Mapping[str, float], minimum: float, maximum: float) -> Check:
     """Return a check for a number with one of these units, within bounds in the base unit."""
 
     def check(raw: Any, name: str) -> float:
@@ -51,25 +51,25 @@
             )
         if unit not in units:
             raise ConfigError(f"{name}: unknown unit {unit}; known are {', '.join(units)}")
-        if not least <= value * units[unit] <= most:
+        if not minimum <= value * units[unit] <= maximum:
             raise ConfigError(f"{name}: ({unit}){value} is out of range")
         return value * units[unit]
 
     return check
 
 
-def size(least: int, most: int) -> Check:
+def size(minimum: int, maximum: int) -> Check:
     """Return a check for a number of bytes."""
-    checked = quantity(SIZE, least, most)
-    return lambda raw, name: int(checked(raw, name))
+    check_quantity = quantity(SIZE, minimum, maximum)
+    return lambda raw, name: int(check_quantity(raw, name))
 
 
-def count(unit: str, least: int, most: int) -> Check:
-    """Return a check for a whole number of what the unit names."""
-    checked = quantity({unit: 1}, least, most)
+def count(unit: str, minimum: int, maximum: int) -> Check:
+    """Return a check for an integer count of what the unit names."""
+    check_quantity = quantity({unit: 1}, minimum, maximum)
 
     def check(raw: Any, name: str) -> int:
-        value = checked(raw, name)
+        value = check_quantity(raw, name)
         if value != int(value):
             raise ConfigError(f"{name}: ({unit}){value} is no whole number")
         return int(value)
@@ -88,7 +88,7 @@
 
 
 def address(raw: Any, field: str) -> Address:
-    """Check an address of the form host:port, both present."""
+    """Check an address of the form host:port, with both parts."""
     host, _, port = raw.rpartition(":") if isinstance(raw, str) else ("", "", "")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
         raise ConfigError(f"{field}: not an address of the form host:port")
--- a/chutepin/config/cluster.py
+++ b/chutepin/config/cluster.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from .checks import TIME, Address, Check, ConfigError, Many, address, count, quantity, text
+from .checks import TIME, Address, Check, ConfigError, OneOrMore, address, count, quantity, text
 
 MAX_NAME = 64
 
@@ -19,29 +19,29 @@
     name: str
     region: str
     zone: str
-    listen: Address  # UDP and TCP; also what the member tells the others
+    listen: Address  # UDP and TCP; also the address that the member announces
     seeds: tuple[tuple[str, str], ...] = ()  # (member, address) to join by
-    reach: tuple[tuple[str, str], ...] = ()  # (member, address) that this node dials in place of the told one
+    reach: tuple[tuple[str, str], ...] = ()  # (member, address) that this node dials in place of the announced one
     probe_every: float = 0.5
     probe_timeout: float = 0.2  # for the direct answer; helpers have until the next probe
     helpers: int = 3
     gossip_every: float = 0.1
     gossip_to: int = 3
-    suspect_least: float = 1.2  # with all witnesses; grows with the logarithm of the number of members
+    suspect_least: float = 1.2  # with every confirmation; grows with the logarithm of the number of members
     suspect_most: int = 6  # times that, without any
-    alone: float = 15.0  # how long a member that gets no answer at all waits before it believes that all have gone
+    alone: float = 15.0  # how long a member that gets no answer at all waits before it declares the others dead
     link_every: float = 2.0  # between looks at a bad link
-    sync_every: float = 5.0  # between exchanges of whole states, where views differ
-    join_every: float = 1.0  # between tries at a seed, and at a dead member
+    sync_every: float = 5.0  # between exchanges of full states, where views differ
+    join_every: float = 1.0  # between attempts at a seed, and at a dead member
     remember: float = 86400.0  # the dead
     members: int = 1024  # names, the dead included
 
 
 def _name(raw: Any, name: str) -> str:
-    word = text(raw, name)
-    if len(word) > MAX_NAME or " " in word or "=" in word or not word.isprintable():
-        raise ConfigError(f"{name}: not a word of up to {MAX_NAME} characters")
-    return word
+    name_text = text(raw, name)
+    if len(name_text) > MAX_NAME or " " in name_text or "=" in name_text or not name_text.isprintable():
+        raise ConfigError(f"{name}: not a name_text of up to {MAX_NAME} characters")
+    return name_text
 
 
 def _listen(raw: Any, name: str) -> Address:
@@ -66,13 +66,13 @@
     return _name(member, name), f"{found.host}:{found.port}"
 
 
-KNOWN: Mapping[str, Check | Many] = {
+CHECKS: Mapping[str, Check | OneOrMore] = {
     "name": _name,
     "region": _name,
     "zone": _name,
     "listen": _listen,
-    "seeds": Many(_peer),
-    "reach": Many(_peer),
+    "seeds": OneOrMore(_peer),
+    "reach": OneOrMore(_peer),
     "probe-every": quantity(TIME, 0.05, 60.0),
     "probe-timeout": quantity(TIME, 0.01, 30.0),
     "helpers": count("members", 1, 16),
@@ -89,7 +89,7 @@
 }
 
 
-def checked(values: dict[str, Any]) -> ClusterSetup:
+def build_setup(values: dict[str, Any]) -> ClusterSetup:
     """Check the block's values against each other and build its setup. Raises ConfigError."""
     for name in ("name", "region", "zone", "listen"):
         if name not in values:
--- a/chutepin/config/consensus.py
+++ b/chutepin/config/consensus.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from .checks import TIME, Check, ConfigError, Many, quantity, size, text
+from .checks import TIME, Check, ConfigError, OneOrMore, quantity, size, text
 from .cluster import MAX_NAME
 
 
@@ -21,21 +21,21 @@
 
 
 def _name(raw: Any, name: str) -> str:
-    word = text(raw, name)
-    if len(word) > MAX_NAME or not word.isprintable() or any(sign in word for sign in " =~"):
+    name_text = text(raw, name)
+    if len(name_text) > MAX_NAME or not name_text.isprintable() or any(sign in name_text for sign in " =~"):
         raise ConfigError(f"{name}: not a member's name of up to {MAX_NAME} characters")
-    return word
+    return name_text
 
 
-KNOWN: Mapping[str, Check | Many] = {
-    "voters": Many(_name),
+CHECKS: Mapping[str, Check | OneOrMore] = {
+    "voters": OneOrMore(_name),
     "election": quantity(TIME, 0.1, 60.0),
     "heartbeat": quantity(TIME, 0.02, 10.0),
     "log": size(2**16, 2**26),
 }
 
 
-def checked(values: dict[str, Any]) -> ConsensusSetup:
+def build_setup(values: dict[str, Any]) -> ConsensusSetup:
     """Check the block's values against each other and build its setup. Raises ConfigError."""
     if "voters" not in values:
         raise ConfigError("agree.voters: missing")
--- a/chutepin/config/operator.py
+++ b/chutepin/config/operator.py
@@ -13,14 +13,14 @@
 from typing import TYPE_CHECKING, Any
 
 from ..logs import LogFormat
-from .checks import RATE, SHARE, TIME, Check, ConfigError, Many, choice, count, network, quantity, size, text
+from .checks import RATE, SHARE, TIME, Check, ConfigError, OneOrMore, choice, count, network, quantity, size, text
 
 if TYPE_CHECKING:
     from .cluster import ClusterSetup
     from .consensus import ConsensusSetup
 
-MAX_NETWORKS = 1024  # in one list
-MAX_FILE = 256 * 1024  # bytes of an operator's file
+MAX_NETWORKS = 1024  # in one setting
+MAX_FILE_BYTES = 256 * 1024
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionSetup:
-    """The block `admission`: who may connect. What is 0 is off; the defaults turn nobody away but for room."""
+    """The block `admission`: who may connect. 0 switches a rule off, as do the defaults."""
 
     per_address: int = 0  # connections
     per_block: int = 0
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Setup:
-    """The whole file. A block that is not there leaves its subsystem at its defaults, or off."""
+    """The operator's file. A block that is missing leaves its subsystem at its defaults, or off."""
 
     log: LogSetup = field(default_factory=LogSetup)
     store: StoreSetup | None = None
@@ -77,7 +77,7 @@
 # Blocks to the modules here that check them, imported only where the file has the block.
 LAZY = {"cluster": "cluster", "agree": "consensus"}
 
-BLOCKS: dict[str, dict[str, Check | Many]] = {
+BLOCKS: dict[str, dict[str, Check | OneOrMore]] = {
     "log": {"format": choice(*(format.value for format in LogFormat))},
     "store": {
         "directory": text,
@@ -97,8 +97,8 @@
         "burst-block": count("connections", 1, 2**20),
         "new-share": quantity(SHARE, 0.01, 1.0),
         "reserve": quantity(SHARE, 0.0, 0.95),
-        "known": Many(network),
-        "relays": Many(network),
+        "known": OneOrMore(network),
+        "relays": OneOrMore(network),
         "earn-requests": count("requests", 0, 2**20),
         "earn-over": quantity(TIME, 0.0, 86400.0),
         "earned-age": quantity(TIME, 1.0, 30 * 86400.0),
@@ -107,7 +107,7 @@
 }
 
 
-def _block(node: Any, known: Mapping[str, Check | Many]) -> dict[str, Any]:
+def _block(node: Any, known: Mapping[str, Check | OneOrMore]) -> dict[str, Any]:
     if node.args or node.properties:
         raise ConfigError(f"{node.name}: takes a block in braces, no values of its own")
     found: dict[str, Any] = {}
@@ -121,11 +121,11 @@
     return found
 
 
-def _value(node: Any, check: Check | Many, name: str) -> Any:
-    many = isinstance(check, Many)
-    if not 1 <= len(node.args) <= (MAX_NETWORKS if many else 1) or node.properties or node.children:
-        raise ConfigError(f"{name}: takes one value{f' to {MAX_NETWORKS}' if many else ''}")
-    if isinstance(check, Many):
+def _value(node: Any, check: Check | OneOrMore, name: str) -> Any:
+    takes_several = isinstance(check, OneOrMore)
+    if not 1 <= len(node.args) <= (MAX_NETWORKS if takes_several else 1) or node.properties or node.children:
+        raise ConfigError(f"{name}: takes one value{f' to {MAX_NETWORKS}' if takes_several else ''}")
+    if isinstance(check, OneOrMore):
         return tuple(check.check(raw, name) for raw in node.args)
     return check(node.args[0], name)
 
@@ -146,7 +146,7 @@
             raise ConfigError(f"{node.name}: given twice")
         if node.name in LAZY:
             lazy = importlib.import_module(f".{LAZY[node.name]}", __package__)
-            blocks[node.name] = {"setup": lazy.checked(_block(node, lazy.KNOWN))}
+            blocks[node.name] = {"setup": lazy.build_setup(_block(node, lazy.CHECKS))}
         else:
             blocks[node.name] = _block(node, BLOCKS[node.name])
     log = LogSetup(LogFormat(blocks.get("log", {}).get("format", LogFormat.PLAIN.value)))
@@ -172,8 +172,8 @@
 def load_setup(path: str) -> Setup:
     """Read and check the file at `path`; the message of an error begins with that path."""
     try:
-        if Path(path).stat().st_size > MAX_FILE:
-            raise ConfigError(f"{path}: over {MAX_FILE} bytes")
+        if Path(path).stat().st_size > MAX_FILE_BYTES:
+            raise ConfigError(f"{path}: over {MAX_FILE_BYTES} bytes")
         return parse_setup(Path(path).read_text())
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror or error}") from None
