--- a/benchmarks/capacity/measure/settings_probe.py
+++ b/benchmarks/capacity/measure/settings_probe.py
@@ -17,27 +17,28 @@
 
 from .tools import resident_bytes
 
-CONTROLS = 5  # looks at the backlog that are timed
-STEP_S = 1.001 * CONTROL_INTERVAL_S  # so that each step is due a look
+TIMED_INTERVALS = 5  # control intervals
+STEP_S = 1.001 * CONTROL_INTERVAL_S  # so that each step is due an adjustment
 
 
 def main(path: Path) -> dict[str, float]:
     """Bytes and milliseconds of processor time."""
     gc.collect()
-    before, begun = resident_bytes(os.getpid()), time.process_time()
+    memory_before = resident_bytes(os.getpid())
+    build_began = time.process_time()
     policy = Policy(parse_settings(json.loads(path.read_bytes())), seed=1)
     policy.start(now=0.0)
-    built = time.process_time()
+    build_ended = time.process_time()
     gc.collect()
-    held = resident_bytes(os.getpid()) - before
-    ticking = time.process_time()
-    for number in range(1, CONTROLS + 1):
+    memory_bytes = resident_bytes(os.getpid()) - memory_before
+    control_began = time.process_time()
+    for number in range(1, TIMED_INTERVALS + 1):
         policy.handle(number * STEP_S, [])
-    ticked = time.process_time()
+    control_ended = time.process_time()
     return {
-        "memory_bytes": held,
-        "build_cpu_ms": 1000 * (built - begun),
-        "control_cpu_ms": 1000 * (ticked - ticking) / CONTROLS,
+        "memory_bytes": memory_bytes,
+        "build_cpu_ms": 1000 * (build_ended - build_began),
+        "control_cpu_ms": 1000 * (control_ended - control_began) / TIMED_INTERVALS,
         "file_bytes": path.stat().st_size,
     }
 
--- a/benchmarks/capacity/measure/tenants.py
+++ b/benchmarks/capacity/measure/tenants.py
@@ -14,7 +14,7 @@
 SIZES = (2_000, 8_000, 32_000, 128_000)
 ROUNDS = 2
 PROBE = "benchmarks.capacity.measure.settings_probe"
-CONTROLS_PER_S = 1 / CONTROL_INTERVAL_S  # the module's looks at the backlog while requests run
+CONTROLS_PER_S = 1 / CONTROL_INTERVAL_S  # adjustments while requests run
 UNITS = {
     "memory_bytes": "bytes",
     "build_cpu_ms": "ms of a core",
--- a/chutepin/config/platform.py
+++ b/chutepin/config/platform.py
@@ -1,4 +1,6 @@
-"""Parses the platform's JSON file and the operator's for AMQP, and checks them field by field."""
+"""The platform's JSON file and the operator's TOML file for AMQP, parsed and checked field by field.
+
+A `ConfigError` names the field, in one line."""
 
 from __future__ import annotations
 
@@ -14,6 +16,12 @@
 from ..decision import simulator_protocol as wire
 from .checks import Address, ConfigError, address, text
 
+MAX_QUEUE_NAME_BYTES = 255  # AMQP's short string
+MAX_QUEUES = 100
+MAX_HEARTBEAT_S = 3600
+MAX_PREFETCH = 1024
+MAX_BODY_BYTES = 2048
+
 
 @dataclass(frozen=True, slots=True)
 class Config:
@@ -25,15 +33,15 @@
     control: Address | None
     records: Address | None
     seed: int
-    stop: float  # seconds from the notice to drain to the end of the process
+    stop: float  # seconds from the notice of a shutdown to the end of the process
     memory: int  # bytes
     sockets: int
     settings: decision.Settings
-    ops: Address | None = None  # where operators call
+    ops: Address | None = None  # the operators' socket
 
 
 def positive(raw: Any, field: str) -> float:
-    """Check that a value is a finite number above 0."""
+    """Check that a value is a finite number above 0. Raises ConfigError."""
     if isinstance(raw, bool) or not isinstance(raw, (int, float)) or not 0 < raw < float("inf"):
         raise ConfigError(f"{field}: not a number above 0")
     return float(raw)
@@ -42,12 +50,12 @@
 def _seed(raw: Any) -> int:
     try:
         return int(text(raw, "seed"), 16)
-    except ValueError:
-        raise ConfigError("seed: not a hexadecimal number") from None
+    except ValueError as error:
+        raise ConfigError("seed: not a hexadecimal number") from error
 
 
 def parse(raw: Any, environment: Mapping[str, str]) -> Config:
-    """Check the decoded file; the environment's name and listening address stand in where it has none."""
+    """Check the decoded file. Name and addresses that it lacks come from the environment. Raises ConfigError."""
     if not isinstance(raw, dict):
         raise ConfigError("LB_CONFIG: not a JSON object")
     limits = raw.get("limits", {})
@@ -56,15 +64,16 @@
     try:
         settings = wire.parse_settings(raw.get("settings"))
     except (decision.DecisionError, ValueError, TypeError, OverflowError) as error:
-        raise ConfigError(f"settings: {error}") from None
-    below, control = raw.get("records"), raw.get("control")
+        raise ConfigError(f"settings: {error}") from error
+    records = raw.get("records")
+    control = raw.get("control")
     ops = raw.get("ops", environment.get("LB_OPS"))
     return Config(
         name=text(raw.get("name", environment.get("LB_NAME")), "name"),
         listen=address(raw.get("listen", environment.get("LB_LISTEN")), "listen"),
         executor=address(raw.get("executor"), "executor"),
         control=address(control, "control") if control is not None else None,
-        records=address(below, "records") if below is not None else None,
+        records=address(records, "records") if records is not None else None,
         seed=_seed(raw.get("seed", "0")),
         stop=positive(raw.get("stop_ms", 3000), "stop_ms") / 1000,
         memory=int(positive(limits.get("memory_mb", 192), "limits.memory_mb") * 2**20),
@@ -81,7 +90,7 @@
     name: str
     team: str
     cls: str
-    held_kb: float  # memory that a held message counts for
+    held_kb: float  # memory that a queued message counts for
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,18 +104,18 @@
     heartbeat: int  # seconds
     prefetch: int
     max_body: int  # bytes
-    redelivery_window: float  # seconds in which a redelivered work order is known
+    redelivery_window: float  # seconds in which a redelivered message is recognized
     queues: tuple[QueueConfig, ...]
 
 
-def _whole(raw: Any, field: str, most: int) -> int:
-    if isinstance(raw, bool) or not isinstance(raw, int) or not 0 < raw <= most:
-        raise ConfigError(f"{field}: not a whole number from 1 to {most}")
+def _whole_number(raw: Any, field: str, maximum: int) -> int:
+    if isinstance(raw, bool) or not isinstance(raw, int) or not 0 < raw <= maximum:
+        raise ConfigError(f"{field}: not a whole number from 1 to {maximum}")
     return raw
 
 
 def _table(raw: Any, field: str, known: set[str]) -> dict[str, Any]:
-    """An object without misspelt names."""
+    """Check that a value is a table with no name but the known ones."""
     if not isinstance(raw, dict):
         raise ConfigError(f"{field}: missing or not a table")
     if unknown := sorted(set(raw) - known):
@@ -122,7 +131,7 @@
         text(table.get("class"), f"{field}.class"),
         positive(table.get("held_kb", 32.0), f"{field}.held_kb"),
     )
-    if len(queue.name.encode()) > 255:
+    if len(queue.name.encode()) > MAX_QUEUE_NAME_BYTES:
         raise ConfigError(f"{field}.name: over 255 bytes")
     if queue.cls not in {cls.name for cls in settings.classes}:
         raise ConfigError(f"{field}.class: no contract of this name")
@@ -132,7 +141,7 @@
 
 
 def parse_amqp(raw: Any, settings: decision.Settings, environment: Mapping[str, str]) -> AmqpConfig:
-    """Check the operator's decoded file against the contracts and budgets of the settings."""
+    """Check the operator's decoded file against the classes and tenants of the settings. Raises ConfigError."""
     raw = _table(raw, "amqp", {"broker", "queue"})
     broker = _table(
         raw.get("broker"),
@@ -152,44 +161,44 @@
     if variable not in environment:
         raise ConfigError(f"broker.password_from: {variable} is not set")
     queues = raw.get("queue")
-    if not isinstance(queues, list) or not 0 < len(queues) <= 100:
+    if not isinstance(queues, list) or not 0 < len(queues) <= MAX_QUEUES:
         raise ConfigError("queue: from 1 to 100 are needed")
     return AmqpConfig(
         address=address(broker.get("address"), "broker.address"),
         virtual_host=text(broker.get("virtual_host", "/"), "broker.virtual_host"),
         user=text(broker.get("user"), "broker.user"),
         password=environment[variable],
-        heartbeat=_whole(broker.get("heartbeat_s", 10), "broker.heartbeat_s", 3600),
-        prefetch=_whole(broker.get("prefetch", 32), "broker.prefetch", 1024),
-        max_body=_whole(broker.get("max_body", 2048), "broker.max_body", 2048),
+        heartbeat=_whole_number(broker.get("heartbeat_s", 10), "broker.heartbeat_s", MAX_HEARTBEAT_S),
+        prefetch=_whole_number(broker.get("prefetch", 32), "broker.prefetch", MAX_PREFETCH),
+        max_body=_whole_number(broker.get("max_body", 2048), "broker.max_body", MAX_BODY_BYTES),
         redelivery_window=positive(broker.get("redelivery_window_s", 900), "broker.redelivery_window_s"),
         queues=tuple(_queue(q, f"queue.{index}", settings) for index, q in enumerate(queues)),
     )
 
 
 def load_amqp(path: str, settings: decision.Settings, environment: Mapping[str, str] = os.environ) -> AmqpConfig:
-    """Read the operator's file."""
+    """Read the operator's file. Raises ConfigError."""
     try:
         raw = tomllib.loads(Path(path).read_text())
     except OSError as error:
-        raise ConfigError(f"amqp: {error.strerror or error}") from None
+        raise ConfigError(f"amqp: {error.strerror or error}") from error
     except ValueError as error:
-        raise ConfigError(f"amqp: not TOML: {error}") from None
+        raise ConfigError(f"amqp: not TOML: {error}") from error
     return parse_amqp(raw, settings, environment)
 
 
 def load(environment: Mapping[str, str] = os.environ) -> Config:
-    """Read the file that `LB_CONFIG` names."""
+    """Read the file that `LB_CONFIG` names. Raises ConfigError."""
     path = environment.get("LB_CONFIG")
     if not path:
         raise ConfigError("LB_CONFIG: not set")
     try:
         raw = json.loads(Path(path).read_bytes())
     except OSError as error:
-        raise ConfigError(f"LB_CONFIG: {error.strerror or error}") from None
-    except (ValueError, RecursionError):
-        raise ConfigError("LB_CONFIG: not JSON") from None
+        raise ConfigError(f"LB_CONFIG: {error.strerror or error}") from error
+    except (ValueError, RecursionError) as error:
+        raise ConfigError("LB_CONFIG: not JSON") from error
     try:
         return parse(raw, environment)
     except ConfigError as error:
-        raise ConfigError(f"{error} ({path})") from None
+        raise ConfigError(f"{error} ({path})") from error
--- a/chutepin/decision/actions.py
+++ b/chutepin/decision/actions.py
@@ -40,7 +40,7 @@
     """Make the call that a run waits for."""
 
     id: str
-    time_out: float
+    timeout: float
 
 
 @dataclass(frozen=True, slots=True)
--- a/chutepin/decision/simulator_protocol.py
+++ b/chutepin/decision/simulator_protocol.py
@@ -307,7 +307,7 @@
     Stop: lambda a: {"op": "ABORT_WORK", "tid": a.id},
     Reject: _rejection,
     Fail: lambda a: {"op": "REPORT_FAILURE", "tid": a.id},
-    Call: lambda a: {"op": "GO_CALL", "tid": a.id, "tryFor": a.time_out},
+    Call: lambda a: {"op": "GO_CALL", "tid": a.id, "tryFor": a.timeout},
     SkipCall: lambda a: {"op": "BYPASS", "tid": a.id},
     KeepKey: lambda a: {"op": "STORE_KEY", "tid": a.id, "forTime": a.keep_for},
     ForgetKey: lambda a: {"op": "UNPIN", "tid": a.id},
--- a/chutepin/facade.py
+++ b/chutepin/facade.py
@@ -1,7 +1,7 @@
 """The decision module behind three calls: `pick`, `report` and `tick`.
 
-Nothing else in chutepin sees the module's events or actions. Each call hands one event to the module and
-turns its actions into calls on the core, in the order in which the module wrote them.
+Nothing else in chutepin sees the module's events or actions. Each call hands one event to the module and turns its
+actions into calls on the core, in the module's order.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
     OK = "ok"
     ERROR = "error"
-    REFUSED = "refused"  # turned away: proof that it never ran
+    REFUSED = "refused"  # rejected: proof that it never ran
     LATE = "late"  # ran out of time
     UNREACHABLE = "unreachable"  # proof that it never ran
     BROKEN = "broken"  # outcome unknown
@@ -53,7 +53,7 @@
     rank: float
     caller: int
     is_retry: bool
-    repeats: str | None  # the try that has the key's entry
+    repeats: str | None  # id of the attempt that holds the key's record
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -67,7 +67,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallWanted:
-    """A run stands at a call."""
+    """A run needs its call to the dependency."""
 
     id: str
 
@@ -83,14 +83,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Left:
-    """The caller has gone."""
+    """The caller has disconnected."""
 
     id: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Drain:
-    """The node leaves; all is answered by `stop`. It was told to at `notice`."""
+    """The node shuts down, after a notice at `notice`; all is answered by `stop`."""
 
     stop: float
     notice: float
@@ -100,7 +100,7 @@
 
 
 class Core(Protocol):
-    """What the module can have done. All times are absolute."""
+    """What the module asks of the core. All times are absolute."""
 
     def run(self, id: str) -> None: ...
     def stop(self, id: str) -> None: ...
@@ -119,19 +119,19 @@
 
 
 class Facade:
-    """One life of the module."""
+    """A decision instance of this node, from one start of the executor to the next."""
 
     def __init__(self, settings: decision.Settings, seed: int, core: Core) -> None:
         self._settings, self._seed, self._core = settings, seed, core
         self._policy = Policy(settings, seed)
 
     def start(self, now: float, born: float, cold: bool) -> None:
-        """Begin the life: the executor came up at `born`, cold or warm."""
+        """Begin anew: the executor came up at `born`, cold or warm."""
         self._policy = Policy(dataclasses.replace(self._settings, warming_up=cold), self._seed)
         self._apply(now, self._policy.start(min(born, now)))
 
     def pick(self, now: float, offer: Offer) -> None:
-        """A request came in."""
+        """Take in a request."""
         self._handle(
             now,
             decision.Request(
@@ -150,7 +150,7 @@
         )
 
     def report(self, now: float, what: Report) -> None:
-        """What became of a run or a call; a caller has gone; the node leaves."""
+        """Take in the end of a run or a call, that a caller has disconnected, or that the node shuts down."""
         match what:
             case RunEnded(id, end, elapsed):
                 self._handle(now, decision.Finished(id, _OUTCOME[end], elapsed))
@@ -165,40 +165,39 @@
 
     @property
     def use(self) -> tuple[int, float]:
-        """Runs on the cores or at calls, from which they come back at once; memory of all requests in KB."""
+        """Runs on the cores or at calls, from which they may come back any moment; memory of all requests in KB."""
         usage = self._policy.usage()
         return usage.running, usage.memory
 
     def elsewhere(self, now: float, running: int, memory: float) -> None:
-        """What the node's other process uses."""
+        """Take in what the node's other process uses."""
         self._handle(now, decision.PeerProcessUsage(running, memory))
 
     def learned(self) -> dict[str, object]:
-        """The module's experience; tables as lists of pairs, as JSON has no numbers as names."""
+        """What the module has learned; tables are lists of pairs, as names in JSON are no numbers."""
         return {
             name: list(value.items()) if isinstance(value, dict) else value
             for name, value in self._policy.learned().items()
         }
 
     def adopt(self, learned: dict[str, object]) -> bool:
-        """Give the module another one's experience; false, and no change, where it is not one."""
-        mine = self._policy.learned()
-        taken: dict[str, object] = {}
+        """Give the module what another one has learned. Returns false, and changes nothing, where that is malformed."""
+        adopted: dict[str, object] = {}
         try:
-            for name, old in mine.items():
+            for name, current in self._policy.learned().items():
                 value: Any = learned[name]
-                if isinstance(old, dict):  # pairs come back from JSON as lists
-                    taken[name] = {key: tuple(v) if isinstance(v, list) else v for key, v in value}
+                if isinstance(current, dict):  # pairs come back from JSON as lists
+                    adopted[name] = {key: tuple(v) if isinstance(v, list) else v for key, v in value}
                 else:
-                    kind: Any = type(old)
-                    taken[name] = kind(value)
+                    kind: Any = type(current)
+                    adopted[name] = kind(value)
         except (KeyError, TypeError, ValueError):
             return False
-        self._policy.adopt(taken)
+        self._policy.adopt(adopted)
         return True
 
     def tick(self, now: float, token: int, gauges: tuple[float, ...]) -> None:
-        """Time passes: a timer that the module set has come due."""
+        """A timer that the module set ran out."""
         self._handle(now, decision.TimerFired(token, gauges))
 
     def _handle(self, now: float, event: decision.Event) -> None:
@@ -216,8 +215,8 @@
                     core.refuse(id, hold_off, terminal)
                 case decision.Fail(id):
                     core.fail(id)
-                case decision.Call(id, time_out):
-                    core.call(id, now + time_out)
+                case decision.Call(id, timeout):
+                    core.call(id, now + timeout)
                 case decision.SkipCall(id):
                     core.skip_call(id)
                 case decision.KeepKey(id, keep_for):
--- a/tests/decision_world.py
+++ b/tests/decision_world.py
@@ -274,7 +274,7 @@
             item.cls.idempotency is Idempotency.IDEMPOTENT or not item.unproven,
             "duplicate: a call repeated without proof",
         )
-        must(action.time_out > 0, "a call without a time-out")
+        must(action.timeout > 0, "a call without a time-out")
         if item.state == "at_call":
             item.state = "calling"
 
--- a/tests/test_dependency_calls.py
+++ b/tests/test_dependency_calls.py
@@ -29,7 +29,7 @@
     policy.handle(0.0, [new_request("a", 9.0), new_request("b", 9.0)])
     actions = policy.handle(0.1, [decision.CallNeeded("a"), decision.CallNeeded("b")])
     calls = [action for action in actions if isinstance(action, decision.Call)]
-    assert calls and sum(call.time_out + 0.2 for call in calls) <= 0.4 * 5.0
+    assert calls and sum(call.timeout + 0.2 for call in calls) <= 0.4 * 5.0
 
 
 @pytest.mark.parametrize("usual", [None, 8.0])
@@ -50,7 +50,7 @@
         now, id = turn * 20.0, f"r{turn}"  # the window is free each time
         policy.handle(now, [new_request(id, now + 60.0, cls="slow")])
         calls = [a for a in policy.handle(now + 0.1, [decision.CallNeeded(id)]) if isinstance(a, decision.Call)]
-        assert sum(call.time_out + 0.2 for call in calls) <= 0.66 * 5.0
+        assert sum(call.timeout + 0.2 for call in calls) <= 0.66 * 5.0
         made += len(calls)
         policy.handle(now + 0.4, [decision.CallReturned(call.id, Outcome.OK, 0.3) for call in calls])
         policy.handle(now + 0.5, [decision.Finished(id, Outcome.OK, 0.4)])
