--- a/chutepin/broker/ports.py
+++ b/chutepin/broker/ports.py
@@ -2,8 +2,11 @@
 
 from __future__ import annotations
 
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
+from ..clock import Clock
+from ..counters import Counters
+from ..logs import Log
 from .requests import Answer
 
 
@@ -35,3 +38,14 @@
     """Has `Broker.tick` called once at this time or soon after; a new time replaces the old one."""
 
     def set(self, at: float) -> None: ...
+
+
+class Environment(NamedTuple):
+    """What the parts of one broker share of the outside."""
+
+    clock: Clock
+    counters: Counters
+    log: Log
+    executor: Executor
+    records: Records
+    timer: Timer
--- a/chutepin/net/resp.py
+++ b/chutepin/net/resp.py
@@ -384,7 +384,7 @@
     @property
     def healthy(self) -> bool:
         """How health checks are answered: by the module's view and the process's state."""
-        return self.broker.good and self._lifecycle.healthy
+        return self.broker.status.is_healthy and self._lifecycle.healthy
 
     def passed(self, connection: Connection, sent: bool, data: bytes) -> None:
         """Let a record be kept."""
@@ -674,16 +674,16 @@
         return max(connection.bye_at or 0.0, connection.answered) + BYE_GRACE
 
     def _idle_limit(self, connection: Connection) -> float:
-        return CHECKS_IDLE if connection.checks else max(self.broker.idle_after, SWEEP)
+        return CHECKS_IDLE if connection.checks else max(self.broker.status.idle_timeout_s, SWEEP)
 
     def close_idle(self) -> None:
         """Say goodbye on connections that were idle as long as the module allows; close those that stay, and those
         whose message takes too long. What has no deadline now costs nothing."""
         now = self.clock.now()
-        if self.broker.idle_after < self._idle_after:  # deadlines may have been set by a longer time
+        if self.broker.status.idle_timeout_s < self._idle_after:  # deadlines may have been set by a longer time
             for connection in self.connections.values():
                 self.arm(connection)
-        self._idle_after = self.broker.idle_after
+        self._idle_after = self.broker.status.idle_timeout_s
         for key in self._deadlines.due(now):
             self._look(self.connections[key], now)
         self.table.forget(now)
--- a/chutepin/node.py
+++ b/chutepin/node.py
@@ -530,42 +530,42 @@
 
     def peer_record_changed(self, record: IdempotencyRecord) -> None:
         """Apply a record of the other process."""
-        self._broker.peer_record_changed(record)
+        self._broker.peer_exchange.peer_record_changed(record)
 
     def peer_key_removed(self, key: str) -> None:
         """Apply the removal of a key by the other process."""
-        self._broker.peer_key_removed(key)
+        self._broker.peer_exchange.peer_key_removed(key)
 
     def peer_requests_key(self, request: KeyRequest) -> bool:
         """Decide whether the other process may take a key."""
-        return self._broker.peer_requests_key(request)
+        return self._broker.peer_exchange.peer_requests_key(request)
 
     def key_replied(self, request_id: str, key: str, is_granted: bool) -> None:
         """Go on with a request that waits for its key."""
-        self._broker.key_replied(request_id, key, is_granted)
+        self._broker.peer_exchange.key_replied(request_id, key, is_granted)
 
     def peer_lost(self) -> None:
         """Settle what the other process held."""
-        self._broker.peer_lost()
+        self._broker.peer_exchange.peer_lost()
 
     def learned_statistics(self) -> dict[str, object]:
         """Return what the decision module has learned."""
-        return self._broker.learned()
+        return self._broker.peer_exchange.learned()
 
     def adopt_statistics(self, statistics: dict[str, object]) -> None:
         """Begin with what the predecessor's decision module had learned."""
-        self._broker.adopt(statistics)
+        self._broker.peer_exchange.adopt(statistics)
 
     def usage(self) -> ProcessUsage:
         """Return what this process uses of the node's limits."""
-        running, memory_kb = self._broker.usage
+        running, memory_kb = self._broker.peer_exchange.usage
         descriptors = self._node.descriptors
         return ProcessUsage(running, memory_kb, descriptors.in_use + descriptors.unattributed)
 
     def set_peer_usage(self, usage: ProcessUsage) -> None:
         """Leave room for what the other process uses."""
         self._node.descriptors.limit = self._node.sockets - usage.descriptors
-        self._broker.set_peer_usage(usage.running, usage.memory_kb)
+        self._broker.peer_exchange.set_peer_usage(usage.running, usage.memory_kb)
 
     def yield_ownership(self) -> None:
         """Stop accepting: a successor serves."""
--- a/tests/data/make_stored_bytes.py
+++ b/tests/data/make_stored_bytes.py
@@ -266,7 +266,7 @@
         if id := next(iter(core.running()), None):
             core.end(id)
             core.ports.done.append(("ended", id))
-    return core.broker.learned()
+    return core.broker.peer_exchange.learned()
 
 
 def handover_frames() -> Iterator[tuple[str, bytes]]:
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -65,8 +65,8 @@
 def test_the_core_answers_what_the_module_forgot() -> None:
     core = Core()
     core.pick("a", "work-order", key="k", wait=1.0)
-    core.broker._timers.clear()  # a module that never looks again
-    core.broker.set_timer = lambda token, at: None  # type: ignore[method-assign]
+    core.broker._schedule.module_timers.clear()  # a module that never looks again
+    core.broker.actions.set_timer = lambda token, at: None  # type: ignore[method-assign]
     core.pass_time(0.9)
     assert not core.words("a")
     core.pass_time(0.2)
@@ -148,11 +148,11 @@
 def test_a_try_takes_the_place_of_one_that_is_held_for_longer_than_its_window() -> None:
     """Taken for a new request, the two held one key, and the older could never run."""
     core = Core()
-    core.broker.set_peer_usage(10**6, 0.0)  # held for want of room
+    core.broker.peer_exchange.set_peer_usage(10**6, 0.0)  # held for want of room
     core.pick("a", "work-order", key="k", wait=7.0)
     core.pass_time(WINDOW + 0.3)
     core.pick("b", "work-order", key="k", wait=5.0)
-    core.broker.set_peer_usage(0, 0.0)
+    core.broker.peer_exchange.set_peer_usage(0, 0.0)
     core.pass_time(0.2)
     assert core.words("a") == ["refused"] and core.ports.ids("exec") == ["b"]
 
@@ -160,13 +160,13 @@
 def test_a_key_is_free_once_the_core_itself_answered_its_held_try() -> None:
     """The module heard of it too late to give the key back; the next try then waited for a run that nobody began."""
     core = Core()
-    core.broker.set_peer_usage(10**6, 0.0)
+    core.broker.peer_exchange.set_peer_usage(10**6, 0.0)
     core.pick("a", "work-order", key="k", wait=5.0)
-    core.broker._timers.clear()  # a module that never looks again
-    core.broker.set_timer = lambda token, at: None  # type: ignore[method-assign]
+    core.broker._schedule.module_timers.clear()  # a module that never looks again
+    core.broker.actions.set_timer = lambda token, at: None  # type: ignore[method-assign]
     core.pass_time(5.2)
     assert core.counters.counts["answers.overdue"] == 1
-    core.broker.set_peer_usage(0, 0.0)
+    core.broker.peer_exchange.set_peer_usage(0, 0.0)
     core.pick("b", "work-order", key="k")
     assert core.ports.ids("exec") == ["b"]
 
@@ -187,7 +187,7 @@
     assert core.ports.ids("kill") == ["a"]
     core.broker.not_carried_out("EXEC", "a")
     core.broker.not_carried_out("KILL", "a")
-    assert not core.broker._attempts and not core.broker._facade._policy.jobs
+    assert not core.broker.has_open_attempts and not core.broker._facade._policy.jobs
 
 
 def test_proof_that_nothing_started_frees_the_key() -> None:
@@ -235,7 +235,7 @@
     core.pick("a", "work-order", key="k")
     core.pick("b", "work-order", key="k")
     with pytest.raises(AssertionError, match="one run a key"):
-        core.broker.run("b")
+        core.broker.actions.run("b")
     assert core.ports.ids("exec") == ["a"] and core.counters.counts["invariant.one run a key"] == 1
 
 
--- a/tests/test_frame_bytes.py
+++ b/tests/test_frame_bytes.py
@@ -161,9 +161,9 @@
     """Names of the module's own parts travel in it."""
     ((_, fields),) = read(kept("hand-over")["LEARNED"])
     pupil = Core()
-    assert pupil.broker.learned() != fields
-    pupil.broker.adopt(fields)
-    assert handover.encode_frame("LEARNED", **pupil.broker.learned()) == kept("hand-over")["LEARNED"]
+    assert pupil.broker.peer_exchange.learned() != fields
+    pupil.broker.peer_exchange.adopt(fields)
+    assert handover.encode_frame("LEARNED", **pupil.broker.peer_exchange.learned()) == kept("hand-over")["LEARNED"]
 
 
 def test_no_verb_of_the_handover_is_forgotten() -> None:
--- a/tests/test_handover_session.py
+++ b/tests/test_handover_session.py
@@ -30,13 +30,13 @@
         self.own: deque[bytes] = deque()  # lost when this process is killed
         self.alive, self.accepts = True, False
         broker = self.core.broker
-        self.peer_record_changed = broker.peer_record_changed
-        self.peer_key_removed = broker.peer_key_removed
-        self.peer_requests_key = broker.peer_requests_key
-        self.key_replied = broker.key_replied
-        self.peer_lost = broker.peer_lost
-        self.learned_statistics = broker.learned
-        self.adopt_statistics = broker.adopt
+        self.peer_record_changed = broker.peer_exchange.peer_record_changed
+        self.peer_key_removed = broker.peer_exchange.peer_key_removed
+        self.peer_requests_key = broker.peer_exchange.peer_requests_key
+        self.key_replied = broker.peer_exchange.key_replied
+        self.peer_lost = broker.peer_exchange.peer_lost
+        self.learned_statistics = broker.peer_exchange.learned
+        self.adopt_statistics = broker.peer_exchange.adopt
         self.session = HandoverSession(
             self, HandoverStateMachine(WINDOW + 1.0), self.core.hand.clock, self.core.counters
         )
@@ -50,10 +50,10 @@
         return self.core.broker.keys.records.get(record.key) is record
 
     def usage(self) -> ProcessUsage:
-        return ProcessUsage(*self.core.broker.usage, 10)
+        return ProcessUsage(*self.core.broker.peer_exchange.usage, 10)
 
     def set_peer_usage(self, usage: ProcessUsage) -> None:
-        self.core.broker.set_peer_usage(usage.running, usage.memory_kb)
+        self.core.broker.peer_exchange.set_peer_usage(usage.running, usage.memory_kb)
 
     def yield_ownership(self) -> None:
         self.accepts = False
@@ -264,10 +264,10 @@
     """`LINK_CLOSED`: the link has just ended, and this process has not noticed yet."""
     process = Process()
     process.session.machine.stage, process.session.send = Stage.TAKEN_OVER, lambda data: Delivery.IN_KERNEL
-    process.core.broker.set_peer_usage(10**6, 0.0)  # queued for want of capacity
+    process.core.broker.peer_exchange.set_peer_usage(10**6, 0.0)  # queued for want of capacity
     process.core.pick("a", "work-order", key="k", wait=5.0)
     process.session.machine.stage, process.session.send = stage, lambda data: sent
-    process.core.broker.set_peer_usage(0, 0.0)
+    process.core.broker.peer_exchange.set_peer_usage(0, 0.0)
     process.core.pass_time(0.2)
     assert process.core.ports.ids("exec") == ["a"] * runs and process.core.words("a") == ["refused"] * (not runs)
 
@@ -290,14 +290,14 @@
         teacher.pick(f"{number}", "position-push")
         teacher.pass_time(0.1)
         teacher.end(f"{number}")
-    learned = teacher.broker.learned()
-    assert learned["runs.average"] != pupil.broker.learned()["runs.average"]
+    learned = teacher.broker.peer_exchange.learned()
+    assert learned["runs.average"] != pupil.broker.peer_exchange.learned()["runs.average"]
     ((_, fields),) = [message for message in [read_one(encode_frame("LEARNED", **learned))]]
-    pupil.broker.adopt(fields)
-    assert pupil.broker.learned() == learned
+    pupil.broker.peer_exchange.adopt(fields)
+    assert pupil.broker.peer_exchange.learned() == learned
     with pytest.raises(AssertionError):
-        pupil.broker.adopt({"work": "much"})
-    assert pupil.broker.learned() == learned
+        pupil.broker.peer_exchange.adopt({"work": "much"})
+    assert pupil.broker.peer_exchange.learned() == learned
 
 
 def read_one(data: bytes) -> Frame:
@@ -310,12 +310,12 @@
 
 def test_peer_usage_reduces_capacity() -> None:
     core = Core()
-    core.broker.set_peer_usage(10**6, 0.0)
+    core.broker.peer_exchange.set_peer_usage(10**6, 0.0)
     core.pick("a", "position-push", wait=1.0)
     assert not core.ports.ids("exec")
-    core.broker.set_peer_usage(0, 0.0)
+    core.broker.peer_exchange.set_peer_usage(0, 0.0)
     core.pass_time(0.2)
     assert core.ports.ids("exec") == ["a"]
-    core.broker.set_peer_usage(0, 1e9)
+    core.broker.peer_exchange.set_peer_usage(0, 1e9)
     core.pick("b", "position-push")
     assert core.words("b") == ["refused"]
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -73,7 +73,7 @@
     @rule()
     def check(self) -> None:
         self.tag += 1
-        self.checks[self.tag] = b"UP" if self.core.broker.good else b"DOWN"
+        self.checks[self.tag] = b"UP" if self.core.broker.status.is_healthy else b"DOWN"
         self.feed(array(b"RPC.HEALTH", b"%d" % self.tag, b""), 5)
 
     @precondition(lambda self: self.tag > 6)
