--- a/chutepin/node.py
+++ b/chutepin/node.py
@@ -42,7 +42,7 @@
 
 
 class LoopTimer:
-    """Runs the core's one timer on the event loop."""
+    """The broker's one timer, on the event loop."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -51,7 +51,7 @@
         self.broker: Broker | None = None
 
     def set(self, at: float) -> None:
-        """Have the core tick at this time."""
+        """Have the broker ticked at this time."""
         if self._handle is not None:
             if self._at == at and not self._handle.cancelled():
                 return
@@ -143,7 +143,7 @@
         self.counters = Counters()
         self.lifecycle = Lifecycle()
         self.log = Log(self.clock, log_format)
-        alarm = LoopTimer(self.clock)
+        timer = LoopTimer(self.clock)
         session = Session(
             self.clock, self.counters, self.log, config.settings.cancellation is decision.Cancellation.KEEPS_WORK
         )
@@ -169,11 +169,13 @@
             self.log,
             self.executor,
             self.records,
-            alarm,
+            timer,
             config.memory,
         )
         self.broker.on_started = self._began
-        alarm.broker = session.notices = self.records.listener = self.broker
+        timer.broker = self.broker
+        session.notices = self.broker
+        self.records.listener = self.broker
         self.front = Front(
             self.broker,
             self.clock,
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -1,4 +1,4 @@
-"""The core over recording ports: one final answer each, keys, drain; also by random steps."""
+"""The broker over recording ports: one final answer each, idempotency, drain; also by random steps."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from .helper import STEPS, WINDOW, Core
 
 
-def test_served_with_the_result_unchanged() -> None:
+def test_result_is_served_unchanged() -> None:
     core = Core()
     core.pick("a", "position-push")
     assert core.ports.done[0] == ("exec", "a", "position-push", b"body of a")
@@ -26,7 +26,7 @@
     assert core.words("a") == ["served"] and core.counters.counts["runs.unknown"] == 1
 
 
-def test_a_call_goes_out_with_an_absolute_deadline_and_its_reply_goes_back() -> None:
+def test_dependency_call_has_an_absolute_deadline_and_its_reply_returns() -> None:
     core = Core()
     core.pick("a", wait=2.0)
     core.broker.wants_call("a", 7, b"ask")
@@ -38,7 +38,7 @@
     assert core.words("a") == ["served"]
 
 
-def test_a_read_whose_call_fails_goes_on_without_it() -> None:
+def test_run_goes_on_without_a_dependency_call_that_fails() -> None:
     core = Core()
     core.pick("a", wait=1.0)
     core.broker.wants_call("a", 7, b"ask")
@@ -51,7 +51,7 @@
     assert core.words("a") == ["served"]
 
 
-def test_unanswered_work_is_failed_by_its_due_time() -> None:
+def test_request_without_an_outcome_fails_at_its_deadline() -> None:
     core = Core()
     core.pick("a", "work-order", key="k", wait=1.0)
     core.pass_time(1.05)
@@ -62,10 +62,10 @@
     assert core.ports.ids("exec") == ["a"]
 
 
-def test_the_core_answers_what_the_module_forgot() -> None:
+def test_broker_answers_a_request_that_the_decision_module_leaves_overdue() -> None:
     core = Core()
     core.pick("a", "work-order", key="k", wait=1.0)
-    core.broker._schedule.module_timers.clear()  # a module that never looks again
+    core.broker._schedule.module_timers.clear()  # the decision module acts no more
     core.broker.actions.set_timer = lambda token, at: None  # type: ignore[method-assign]
     core.pass_time(0.9)
     assert not core.words("a")
@@ -76,7 +76,7 @@
     assert core.words("b") == ["served"] and core.ports.ids("exec") == ["a"]
 
 
-def test_a_repeat_waits_for_the_run_and_gets_its_result() -> None:
+def test_retry_waits_for_the_run_and_gets_its_result() -> None:
     core = Core()
     core.pick("a", "work-order", key="k")
     core.pick("b", "work-order", key="k")
@@ -84,23 +84,23 @@
     assert core.words("a") == core.words("b") == ["served"] and core.ports.ids("exec") == ["a"]
 
 
-def test_the_table_of_keys_is_sized_by_the_node_s_memory() -> None:
+def test_idempotency_table_is_bounded_by_the_memory_of_the_node() -> None:
     core = Core(memory=3 * 50 * 1024)
-    for index in range(99):  # each entry with its result takes just over 1 KiB
+    for index in range(99):  # each record with its result takes just over 1 KiB
         core.pick(f"a{index}", "work-order", key=f"k{index}")
         core.end(f"a{index}")
     taken = [core.words(f"a{index}")[0] for index in range(99)]
     assert taken == ["served"] * taken.index("refused") + ["refused"] * (99 - taken.index("refused"))
     assert 45 <= taken.index("refused") <= 50
     core.pick("again", "work-order", key="k0")
-    assert core.words("again") == ["served"]  # what ran is never turned away
+    assert core.words("again") == ["served"]  # what ran is never rejected
     core.pass_time(WINDOW + KEY_GRACE_S + 2.0)
     assert not core.broker.keys.records and not core.broker.keys.result_bytes
     core.pick("new", "work-order", key="new")
     assert core.ports.ids("exec")[-1] == "new"
 
 
-def test_another_request_under_a_taken_key_gets_no_result_of_it() -> None:
+def test_other_request_under_a_taken_key_gets_no_result_of_it() -> None:
     core = Core()
     core.pick("a", "work-order", key="k")
     core.pick("b", "work-order", key="k", body=b"other")
@@ -112,14 +112,14 @@
 
 
 @pytest.mark.parametrize("odd", [{"tenant": "nobody"}, {"wait": 1e9}, {"wait": -1.0}, {"wait": 0.0}])
-def test_what_no_contract_allows_is_failed_and_never_run(odd: dict[str, Any]) -> None:
+def test_request_outside_its_class_limits_fails_and_never_runs(odd: dict[str, Any]) -> None:
     core = Core()
     core.pick("a", "position-push", **odd)
     core.pick("b", "position-push")
     assert core.words("a") == ["failed"] and core.ports.ids("exec") == ["b"]
 
 
-def test_a_key_may_run_again_after_its_window_only() -> None:
+def test_key_runs_again_only_after_its_window() -> None:
     core = Core()
     core.pick("a", "work-order", key="k")
     core.end("a")
@@ -131,8 +131,8 @@
     assert core.ports.ids("exec") == ["a", "c"]
 
 
-def test_who_waits_for_a_run_gets_its_result_though_the_key_has_run_again_since() -> None:
-    """Its window was over while it went on, the next try took the entry's place, and nobody told who waited."""
+def test_waiter_gets_the_result_of_its_run_though_the_key_has_run_again() -> None:
+    """Its window was over while it went on, and the next attempt took the place of its record."""
     core = Core()
     core.pick("a", "work-order", key="k", wait=9.0)
     core.pick("b", "work-order", key="k", wait=9.0)
@@ -145,10 +145,10 @@
     assert core.words("c") == ["served"] and not core.broker.keys._superseded
 
 
-def test_a_try_takes_the_place_of_one_that_is_held_for_longer_than_its_window() -> None:
-    """Taken for a new request, the two held one key, and the older could never run."""
+def test_retry_replaces_an_attempt_that_is_queued_for_longer_than_its_window() -> None:
+    """Taken for a new request, the two shared one key, and the older could never run."""
     core = Core()
-    core.broker.peer_exchange.set_peer_usage(10**6, 0.0)  # held for want of room
+    core.broker.peer_exchange.set_peer_usage(10**6, 0.0)  # queued for want of capacity
     core.pick("a", "work-order", key="k", wait=7.0)
     core.pass_time(WINDOW + 0.3)
     core.pick("b", "work-order", key="k", wait=5.0)
@@ -157,12 +157,12 @@
     assert core.words("a") == ["refused"] and core.ports.ids("exec") == ["b"]
 
 
-def test_a_key_is_free_once_the_core_itself_answered_its_held_try() -> None:
-    """The module heard of it too late to give the key back; the next try then waited for a run that nobody began."""
+def test_key_is_free_once_the_broker_has_answered_its_overdue_queued_attempt() -> None:
+    """Reported too late for the module to free the key, the next attempt waited for a run that never began."""
     core = Core()
     core.broker.peer_exchange.set_peer_usage(10**6, 0.0)
     core.pick("a", "work-order", key="k", wait=5.0)
-    core.broker._schedule.module_timers.clear()  # a module that never looks again
+    core.broker._schedule.module_timers.clear()  # the decision module acts no more
     core.broker.actions.set_timer = lambda token, at: None  # type: ignore[method-assign]
     core.pass_time(5.2)
     assert core.counters.counts["answers.overdue"] == 1
@@ -171,7 +171,7 @@
     assert core.ports.ids("exec") == ["b"]
 
 
-def test_a_repeat_of_what_ran_is_not_turned_away_by_a_full_node(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_full_node_does_not_reject_a_retry_of_what_ran(monkeypatch: pytest.MonkeyPatch) -> None:
     core = Core()
     core.pick("a", "work-order", key="k")
     monkeypatch.setattr(broker_core, "MAX_REQUESTS", 1)
@@ -180,7 +180,7 @@
     assert core.words("b") == ["failed"] and core.words("c") == ["refused"]
 
 
-def test_a_run_that_was_stopped_before_the_executor_knew_none_is_over() -> None:
+def test_stopped_run_that_the_executor_never_began_is_over() -> None:
     core = Core()
     core.pick("a", "position-push")
     core.broker.caller_disconnected("a")
@@ -190,7 +190,7 @@
     assert not core.broker.has_open_attempts and not core.broker._facade._policy.jobs
 
 
-def test_proof_that_nothing_started_frees_the_key() -> None:
+def test_key_is_free_once_its_run_is_known_not_to_have_started() -> None:
     core = Core()
     core.pick("a", "work-order", key="k")
     core.broker.caller_disconnected("a")
@@ -199,7 +199,7 @@
     assert core.ports.ids("exec") == ["a", "b"]
 
 
-def test_nothing_runs_that_came_after_the_grace() -> None:
+def test_request_that_arrives_after_the_drain_grace_does_not_run() -> None:
     core = Core()
     core.broker.drain(core.hand.time + 3.0, core.hand.time)
     core.pick("a", "position-push")
@@ -211,7 +211,7 @@
     assert core.words("a") == ["failed"] and not core.counters.counts["answers.overdue"]
 
 
-def test_odd_requests_are_answered_and_harm_nothing() -> None:
+def test_malformed_requests_are_answered_and_others_unaffected() -> None:
     core = Core()
     core.pick("a", "no-such-class")
     core.pick("b", "work-order")
@@ -222,7 +222,7 @@
     assert [answer.verdict.value for answer in first] == ["failed"]
 
 
-def test_a_run_at_a_call_that_the_executor_cannot_see_end_is_stopped() -> None:
+def test_unwatched_run_at_a_dependency_call_is_stopped_once_its_request_is_over() -> None:
     core = Core()
     core.pick("a", wait=1.0, watched=False)
     core.broker.wants_call("a", 1, b"ask")
@@ -230,7 +230,7 @@
     assert core.words("a")[0] in ("failed", "served") and core.ports.ids("kill") == ["a"]
 
 
-def test_a_key_is_not_run_twice_whatever_the_module_decides() -> None:
+def test_key_does_not_run_twice_whatever_the_decision_module_does() -> None:
     core = Core()
     core.pick("a", "work-order", key="k")
     core.pick("b", "work-order", key="k")
@@ -239,8 +239,8 @@
     assert core.ports.ids("exec") == ["a"] and core.counters.counts["invariant.one run a key"] == 1
 
 
-class Life(RuleBasedStateMachine):
-    """A model of what is owed: against it, any order of arrivals, ends, calls, losses and time."""
+class RequestLifecycle(RuleBasedStateMachine):
+    """A model of open requests: against it, any order of arrivals, ends, calls, disconnects and time."""
 
     @initialize()
     def begin(self) -> None:
@@ -282,7 +282,7 @@
             self.core.broker.called(id, end, b"reply")
 
     @rule(data=st.data())
-    def caller_goes(self, data: st.DataObject) -> None:
+    def caller_disconnects(self, data: st.DataObject) -> None:
         if (id := self.some(list(self.live), data)) is not None:
             if not self.core.ports.answers[id]:
                 self.gone.add(id)
@@ -293,24 +293,24 @@
         self.core.pass_time(seconds)
 
     @invariant()
-    def what_is_owed(self) -> None:
+    def each_request_has_one_answer_in_time_and_each_key_one_run(self) -> None:
         if not hasattr(self, "core"):
             return
         ports, now = self.core.ports, self.core.hand.time
         executed = ports.ids("exec")
-        owed = sum(not self.core.words(id) and id not in self.gone for id in self.live)
-        assert self.core.broker.metrics.is_consistent(owed), "taken is not what has ended and what is open"
-        assert not self.core.counters.counts["answers.overdue"], "the module left an answer to the core"
+        awaiting = sum(not self.core.words(id) and id not in self.gone for id in self.live)
+        assert self.core.broker.metrics.is_consistent(awaiting), "received is not ended and open"
+        assert not self.core.counters.counts["answers.overdue"], "the decision module left an answer to the broker"
         assert len(executed) == len(set(executed))
         for id, (_, due) in self.live.items():
             words = self.core.words(id)
             assert len(words) <= 1
             assert words or id in self.gone or now < due + 0.1, "an answer is overdue"
-            assert not (words == ["refused"] and id in executed), "what ran was refused"
+            assert not (words == ["refused"] and id in executed), "what ran was rejected"
         for key in set(self.keys.values()):
             ran = sorted(self.live[id][0] for id in executed if self.keys.get(id) == key)
             assert all(b - a > WINDOW for a, b in pairwise(ran)), "a key ran twice"
 
 
-TestLife = Life.TestCase
-TestLife.settings = STEPS
+TestRequestLifecycle = RequestLifecycle.TestCase
+TestRequestLifecycle.settings = STEPS
