--- a/chutepin/net/resp/listener.py
+++ b/chutepin/net/resp/listener.py
@@ -120,7 +120,7 @@
     @property
     def healthy(self) -> bool:
         """How health checks are answered: by the module's view and the process's state."""
-        return self.broker.good and self._lifecycle.healthy
+        return self.broker.status.is_healthy and self._lifecycle.healthy
 
     def record(self, connection: Connection, sent: bool, data: bytes) -> None:
         """Pass bytes to the recorder, if there is one."""
@@ -382,17 +382,17 @@
     def update_deadline(self, connection: Connection) -> None:
         """Look at a connection again when it may have become slow or idle."""
         if connection.key and connection.key in self.connections:
-            self._deadlines.set(connection.key, next_deadline(connection, self.broker.idle_after))
+            self._deadlines.set(connection.key, next_deadline(connection, self.broker.status.idle_timeout_s))
 
     def close_idle(self) -> None:
         """Ask balancers to close connections that are idle, and close those that stay or whose message takes too long.
 
         A connection without a deadline costs nothing here."""
         now = self.clock.now()
-        if self.broker.idle_after < self._idle_after:  # deadlines may have been set by a longer time
+        if self.broker.status.idle_timeout_s < self._idle_after:  # deadlines may have been set by a longer time
             for connection in self.connections.values():
                 self.update_deadline(connection)
-        self._idle_after = self.broker.idle_after
+        self._idle_after = self.broker.status.idle_timeout_s
         for key in self._deadlines.due(now):
             connection = self.connections[key]
             if not self._enforce_deadline(connection, self._links.get(key), now):
@@ -401,7 +401,7 @@
 
     def _enforce_deadline(self, connection: Connection, link: SocketLink | None, now: float) -> bool:
         """Act on a deadline that is over; false where the connection is to be looked at again."""
-        match expired(connection, now, self.broker.idle_after):
+        match expired(connection, now, self.broker.status.idle_timeout_s):
             case Expired.CLOSE if link is not None:
                 link.close()
             case Expired.MESSAGE if link is not None and self._has_sent_too_little(connection, link, now):
