--- a/chutepin/cli/cluster.py
+++ b/chutepin/cli/cluster.py
@@ -1,4 +1,4 @@
-"""`python -m chutepin cluster members|links|watch`: what a node believes of the cluster."""
+"""`python -m chutepin cluster members|links|watch`: the membership view of a node."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 MEMBER = {"name": str, "state": str, "incarnation": int, "region": str, "zone": str, "address": str}
 LINK = {"from": str, "to": str, "since_s": float}
-EVERY = 1.0  # seconds between two pictures
-LAST = 12  # changes that the picture shows
+WATCH_INTERVAL_S = 1.0
+MAX_SHOWN_CHANGES = 12
 COLOURS = {"alive": "green", "suspect": "yellow", "dead": "red", "left": "dim"}
-JSON = click.option("--json", "json_asked", is_flag=True, help="Print JSON also on a terminal.")
+JSON = click.option("--json", "json_requested", is_flag=True, help="Print JSON also on a terminal.")
 
 
 @click.group("cluster")
@@ -27,31 +27,31 @@
     """The nodes of the cluster, as one of them sees it."""
 
 
-def unwell(members: list[dict[str, Any]]) -> int:
-    """The exit code: 1 while a member is suspect or dead."""
+def exit_code(members: list[dict[str, Any]]) -> int:
+    """Return 1 while a member is suspect or dead, else 0."""
     return int(any(member["state"] in ("suspect", "dead") for member in members))
 
 
 @command.command()
 @OPS
 @JSON
-def members(ops: str, json_asked: bool) -> int:
+def members(ops: str, json_requested: bool) -> int:
     """All members; exit code 1 while one is suspect or dead."""
     found = rows(ask(ops, "members")[1], MEMBER)
-    if as_json(json_asked):
+    if as_json(json_requested):
         show_json(found)
     else:
         show_table(f"members, as {ops} sees them", [{**row, "incarnation": str(row["incarnation"])} for row in found])
-    return unwell(found)
+    return exit_code(found)
 
 
 @command.command()
 @OPS
 @JSON
-def links(ops: str, json_asked: bool) -> int:
+def links(ops: str, json_requested: bool) -> int:
     """Links that are bad in one direction, and since when."""
     found = rows(ask(ops, "links")[1], LINK)
-    if as_json(json_asked):
+    if as_json(json_requested):
         show_json(found)
     elif found:
         show_table(f"bad links, as {ops} knows them", found)
@@ -61,7 +61,7 @@
 
 
 def changes(ops: str) -> list[dict[str, Any]]:
-    """What has happened, the oldest first."""
+    """Return the latest changes, the oldest first."""
     found = []
     for line in ask(ops, "changes")[1]:
         number, age, what, member, incarnation, *fields = line.split()
@@ -78,28 +78,28 @@
     return found
 
 
-def picture(ops: str) -> dict[str, Any]:
-    """All that a picture shows."""
+def snapshot(ops: str) -> dict[str, Any]:
+    """Return all that `watch` shows at one time."""
     return {
         "view": dict(line.split(maxsplit=1) for line in ask(ops, "view")[1]),
         "members": rows(ask(ops, "members")[1], MEMBER),
         "links": rows(ask(ops, "links")[1], LINK),
-        "changes": changes(ops)[-LAST:],
+        "changes": changes(ops)[-MAX_SHOWN_CHANGES:],
     }
 
 
-def pictures(ops: str, seconds: float) -> Iterator[dict[str, Any]]:
-    """One each second until the time is up; endless for 0."""
+def snapshots(ops: str, seconds: float) -> Iterator[dict[str, Any]]:
+    """Yield a snapshot each second until the time is up; endlessly for 0."""
     until = time.monotonic() + seconds
     while True:
-        yield picture(ops)
-        if seconds and time.monotonic() + EVERY > until:
+        yield snapshot(ops)
+        if seconds and time.monotonic() + WATCH_INTERVAL_S > until:
             return
-        time.sleep(EVERY)
+        time.sleep(WATCH_INTERVAL_S)
 
 
-def why(change: dict[str, Any]) -> str:
-    """In words: who suspected, who confirmed, who refuted."""
+def describe(change: dict[str, Any]) -> str:
+    """Return a change in words: who suspected, who confirmed, who refuted."""
     by = change.get("by")
     match change["what"]:
         case "suspect":
@@ -119,7 +119,7 @@
 
 
 def rendered(ops: str, shown: dict[str, Any]) -> RenderableType:
-    """The live picture: members by zones, bad links, the last changes and why."""
+    """Return the live view: members by zone, bad links, the last changes and why."""
     from rich.columns import Columns
     from rich.console import Group
     from rich.panel import Panel
@@ -130,9 +130,9 @@
     for member in shown["members"]:
         text = zones.setdefault(f"{member['region']}/{member['zone']}", Text())
         text.append(f"{member['name']} {member['state']}\n", COLOURS[member["state"]])
-    told = Table("age", "member", "why", title="last changes", expand=True)
+    table = Table("age", "member", "why", title="last changes", expand=True)
     for change in reversed(shown["changes"]):
-        told.add_row(f"{change['age_s']:.1f} s", change["member"], why(change))
+        table.add_row(f"{change['age_s']:.1f} s", change["member"], describe(change))
     view = shown["view"]
     head = f"{ops}: health {view['health']}" + (", isolated" * (view["isolated"] == "yes"))
     bad = ", ".join(f"{link['from']} → {link['to']} for {link['since_s']:.0f} s" for link in shown["links"])
@@ -140,7 +140,7 @@
         head,
         Columns([Panel(text, title=zone) for zone, text in sorted(zones.items())]),
         f"bad links: {bad or 'none'}",
-        told,
+        table,
     )
 
 
@@ -148,20 +148,20 @@
 @OPS
 @JSON
 @click.option("--seconds", type=click.FloatRange(0), default=0.0, help="End after so long; 0: until interrupted.")
-def watch(ops: str, json_asked: bool, seconds: float) -> int:
+def watch(ops: str, json_requested: bool, seconds: float) -> int:
     """A live view by zones, with the last changes and why; JSON prints one object a second."""
     last: list[dict[str, Any]] = []
-    if as_json(json_asked):
-        for shown in pictures(ops, seconds):
+    if as_json(json_requested):
+        for shown in snapshots(ops, seconds):
             last = shown["members"]
             show_json(shown)
-        return unwell(last)
+        return exit_code(last)
     try:
         from rich.live import Live
     except ImportError:
         raise click.ClickException("the live view needs requirements-tools.txt; or use --json") from None
     with Live() as live:
-        for shown in pictures(ops, seconds):
+        for shown in snapshots(ops, seconds):
             last = shown["members"]
             live.update(rendered(ops, shown))
-    return unwell(last)
+    return exit_code(last)
--- a/chutepin/config/cluster.py
+++ b/chutepin/config/cluster.py
@@ -1,4 +1,4 @@
-"""Checks the block `cluster` of the operator's file. Imported only where the block is there."""
+"""The block `cluster` of the operator's file: its fields and their checks. Imported only where the block is there."""
 
 from __future__ import annotations
 
@@ -14,38 +14,38 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterSetup:
-    """This node's name and place in the cluster, and the times of failure detection, in seconds."""
+    """This node's name and place in the cluster, and the timing of failure detection in seconds."""
 
     name: str
     region: str
     zone: str
-    listen: Address  # UDP and TCP; also what the member tells the others
+    listen: Address  # UDP and TCP; announced to the other members
     seeds: tuple[tuple[str, str], ...] = ()  # (member, address) to join by
-    reach: tuple[tuple[str, str], ...] = ()  # (member, address) that this node dials in place of the told one
+    reach: tuple[tuple[str, str], ...] = ()  # (member, address) that this node dials in place of the announced one
     probe_every: float = 0.5
-    probe_timeout: float = 0.2  # for the direct answer; helpers have until the next probe
+    probe_timeout: float = 0.2  # for the direct ack; helpers have until the next probe
     helpers: int = 3
     gossip_every: float = 0.1
     gossip_to: int = 3
-    suspect_least: float = 1.2  # with all witnesses; grows with the logarithm of the number of members
-    suspect_most: int = 6  # times that, without any
-    alone: float = 15.0  # how long a member that gets no answer at all waits before it believes that all have gone
-    link_every: float = 2.0  # between looks at a bad link
-    sync_every: float = 5.0  # between exchanges of whole states, where views differ
-    join_every: float = 1.0  # between tries at a seed, and at a dead member
-    remember: float = 86400.0  # the dead
-    members: int = 1024  # names, the dead included
+    suspect_least: float = 1.2  # time-out with all confirmations; grows with the logarithm of the members
+    suspect_most: int = 6  # times that, without any confirmation
+    alone: float = 15.0  # for which a member that gets no answer at all declares nobody dead
+    link_every: float = 2.0  # between checks of a bad link
+    sync_every: float = 5.0  # between repairs, while views differ
+    join_every: float = 1.0  # between attempts to contact a seed or a dead member
+    remember: float = 86400.0  # retention of dead members
+    members: int = 1024  # names, departed members included
 
 
 def _name(raw: Any, name: str) -> str:
-    word = text(raw, name)
-    if len(word) > MAX_NAME or " " in word or "=" in word or not word.isprintable():
+    value = text(raw, name)
+    if len(value) > MAX_NAME or " " in value or "=" in value or not value.isprintable():
         raise ConfigError(f"{name}: not a word of up to {MAX_NAME} characters")
-    return word
+    return value
 
 
 def _listen(raw: Any, name: str) -> Address:
-    """Check an IP address and port: no name, as nothing here may wait for a lookup."""
+    """Check an IP address and port. A host name is an error, as resolving it would block."""
     found = address(raw, name)
     try:
         if ipaddress.ip_address(found.host.strip("[]")).is_unspecified:
@@ -58,11 +58,11 @@
 
 
 def _peer(raw: Any, name: str) -> tuple[str, str]:
-    """Check a text of the form member=host:port."""
-    member, equals, where = text(raw, name).partition("=")
+    """Check a member and its address, of the form member=host:port."""
+    member, equals, member_address = text(raw, name).partition("=")
     if not equals:
         raise ConfigError(f"{name}: {raw} is not of the form member=host:port")
-    found = _listen(where, name)
+    found = _listen(member_address, name)
     return _name(member, name), f"{found.host}:{found.port}"
 
 
@@ -90,7 +90,7 @@
 
 
 def checked(values: dict[str, Any]) -> ClusterSetup:
-    """Check the block's values against each other and build its setup. Raises ConfigError."""
+    """Check the block's values against each other and return its setup. Raises ConfigError."""
     for name in ("name", "region", "zone", "listen"):
         if name not in values:
             raise ConfigError(f"cluster.{name}: missing")
