--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -1,7 +1,8 @@
-"""`python -m benchmarks.capacity [--check] [--alone] [--charts] [PART …]`: measure parts, then render
-`docs/CAPACITY.md`, with `--charts` also the charts it shows.
+"""Measure parts of the capacity page, then render `docs/CAPACITY.md`.
 
-Without a part nothing is measured. `--check` writes nothing and fails if the page is not what would be written."""
+`python -m benchmarks.capacity [--check] [--alone] [--charts] [PART …]`: `--charts` draws the charts that the page
+shows as well. Without a part nothing is measured. `--check` writes nothing and fails if the page is not what would
+be written."""
 
 from __future__ import annotations
 
--- a/benchmarks/equality.py
+++ b/benchmarks/equality.py
@@ -1,10 +1,10 @@
-"""Figures that a change of names or of shape must not change: the decision module, membership and consensus, each
-played from seeds in virtual time.
+"""Figures that a change of names or of shape must not change.
 
-    python -m benchmarks.equality [--write]
+The decision module, membership and consensus are each played from seeds in virtual time:
 
-Prints the figures as JSON and exits with 1 where they differ from the kept ones; `--write` keeps them. Names of
-types, fields and events stand in no figure, only what goes over a wire, numbers and times."""
+`python -m benchmarks.equality [--write]` prints the figures as JSON and exits with 1 where they differ from the kept
+ones; `--write` keeps them. Names of types, fields and events stand in no figure, only what goes over a wire, numbers
+and times."""
 
 from __future__ import annotations
 
--- a/chutepin/admission/__init__.py
+++ b/chutepin/admission/__init__.py
@@ -1,5 +1,7 @@
-"""Connection admission: rate limits and caps for addresses and blocks of them, a reserve for trusted clients, and
-eviction when the table or the process's file descriptors are full.
+"""Connection admission: rate limits, caps, a reserve for trusted clients, and eviction.
+
+New connections are judged by address and by block of addresses; where the table or the process's file descriptors
+are full, the least useful connection makes room.
 
 `table.ConnectionTable` decides and `descriptor_budget.DescriptorBudget` divides the descriptors, both without I/O;
 `acceptor.Acceptor` accepts. The package knows nothing of what is sent on a connection. `docs/admission.md` has the
--- a/chutepin/cli/admission.py
+++ b/chutepin/cli/admission.py
@@ -29,8 +29,9 @@
 )
 @click.option("--json", "json_asked", is_flag=True, help="Print JSON also on a terminal.")
 def explain(file: str, address: str, limit: int, json_asked: bool) -> int:
-    """Which rules of FILE an ADDRESS meets, in their order, and what each allows it. Standing that is earned shows
-    only in a node."""
+    """Which rules of FILE an ADDRESS meets, in their order, and what each allows it.
+
+    Standing that is earned shows only in a node."""
     try:
         rules = rules_of(load_setup(file).admission)
     except ConfigError as error:
--- a/chutepin/cli/consensus.py
+++ b/chutepin/cli/consensus.py
@@ -40,8 +40,9 @@
 @OPS_OPTION
 @JSON
 def status(ops: str, json_asked: bool) -> int:
-    """Role, term, leader, how far all is agreed and applied; at the leader what each voter lacks. Exit code 1 while no
-    leader is known."""
+    """Role, term, leader, how far all is agreed and applied; at the leader what each voter lacks.
+
+    Exit code 1 while no leader is known."""
     found = status_of(ops)
     if as_json(json_asked):
         show_json(found)
@@ -155,6 +156,7 @@
 
 def open_log(directory: Path, work: Callable[[str, PersistentState], Persist] | None = None) -> StoredLog:
     """Read a store that no node has open; where there is `work` to do by the node's identity, write what it returns.
+
     Raises ClickException for damage, NodeRequestError where there is nothing."""
     from ..consensus.errors import JournalError
     from ..consensus.identity import IDENTITY_KEY, Identity, StoredIdentity
@@ -187,8 +189,9 @@
 @click.argument("directory", type=click.Path(exists=True, file_okay=False, path_type=Path))
 @click.option("--cluster", help="Its name, in place of typing it when asked.")
 def recover(directory: Path, cluster: str | None) -> int:
-    """Make the store in DIRECTORY the only voter, after a majority of the voters is lost for good. The node must not
-    run. Exit code 1 if the name was not the cluster's: nothing has changed."""
+    """Make the store in DIRECTORY the only voter, after a majority of the voters is lost for good.
+
+    The node must not run. Exit code 1 if the name was not the cluster's: nothing has changed."""
     from ..consensus.recovery import make_only_voter
 
     owner, durable, _ = open_log(directory)
--- a/chutepin/config/cluster.py
+++ b/chutepin/config/cluster.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterSetup:
-    """This node's name and place in the cluster, and the timing of failure detection in seconds."""
+    """The node's name and place in the cluster, and the timing of failure detection in seconds."""
 
     name: str
     region: str
--- a/chutepin/decision/events.py
+++ b/chutepin/decision/events.py
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainNotice:
-    """This server shuts down: the process is stopped at `stop`.
+    """The server shuts down: the process is stopped at `stop`.
 
     `at` is when the notice was given, where that is known and earlier than now."""
 
--- a/chutepin/logs.py
+++ b/chutepin/logs.py
@@ -43,8 +43,10 @@
 
 
 def _structlog() -> ModuleType:
-    """The library. Where the tools' rich is installed too, structlog's console renderer would load it: 5 MB that a
-    node never uses. So that import is refused meanwhile, which structlog provides for."""
+    """The library.
+
+    Where the tools' rich is installed too, structlog's console renderer would load it: 5 MB that a node never uses.
+    So that import is refused meanwhile, which structlog provides for."""
     if "rich" in sys.modules or "structlog" in sys.modules:
         return importlib.import_module("structlog")
     sys.modules["rich"] = None  # type: ignore[assignment]
@@ -70,8 +72,9 @@
 
 
 class Log:
-    """Events with fields, through structlog to standard error. Past the rate they are counted instead, so that a
-    peer cannot flood the log."""
+    """Events with fields, through structlog to standard error.
+
+    Past the rate they are counted instead, so that a peer cannot flood the log."""
 
     def __init__(self, clock: Clock, format: LogFormat = LogFormat.PLAIN) -> None:
         structlog = _structlog()
--- a/chutepin/net/amqp/consumer.py
+++ b/chutepin/net/amqp/consumer.py
@@ -56,8 +56,9 @@
 
 
 class Consumer:
-    """Turns deliveries into requests and answers into settlements. Lives as long as the node; links come and
-    go."""
+    """Turns deliveries into requests and answers into settlements.
+
+    Lives as long as the node; links come and go."""
 
     def __init__(
         self, config: AmqpConfig, broker: Broker, clock: Clock, counters: Counters, log: Log, seed: int
@@ -137,8 +138,10 @@
         session.settle(tag, commands.Basic.Ack(tag) if served else commands.Basic.Reject(tag, requeue=False))
 
     def lost(self, session: Session) -> None:
-        """A link is gone. What is safe to repeat is dropped, the broker delivers it again; a work order goes
-        on, so that its redelivery finds the result."""
+        """A link is gone.
+
+        What is safe to repeat is dropped, the broker delivers it again; a work order goes on, so that its redelivery
+        finds the result."""
         session.lost()
         for id, delivery in list(self._open.items()):
             if delivery.session is session:
@@ -166,14 +169,17 @@
 
     @property
     def settled(self) -> bool:
-        """Nothing is open on any link, and what was settled has left the process: an acknowledgement that stays
-        behind has its delivery come again, to a process that knows nothing of it."""
+        """Whether no delivery is open and every acknowledgement has left the process.
+
+        A delivery whose acknowledgement stays behind comes again, to a process that knows nothing of it."""
         unsent = self._link is not None and self._link.get_write_buffer_size() > 0
         return not unsent and not any(delivery.tag in delivery.session.unsettled for delivery in self._open.values())
 
     async def run(self) -> None:
-        """Connect, and again whenever the link is lost, until cancelled. A link that never served makes the
-        next attempt wait longer: guards against a message or a broker that breaks every link at once."""
+        """Connect, and again whenever the link is lost, until cancelled.
+
+        A link that never served makes the next attempt wait longer: guards against a message or a broker that breaks
+        every link at once."""
         pause, address = MIN_RECONNECT_DELAY_S, self.config.address
         while True:
             try:
@@ -208,7 +214,7 @@
         except ProtocolError as error:
             self.counters.add("amqp.protocol")
             self.log.event("amqp.protocol", why=str(error))
-        except Exception as error:
+        except Exception as error:  # whatever it is, it is counted and logged here
             self.counters.add("errors")
             self.log.event("amqp.error", error=repr(error))
         finally:
--- a/chutepin/net/executor.py
+++ b/chutepin/net/executor.py
@@ -91,7 +91,7 @@
         return self.send is not None and self._welcomed and self._sync_meter < 0 and self._quiesce_meter < 0
 
     def quiesce(self) -> None:
-        """This link will be left: hold commands back, and tell once those written are known to be read.
+        """The link will be left: hold commands back, and tell once those written are known to be read.
 
         Guards against doubt: a link left with commands in flight is like one that broke."""
         if not self.synced:  # it carried nothing yet
@@ -131,15 +131,18 @@
         return True
 
     def resolve(self, id: str) -> None:
-        """Write an unconfirmed EXEC once more, only for a request that is over: the executor leaves a run alone, and
-        where there is none it starts nothing and reports that."""
+        """Write an unconfirmed EXEC once more, only for a request that is over.
+
+        The executor leaves a run alone, and where there is none it starts nothing and reports that."""
         if id in self._unconfirmed_runs and self.synced:
             self._counters.add("executor.resolved")
             self.command(id, self._unconfirmed_runs.pop(id).data, False)
 
     def _probe_unconfirmed_runs(self) -> None:
-        """Stop the unconfirmed runs, which pauses them. One that had begun is reported and resumed; of one that is
-        not reported nothing was read, and its EXEC is written again.
+        """Stop the unconfirmed runs, which pauses them.
+
+        One that had begun is reported and resumed; of one that is not reported nothing was read, and its EXEC is
+        written again.
 
         Guards against a run that nobody began keeping its place until its request is over. An EXEC written
         again without asking could follow the end of the run and begin it a second time."""
@@ -342,6 +345,6 @@
         except ProtocolError as error:
             self._counters.add("executor.malformed")
             self._log.event("executor.malformed", why=str(error))
-        except Exception as error:
+        except Exception as error:  # whatever it is, it is counted and logged here
             self._counters.add("errors")
             self._log.event("executor.error", error=repr(error))
--- a/chutepin/net/records.py
+++ b/chutepin/net/records.py
@@ -43,8 +43,10 @@
     retired: bool = False  # takes no further call and ends with its last one
 
     def can_carry(self, call: Call, now: float) -> bool:
-        """Guards a call against the replies to earlier ones for its id, and one that may not be repeated
-        against a connection that the service may have forgotten: a reset there proves nothing."""
+        """Whether this connection may carry a call.
+
+        Guards a call against the replies to earlier ones for its id, and one that may not be repeated against a
+        connection that the service may have forgotten: a reset there proves nothing."""
         fresh = not self.finished_ids or now - self.last_used_at < FRESH_S or call.repeatable
         return not self.retired and call.id not in self.finished_ids and fresh
 
@@ -74,8 +76,9 @@
 
 
 class RecordsService:
-    """Opens connections as calls come, one for each call in hand while the descriptors allow: what spoils one
-    reply then costs no other call. At a node of the last tier, which has no such address, calls end
+    """Makes calls, each on a connection of its own while the descriptors allow.
+
+    What spoils one reply then costs no other call. At a node of the last tier, which has no such address, calls end
     unreachable."""
 
     def __init__(
@@ -122,8 +125,9 @@
         self.close_idle()
 
     def give_up(self, id: str) -> None:
-        """Nobody needs this call any more: its connection is closed, which gives it up, or it is taken back
-        where others share the connection."""
+        """Give up a call that nobody needs any more.
+
+        Its connection is closed, or the call is taken back where others share the connection."""
         if (timer := self._timers.pop(id, None)) is not None:
             timer.cancel()
         for connection in self._connections:
--- a/chutepin/net/resp/listener.py
+++ b/chutepin/net/resp/listener.py
@@ -218,8 +218,9 @@
         return AcceptDecision.SERVE
 
     def _evict(self, key: int, now: float) -> bool:
-        """Close a connection to make room for another; false for one on which something has just come. One that never
-        sent anything sound gains nothing so: it would keep its place by trickling."""
+        """Close a connection to make room for another; false for one on which something has just come.
+
+        One that never sent anything sound gains nothing so: it would keep its place by trickling."""
         link = self._links.get(key)
         if link is not None and self.connections[key].has_valid_message and link.has_unread_input():
             return False
@@ -351,8 +352,9 @@
         self.table.apply(rules)
 
     def _finish_writing(self, connection: Connection, link: SocketLink) -> None:
-        """Send no more, and for a while read and discard: a close over unread input resets the connection and loses
-        the last answers."""
+        """Send no more, and for a while read and discard.
+
+        A close over unread input resets the connection and loses the last answers."""
         connection.closing, connection.close_at = True, self.clock.now() + DRAIN_READ_S
         if not link.transport.is_closing():
             link.transport.write_eof()
--- a/chutepin/node.py
+++ b/chutepin/node.py
@@ -461,7 +461,7 @@
         while True:
             try:
                 return await work()
-            except Exception as error:
+            except Exception as error:  # whatever it is, it is counted and logged here
                 self.counters.add("errors")
                 self.log.event("error", message="a part of the node is begun again", error=repr(error))
             await asyncio.sleep(SWEEP_INTERVAL_S)
--- a/chutepin/testbench/checks/membership_invariants.py
+++ b/chutepin/testbench/checks/membership_invariants.py
@@ -163,8 +163,9 @@
 
 
 def only_cut_links_are_reported(history: History, slack: float = 1.0) -> list[str]:
-    """A link that is cut for long between members which others reach is shown by all; without cuts and loss no link
-    is shown."""
+    """A link that is cut for long between members that others reach is shown by all.
+
+    Without cuts and loss no link is shown."""
     past, found = Past(history), []
     losses = any(fault.what in ("slow", "stop") or (fault.what == "loss" and fault.value > 0) for fault in history.done)
     for shown in history.shown:
--- a/chutepin/testbench/checks/model_checker.py
+++ b/chutepin/testbench/checks/model_checker.py
@@ -8,6 +8,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import copy
 import itertools
 import random
@@ -184,10 +185,8 @@
             case _:
                 change, *rest = self.left.changes
                 self.left = replace(self.left, changes=tuple(rest))
-                try:
+                with contextlib.suppress(RejectedError):
                     core.change_membership(change)
-                except RejectedError:
-                    pass
 
     def _carry_out(self, name: str, effect: Effect) -> None:
         match effect:
@@ -376,8 +375,9 @@
 
 
 def walk(scope: Scope, seed: int, steps: int, make: type[RaftNode] = RaftNode) -> Walked:
-    """One way through a scope that is too large to go through, drawn from a seed; what is broken, or how much
-    was agreed."""
+    """Walk one way, drawn from a seed, through a scope that is too large to go through.
+
+    Returns what is broken, or how much was agreed."""
     rng = random.Random(seed)
     world = World(scope, make)
     for _ in range(steps):
--- a/chutepin/testbench/faults/fleet.py
+++ b/chutepin/testbench/faults/fleet.py
@@ -177,8 +177,10 @@
         await process.world.start(stack, "--setup", str(self.setup(process)))
 
     async def beside(self, stack: AsyncExitStack, name: str, address: str = "", port: int = 0) -> Process:
-        """A further process under a member's name: its successor, with its address and its clients' `port`, or a
-        stranger at an address of its own."""
+        """Start a further process under a member's name.
+
+        It is the member's successor, with its address and its clients' `port`, or a stranger at an address of its
+        own."""
         process = Process(name, address or f"127.0.0.1:{await free_port()}", await free_port(), f"{name}b")
         process.world.listen_port = port
         await self._prepare(stack, process)
--- a/chutepin/testbench/faults/relay.py
+++ b/chutepin/testbench/faults/relay.py
@@ -52,15 +52,15 @@
         for task in self._tasks:
             task.cancel()
 
-    # --- datagrams ---
-
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The socket for datagrams is open."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def error_received(self, exc: Exception) -> None:
         """The target is down."""
 
     def datagram_received(self, data: bytes, addr: object) -> None:
+        """Pass a datagram on, under the faults of the moment."""
         self.packets += 1
         self.bytes += len(data)
         self.longest = max(self.longest, len(data))
--- a/chutepin/testbench/faults/schedule.py
+++ b/chutepin/testbench/faults/schedule.py
@@ -133,8 +133,9 @@
 
 
 def smallest(schedule: Schedule, fails: Callable[[Schedule], bool]) -> Schedule:
-    """A schedule that still fails with as few faults as leaving one out after the other finds. `fails` must give the
-    same verdict each time, as a run of the simulator does."""
+    """A schedule that still fails with as few faults as leaving one out after the other finds.
+
+    `fails` must give the same verdict each time, as a run of the simulator does."""
     rest = schedule
     tried = 0
     while tried < len(rest.faults):
--- a/chutepin/testbench/scale/workload.py
+++ b/chutepin/testbench/scale/workload.py
@@ -33,8 +33,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What is asked of a run. `crash_share`: the part of the restarts in which the process crashes in place of leaving
-    in order."""
+    """What is asked of a run.
+
+    `crash_share`: the part of the restarts in which the process crashes in place of leaving in order."""
 
     members: int
     restarts_per_second: float
--- a/chutepin/testbench/simulators/consensus.py
+++ b/chutepin/testbench/simulators/consensus.py
@@ -59,6 +59,7 @@
         write: tuple[float, float] = WRITE_DURATION_S,
     ) -> None:
         """`every`: seconds between requests, on average; `changes`: between changes of voters (0: none).
+
         `wire`: messages are encoded and decoded."""
         self.schedule, self._parts, self._every, self._changes, self._wire = schedule, parts, every, changes, wire
         self._settings, self._write = settings, write
--- a/chutepin/testbench/simulators/membership.py
+++ b/chutepin/testbench/simulators/membership.py
@@ -63,10 +63,12 @@
         meter: TrafficMeter | None = None,
         shutdown_s: float = 0.0,
     ) -> None:
-        """`wire`: encode and decode every packet. `show`: seconds between observations of what members show.
-        `persistent`: incarnations are stored. `delay`: seconds of a link at the most. `known`: all know each other from
-        the start, which saves the joining of many. `meter`: counts the bytes of datagrams and exchanges and the CPU
-        time of each member; it does not change the history. `shutdown_s`: for which a member that leaves goes on."""
+        """`wire`: encode and decode every packet.
+
+        `show`: seconds between observations of what members show. `persistent`: incarnations are stored. `delay`:
+        seconds of a link at the most. `known`: all know each other from the start, which saves the joining of many.
+        `meter`: counts the bytes of datagrams and exchanges and the CPU time of each member; it does not change the
+        history. `shutdown_s`: for which a member that leaves goes on."""
         self.schedule = schedule
         self._make = make
         self._wire = wire
--- a/chutepin/testbench/standins/dependency.py
+++ b/chutepin/testbench/standins/dependency.py
@@ -1,5 +1,7 @@
-"""Stand-ins for what several nodes call together, cold at first, which count what they bear as the rule on fall-overs
-does: a dependency that all share, and a node of the next tier with its executor, behind a proxy that hands on calls."""
+"""Stand-ins for what several nodes call together, cold at first.
+
+They count what they bear as the rule on overload does: a dependency that all share, and a node of the next tier with
+its executor, behind a proxy that forwards calls."""
 
 from __future__ import annotations
 
@@ -62,8 +64,9 @@
 
 
 class ColdDependency:
-    """Answers every call with DONE, slowly at first: a call takes `takes` seconds warm. It warms up from the first call
-    on. An abandoned call stays in its hands for `linger` seconds."""
+    """Answers every call with DONE, slowly at first: a call takes `takes` seconds warm.
+
+    It warms up from the first call on. An abandoned call stays in its hands for `linger` seconds."""
 
     def __init__(self, takes: float, warm_up: WarmUp, linger: float) -> None:
         self._takes, self._warm_up, self._linger = takes, warm_up, linger
@@ -119,8 +122,9 @@
 
 
 class ColdServer(Standins):
-    """A node of the next tier whose executor has just come up. Its cores are shared evenly by all runs, each of which
-    has `work` seconds for one warm core."""
+    """A node of the next tier whose executor has just come up.
+
+    Its cores are shared evenly by all runs, each of which has `work` seconds for one warm core."""
 
     def __init__(self, env: dict[str, Any], work: float) -> None:
         super().__init__(env)
--- a/chutepin/testbench/standins/platform.py
+++ b/chutepin/testbench/standins/platform.py
@@ -1,5 +1,6 @@
-"""Stand-ins for all that a node speaks to, on loopback sockets: executor, records service, control plane and a
-balancer. The tests and the demo use this one text; a test steers it, by itself it serves."""
+"""Stand-ins for the parties of a node: executor, records service, control plane, balancer.
+
+They listen on loopback sockets. The tests and the demo use the same code; a test steers it, by itself it serves."""
 
 from __future__ import annotations
 
@@ -304,8 +305,10 @@
 
 
 async def free_port() -> int:
-    """A port on which nothing listens, below those that the system gives to connections: a flood of them beside a test
-    must not take it before the program listens. None is given twice, until all were."""
+    """Return a port on which nothing listens, below those that the system gives to connections.
+
+    A flood of connections beside a test must not take it before the program listens. None is given twice, until all
+    were."""
     while True:
         if len(_given) >= len(PORTS):
             _given.clear()
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import errno
 import json
 import math
@@ -583,10 +584,8 @@
     async def test(acceptor: Acceptor, gate: Gate, counters: Counters) -> None:
         monkeypatch.setattr(gate, "decide", lambda address, short: AcceptDecision.DROP)
         reader, writer = await asyncio.open_connection("127.0.0.1", acceptor.port)
-        try:
+        with contextlib.suppress(ConnectionResetError):
             assert await heard(reader) == b""
-        except ConnectionResetError:
-            pass
         writer.close()
         assert not gate.served
 
--- a/tests/test_consensus_administration.py
+++ b/tests/test_consensus_administration.py
@@ -41,7 +41,7 @@
             self.now += TICK_S
             for member in self.members.values():
                 member.tick(self.now)
-            while any([self._carry_out(member) for member in self.members.values()]):
+            while any(self._carry_out(member) for member in self.members.values()):
                 pass
 
     def _carry_out(self, member: Participant) -> bool:
--- a/tests/test_consensus_codec.py
+++ b/tests/test_consensus_codec.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+import contextlib
+
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
@@ -44,18 +46,14 @@
 @STEPS
 @given(st.binary(max_size=60))
 def test_hostile_bytes_raise_nothing_but_codec_errors(data: bytes) -> None:
-    try:
+    with contextlib.suppress(CodecError):
         FrameReader().feed(data)
-    except CodecError:
-        pass
     for word in MESSAGES:
         frame = bytearray(encode(word)[8:])
         if data:
             frame[len(data) % len(frame)] ^= data[0]
-        try:
+        with contextlib.suppress(CodecError):
             decode(bytes(frame))
-        except CodecError:
-            pass
 
 
 def test_frame_that_is_too_long_is_rejected_by_its_head() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -224,11 +224,11 @@
             for name in ("n1", "n2", "n3"):
                 told = "\n".join(await fleet.processes[name].ask("changes"))
                 assert not any(f"{what} n4" in told for what in ("suspect", "dead", "left")), told
-                assert dict((row[0], row[1]) for row in await fleet.members(name))["n4"] == "alive"
+                assert {row[0]: row[1] for row in await fleet.members(name)}["n4"] == "alive"
             stranger = await fleet.beside(stack, "n4")
             refused = await answered(stranger.ask, lambda lines: "refused" in lines[0])
             assert refused[0] == f"FAILURE refused: the name n4 is held by {old.address}"
-            assert dict((row[0], row[1]) for row in await fleet.members("n1"))["n4"] == "alive"
+            assert {row[0]: row[1] for row in await fleet.members("n1")}["n4"] == "alive"
             new.signal(signal.SIGKILL)  # the name comes free
             await answered(stranger.ask, lambda lines: lines[0].startswith("SUCCESS total"))
             await until_members(fleet, "n1", lambda rows: rows["n4"][1] == "alive")
--- a/tests/test_handover_session.py
+++ b/tests/test_handover_session.py
@@ -249,7 +249,7 @@
 
 
 @pytest.mark.parametrize(
-    "stage,sent,runs",
+    ("stage", "sent", "runs"),
     [
         (Stage.TAKEN_OVER, Delivery.IN_KERNEL, True),
         (Stage.TAKEN_OVER, Delivery.BUFFERED, False),
@@ -292,7 +292,7 @@
         teacher.end(f"{number}")
     learned = teacher.broker.peer_exchange.learned()
     assert learned["runs.average"] != pupil.broker.peer_exchange.learned()["runs.average"]
-    ((_, fields),) = [message for message in [read_one(encode_frame("LEARNED", **learned))]]
+    ((_, fields),) = [read_one(encode_frame("LEARNED", **learned))]
     pupil.broker.peer_exchange.adopt(fields)
     assert pupil.broker.peer_exchange.learned() == learned
     with pytest.raises(AssertionError):
--- a/tests/test_handover_state_machine.py
+++ b/tests/test_handover_state_machine.py
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize(
-    "stage,alive,after,closed",
+    ("stage", "alive", "after", "closed"),
     [
         (Stage.HELLO_SENT, True, Stage.UNCOORDINATED, False),
         (Stage.HELLO_SENT, False, Stage.ALONE, True),
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize(
-    "stage,alive,stood,after,closed",
+    ("stage", "alive", "stood", "after", "closed"),
     [
         (Stage.SENDING_KEYS, False, 9.0, Stage.ALONE, False),
         (Stage.YIELDED, True, 0.0, Stage.DISCONNECTED, False),
--- a/tests/test_store_engine.py
+++ b/tests/test_store_engine.py
@@ -32,7 +32,7 @@
         OSError(errno.ENOSPC, "No space left")
         if full
         and operation == "write"
-        and not name[0] == "A"
+        and name[0] != "A"
         and world.files.seen.get(name) is not None
         and not world.files.seen[name].seen
         else None
--- a/tests/test_store_writer_thread.py
+++ b/tests/test_store_writer_thread.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import errno
 import math
 import os
@@ -70,10 +71,8 @@
 
 
 def _close(store: Store) -> None:
-    try:
+    with contextlib.suppress(StoreFailedError):
         store.close()
-    except StoreFailedError:
-        pass
 
 
 def test_concurrent_commits_share_one_sync(tmp_path: Path) -> None:
