--- a/chutepin/decision/aimd_limit.py
+++ b/chutepin/decision/aimd_limit.py
@@ -13,7 +13,7 @@
 
 
 class AimdLimit:
-    """How many may run at once, between a floor and a ceiling."""
+    """How many may run concurrently, between a floor and a ceiling."""
 
     def __init__(self, floor: int, ceiling: int, average_ratio: float, average_time: float) -> None:
         self.floor = floor
@@ -58,7 +58,7 @@
             self.next_update_at = now + self.average_time
 
     def raise_by(self, step: int) -> None:
-        """Raise the limit at once, up to the ceiling."""
+        """Raise the limit, up to the ceiling."""
         self.limit = min(self.ceiling, self.limit + step)
 
     def set_ceiling(self, ceiling: int) -> None:
--- a/chutepin/decision/arrivals.py
+++ b/chutepin/decision/arrivals.py
@@ -140,7 +140,7 @@
         return True
 
     def _rejection_reason(self, job: Job) -> RejectReason | None:
-        """Why an arrival is rejected at once, if it is."""
+        """Why an arrival is rejected, if it is."""
         server = self._server
         requests = server.requests
         if job.arrived_at > server.drain.last_arrival_at:
@@ -172,7 +172,7 @@
             self._server.actions.append(self._keep_key_action(job))
 
     def _keep_key_action(self, job: Job) -> KeepKey:
-        """Keep the key for the whole window, which is counted from the arrival."""
+        """Keep the key until the window ends, which is counted from the arrival."""
         return KeepKey(job.id, job.request_class.window - job.request.unread + self._server.settings.tick)
 
     def _has_permit(self) -> bool:
--- a/chutepin/decision/attempt_ages.py
+++ b/chutepin/decision/attempt_ages.py
@@ -10,7 +10,7 @@
 from .settings import RequestClass
 
 RETRY_SHARE_WEIGHT = 0.05  # of a new request in the share of retries
-MAX_WAIT_SHARES = 300  # remembered at once
+MAX_WAIT_SHARES = 300  # remembered
 WAIT_SHARE_STEP = 0.002  # waits this close, as shares of the deadline, count as the same
 MIN_FIRST_ATTEMPT_SHARE = 0.05  # a wait that this share of the attempts has is a first attempt's
 
--- a/chutepin/decision/caller_traffic.py
+++ b/chutepin/decision/caller_traffic.py
@@ -6,7 +6,7 @@
 
 TRAFFIC_DECAY_S = 8.0
 MIN_OBSERVATION_S = 2.0  # a caller's traffic is counted over at least this time
-MAX_CALLERS = 1000  # remembered at once
+MAX_CALLERS = 1000  # remembered
 
 
 class CallerTraffic:
@@ -25,9 +25,9 @@
 
     def decay(self, elapsed: float) -> None:
         """Let the past count for less."""
-        kept = math.exp(-elapsed / TRAFFIC_DECAY_S)
+        retained = math.exp(-elapsed / TRAFFIC_DECAY_S)
         self.callers = {
-            caller: (requests * kept, first_seen_at)
+            caller: (requests * retained, first_seen_at)
             for caller, (requests, first_seen_at) in self.callers.items()
             if requests > 0.01
         }
@@ -41,6 +41,6 @@
         def observed(since: float) -> float:
             return 1 - math.exp(-max(MIN_OBSERVATION_S, now - since) / TRAFFIC_DECAY_S)
 
-        most = max((requests / observed(first) for requests, first in self.callers.values()), default=0.0)
+        busiest = max((requests / observed(first) for requests, first in self.callers.values()), default=0.0)
         total = sum(requests for requests, _ in self.callers.values())
-        return min(1.0, most * observed(self.first_request_at) / max(1.0, total))
+        return min(1.0, busiest * observed(self.first_request_at) / max(1.0, total))
--- a/chutepin/decision/control_loop.py
+++ b/chutepin/decision/control_loop.py
@@ -1,4 +1,4 @@
-"""What is looked at again and again while there is work: limits, slowness, hangs and what callers are told."""
+"""Periodic adjustments while there is work: limits, slowness, hangs, and what is announced to callers."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ControlLoop:
-    """Periodic adjustments."""
+    """Adjusts the server's state to the time that has passed."""
 
     def __init__(self, server: ServerState, endings: Endings) -> None:
         self.last_run_at = 0.0
@@ -110,7 +110,7 @@
         """Send callers to other servers while there is time.
 
         Guards against hangs of whatever cause, and catches extreme slowness. One very long run looks alike, and then
-        good work is turned away."""
+        good work is rejected."""
         server = self._server
         server.progress.hung = True
         server.actions += [SetHealth(False), Log("no progress while work runs")]
--- a/chutepin/decision/core_capacity.py
+++ b/chutepin/decision/core_capacity.py
@@ -1,4 +1,4 @@
-"""How many runs the cores survive at once, which the settings give for a warm server."""
+"""How many concurrent runs the cores survive; the settings say it for a warm server."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         """How many runs and calls in flight are safe now.
 
         Where runs wait for disk, which the configured number leaves out, a warm server uses the margin too: all of
-        them back at once are still not over that number."""
+        them back together are still not over that number."""
         survivable = self.survivable_runs(now)
         with_disk_waits = self._with_disk_waits(now, survivable, USED_SHARE)
         return max(survivable, min(self._max_running_per_core * self._cores, with_disk_waits))
@@ -39,7 +39,7 @@
         return int(runs * (1 - AWAITING_CALL_SHARE))
 
     def max_awaiting_calls(self, now: float, limit: int) -> int:
-        """How many runs may wait for calls: all of them back at once still fit on the cores."""
+        """How many runs may wait for calls: all of them back together still fit on the cores."""
         total = self.total(now)
         return max(1, int(max(total * AWAITING_CALL_SHARE, total - limit)))
 
--- a/chutepin/decision/dependency_calls.py
+++ b/chutepin/decision/dependency_calls.py
@@ -25,7 +25,7 @@
         self._server = server
         self._endings = endings
         self._waiting: list[Job] = []
-        self._next_look_at = -math.inf
+        self._next_attempt_at = -math.inf
 
     def need(self, job: Job) -> None:
         """Take in that a run needs its call."""
@@ -76,7 +76,7 @@
         """Let a run wait for its call again after a failed one."""
         self._waiting.append(job)
 
-    def give_up(self, job: Job) -> None:
+    def fail_if_too_late(self, job: Job) -> None:
         """A run's call can no longer end in time: fail the request, unless no call is in flight at all.
 
         One call is made all the same: otherwise a slow spell of the dependency would never be unlearned."""
@@ -96,9 +96,9 @@
         self._waiting = [job for job in self._waiting if not job.answered and job.id in jobs]
         self._begin_allowed()
         self._skip_late()
-        if self._waiting and self._next_look_at <= server.now:
-            self._next_look_at = server.now + CALL_RETRY_DELAY_S
-            server.timers.push(self._next_look_at, TimerKind.MAKE_CALLS)
+        if self._waiting and self._next_attempt_at <= server.now:
+            self._next_attempt_at = server.now + CALL_RETRY_DELAY_S
+            server.timers.push(self._next_attempt_at, TimerKind.MAKE_CALLS)
 
     def _begin_allowed(self) -> None:
         server = self._server
@@ -134,6 +134,6 @@
         self._resume(job)
 
     def _resume(self, job: Job) -> None:
-        """Put a run back on the cores at once, even over the limit."""
+        """Put a run back on the cores without waiting, even over the limit."""
         job.call_wait += self._server.now - job.call_wait_began
         self._server.requests.move(job, State.RUNNING)
--- a/chutepin/decision/drain.py
+++ b/chutepin/decision/drain.py
@@ -19,7 +19,7 @@
 
     @property
     def is_begun(self) -> bool:
-        """Whether the notice was heard."""
+        """Whether a notice came."""
         return self.stop_at is not None
 
     def update(self, now: float, notice: DrainNotice) -> float:
--- a/chutepin/decision/endings.py
+++ b/chutepin/decision/endings.py
@@ -36,8 +36,8 @@
     def reject(self, job: Job, reason: RejectReason, no_other_node: bool | None = None) -> None:
         """Reject a request that never ran.
 
-        Another server is worth an attempt only while few requests are rejected or this server is at fault; otherwise
-        each further attempt costs every server its reading."""
+        The caller may retry at another server only while few requests are rejected or this server is at fault;
+        otherwise each retry costs every server its reading."""
         server = self._server
         at_fault = reason in (RejectReason.DRAINING, RejectReason.HUNG)
         if no_other_node is None:
@@ -52,13 +52,6 @@
             job.answered = True
         server.actions.append(Reject(job.id, self._retry_after(at_fault, no_other_node), no_other_node))
 
-    def _retry_after(self, at_fault: bool, no_other_node: bool) -> float:
-        """Where the other servers are full as well: when the backlog here is expected to be at its target again."""
-        longest = self._server.settings.max_retry_after
-        if at_fault:
-            return longest
-        return min(longest, self._server.announcement.excess_backlog if no_other_node else 0.0)
-
     def fail(self, job: Job) -> None:
         """Give the final answer for what cannot be served in time, running work included."""
         if job.answered:
@@ -107,6 +100,13 @@
             server.progress.hung = False
             server.actions += [SetHealth(not server.drain.is_begun), Log("work moves again")]
 
+    def _retry_after(self, at_fault: bool, no_other_node: bool) -> float:
+        """Where the other servers are full as well: when the backlog here is expected to be at its target again."""
+        longest = self._server.settings.max_retry_after
+        if at_fault:
+            return longest
+        return min(longest, self._server.announcement.excess_backlog if no_other_node else 0.0)
+
     def _record_run(self, job: Job) -> None:
         """Feed the limit with the run time, without the time spent at calls."""
         server = self._server
--- a/chutepin/decision/experience.py
+++ b/chutepin/decision/experience.py
@@ -8,7 +8,7 @@
 class LearnedField(NamedTuple):
     """Where a learned value is kept: a part of the server's state and its field."""
 
-    part: str
+    owner: str
     field: str
 
 
@@ -20,7 +20,7 @@
     "patience": LearnedField("attempt_ages", "wait_counts"),
     "tries": LearnedField("attempt_ages", "attempts"),
     "parts": LearnedField("caller_traffic", "callers"),
-    "heard": LearnedField("idle_connections", "last_heard_at"),
+    "heard": LearnedField("idle_connections", "last_request_at"),
     "returned": LearnedField("idle_connections", "returns"),
     "silent": LearnedField("idle_connections", "silence"),
     "first": LearnedField("caller_traffic", "first_request_at"),
@@ -47,11 +47,11 @@
 
 def read_learned(server: object) -> dict[str, object]:
     """The learned values of a server's state under their outside names."""
-    return {name: getattr(getattr(server, part), field) for name, (part, field) in LEARNED_FIELDS.items()}
+    return {name: getattr(getattr(server, owner), field) for name, (owner, field) in LEARNED_FIELDS.items()}
 
 
 def write_learned(server: object, learned: dict[str, object]) -> None:
     """Set learned values, given under their outside names."""
     for name, value in learned.items():
-        part, field = LEARNED_FIELDS[name]
-        setattr(getattr(server, part), field, value)
+        owner, field = LEARNED_FIELDS[name]
+        setattr(getattr(server, owner), field, value)
--- a/chutepin/decision/policy.py
+++ b/chutepin/decision/policy.py
@@ -146,7 +146,7 @@
                 server.timers.push(job.due_at, TimerKind.DUE, job)
 
     def _account_for_pause(self, now: float) -> None:
-        """Take a pause of the whole process out of the run times and of the time without progress."""
+        """Take a pause of the process out of the run times and of the time without progress."""
         server = self.server
         lateness = now - server.timers.armed_for
         if not server.pauses.is_pause(lateness):
@@ -170,7 +170,7 @@
             case TimerKind.DUE:
                 self._endings.fail(job)
             case TimerKind.CALL_TOO_LATE if job.state is State.AWAITING_CALL:
-                self._calls.give_up(job)
+                self._calls.fail_if_too_late(job)
             case TimerKind.RETRY_CALL if job.state is State.AWAITING_CALL:
                 self._calls.retry_now(job)
             case TimerKind.LATEST_START if job.state is State.QUEUED:
--- a/chutepin/decision/server_state.py
+++ b/chutepin/decision/server_state.py
@@ -1,4 +1,4 @@
-"""Everything that a decision instance knows about its server, in one part for each concern."""
+"""State of a decision instance, in one part for each concern."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
         self.peer_running = 0  # runs of another process on the same cores
 
     def cores_admit_one(self) -> bool:
-        """Whether the cores survive one more run, should all calls in flight return at once.
+        """Whether the cores survive one more run, should all calls in flight return together.
 
         Holds whatever the calls do, also where runs cannot be stopped. The price: a call or a start waits while calls
         take long."""
--- a/chutepin/decision/settings.py
+++ b/chutepin/decision/settings.py
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant and its part of the whole fleet."""
+    """One tenant and its part of the fleet."""
 
     name: str
     share: float
--- a/chutepin/decision/tenants.py
+++ b/chutepin/decision/tenants.py
@@ -8,7 +8,7 @@
 from .settings import Tenant
 
 SERVED_DECAY_S = 8.0
-QUOTA_BURST_S = 5.0  # this many seconds of its quota may be used at once
+QUOTA_BURST_S = 5.0  # of its quota, which a tenant may use in one burst
 UNEVEN_TRAFFIC_FACTOR = 1.25  # traffic is spread unevenly: a server grants this multiple of its even part
 MIN_SERVED = 1e-3
 
@@ -43,8 +43,8 @@
 
     def advance(self, elapsed: float) -> None:
         """Refill the buckets and let what was served count for less."""
-        kept = math.exp(-elapsed / SERVED_DECAY_S)
-        self.served = [max(MIN_SERVED, served * kept) for served in self.served]
+        retained = math.exp(-elapsed / SERVED_DECAY_S)
+        self.served = [max(MIN_SERVED, served * retained) for served in self.served]
         for index, tenant in enumerate(self.tenants):
             rate = tenant.quota / self.servers * UNEVEN_TRAFFIC_FACTOR
             burst = rate * QUOTA_BURST_S
--- a/tests/test_attempt_ages.py
+++ b/tests/test_attempt_ages.py
@@ -78,5 +78,5 @@
         policy.handle(at / 1000, [new_request(f"r{at}", at / 1000 + 0.5 + at / 1000, caller=at)])
     assert (
         len(policy.server.attempt_ages.wait_counts) <= MAX_WAIT_SHARES + 1
-        and len(policy.server.idle_connections.last_heard_at) <= MAX_CALLERS + 1
+        and len(policy.server.idle_connections.last_request_at) <= MAX_CALLERS + 1
     )
--- a/tests/test_decision_rules.py
+++ b/tests/test_decision_rules.py
@@ -106,7 +106,7 @@
     world = play(replace(BASE, max_idle_time=1e6), seed, steps=9000, drain=False, callers=10**9)
     assert world.serial > MAX_CALLERS
     assert (
-        len(world.policy.server.idle_connections.last_heard_at) <= MAX_CALLERS + 1
+        len(world.policy.server.idle_connections.last_request_at) <= MAX_CALLERS + 1
         and len(world.policy.server.attempt_ages.wait_counts) <= MAX_WAIT_SHARES + 1
     )
 
