--- a/chutepin/lab/simulator.py
+++ b/chutepin/lab/simulator.py
@@ -44,6 +44,54 @@
         self.persisted = 0
 
 
+class WireMeter:
+    """Counts the bytes and the CPU time of members in a `TrafficMeter`; without one it does nothing."""
+
+    def __init__(self, meter: TrafficMeter | None, cluster: bytes) -> None:
+        self._meter = meter
+        self._cluster = cluster
+
+    def cpu_ns(self) -> int:
+        """Return the CPU time so far in nanoseconds, if it is counted."""
+        return time.process_time_ns() if self._meter is not None else 0
+
+    def spend(self, member: str, now: float, began: int) -> None:
+        """Count the CPU time that a member has used since `began`."""
+        if self._meter is not None:
+            self._meter.spend(member, now, time.process_time_ns() - began)
+
+    def datagram_sent(self, member: str, now: float, packet: Packet) -> bytes:
+        """Count a datagram that a member sends, and return its frame; empty without a meter."""
+        if self._meter is None:
+            return b""
+        began = self.cpu_ns()
+        frame = encode(packet, self._cluster)
+        self.spend(member, now, began)
+        self._meter.count(member, now, Direction.SENT, Kind.DATAGRAM, len(frame))
+        return frame
+
+    def datagram_read(self, member: str, now: float, frame: bytes) -> None:
+        """Count a datagram that a member reads, and the CPU time of decoding it."""
+        if self._meter is None:
+            return
+        self._meter.count(member, now, Direction.RECEIVED, Kind.DATAGRAM, len(frame))
+        began = self.cpu_ns()
+        decode(frame, self._cluster, False)
+        self.spend(member, now, began)
+
+    def stream(self, sender: str, receiver: str, now: float, packet: Packet) -> None:
+        """Count one direction of an exchange over TCP, and the CPU time of encoding and decoding it."""
+        if self._meter is None:
+            return
+        began = self.cpu_ns()
+        frame = stream_frame(packet, self._cluster)
+        self.spend(sender, now, began)
+        self._meter.carried(sender, receiver, now, Kind.STREAM, len(frame))
+        began = self.cpu_ns()
+        decode(frame[LENGTH_BYTES:], self._cluster, True)
+        self.spend(receiver, now, began)
+
+
 class Simulator:
     """One run of a schedule."""
 
@@ -83,6 +131,7 @@
         self.truth = Truth(schedule)
         self.history = History(schedule)
         self._cluster = cluster_id("fleet")
+        self._wire_meter = WireMeter(meter, self._cluster)
         self._events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self._count = itertools.count()
         self.hosts = {name: _Host(name) for name in schedule.names()}
@@ -191,20 +240,11 @@
             if host.name not in self.truth.stopped:
                 self._at(self._thaws(host), self._resume, host)
             return
-        began = self._cpu()
+        began = self._wire_meter.cpu_ns()
         host.detector.tick(self.now)
-        self._spend(host, began)
+        self._wire_meter.spend(host.name, self.now, began)
         self._carry_out(host, None)
 
-    def _cpu(self) -> int:
-        """Return the CPU time so far in nanoseconds, if it is counted."""
-        return time.process_time_ns() if self._meter is not None else 0
-
-    def _spend(self, host: _Host, began: int) -> None:
-        """Count the CPU time that a member has used since then."""
-        if self._meter is not None:
-            self._meter.spend(host.name, self.now, time.process_time_ns() - began)
-
     def _thaws(self, host: _Host) -> float:
         return int(self.now) + self.truth.slow[host.name] + 1e-6
 
@@ -212,18 +252,18 @@
         """Deliver a packet to a member; return the answer to one over TCP."""
         if host.detector is None:
             return None
-        began = self._cpu()
+        began = self._wire_meter.cpu_ns()
         host.detector.receive(self.now, packet, stream)
-        self._spend(host, began)
+        self._wire_meter.spend(host.name, self.now, began)
         return self._carry_out(host, packet if stream else None)
 
     def _carry_out(self, host: _Host, stream: Packet | None) -> Packet | None:
         detector = host.detector
         assert detector is not None
         answer = None
-        began = self._cpu()
+        began = self._wire_meter.cpu_ns()
         effects, due = detector.drain_effects(), detector.wake_at()
-        self._spend(host, began)
+        self._wire_meter.spend(host.name, self.now, began)
         for effect in effects:
             answer = self._effect(host, effect) or answer
         host.timer += 1
@@ -269,7 +309,7 @@
         for update in send.packet.updates:
             if self._says_alive(update) and isinstance(send.packet.body, Gossip):
                 self._sent_updates[host.name, update] += 1
-        frame = self._datagram(host, send.packet)
+        frame = self._wire_meter.datagram_sent(host.name, self.now, send.packet)
         if (host.name, target.name) in self.truth.cuts:
             return
         for _ in range(1 + (self._rng.random() < self.truth.duplicate)):
@@ -280,37 +320,6 @@
     def _says_alive(update: Update) -> bool:
         return isinstance(update, (Record, ShortRecord)) and update.status is Status.ALIVE
 
-    def _datagram(self, host: _Host, packet: Packet) -> bytes:
-        """Count a datagram that a member sends, and return its frame; empty without a meter."""
-        if self._meter is None:
-            return b""
-        began = self._cpu()
-        frame = encode(packet, self._cluster)
-        self._spend(host, began)
-        self._meter.count(host.name, self.now, Direction.SENT, Kind.DATAGRAM, len(frame))
-        return frame
-
-    def _datagram_read(self, host: _Host, frame: bytes) -> None:
-        """Count a datagram that a member reads, and the CPU time of decoding it."""
-        if self._meter is None:
-            return
-        self._meter.count(host.name, self.now, Direction.RECEIVED, Kind.DATAGRAM, len(frame))
-        began = self._cpu()
-        decode(frame, self._cluster, False)
-        self._spend(host, began)
-
-    def _stream(self, sender: _Host, receiver: _Host, packet: Packet) -> None:
-        """Count one direction of an exchange over TCP, and the CPU time of encoding and decoding it."""
-        if self._meter is None:
-            return
-        began = self._cpu()
-        frame = stream_frame(packet, self._cluster)
-        self._spend(sender, began)
-        self._meter.carried(sender.name, receiver.name, self.now, Kind.STREAM, len(frame))
-        began = self._cpu()
-        decode(frame[LENGTH_BYTES:], self._cluster, True)
-        self._spend(receiver, began)
-
     def _transit_time(self) -> float:
         return self._delay * (0.2 + 0.8 * self._rng.random()) + self.truth.delay * self._rng.random()
 
@@ -326,7 +335,7 @@
     def _arrive(self, host: _Host, packet: Packet, frame: bytes) -> None:
         if host.detector is None:
             return
-        self._datagram_read(host, frame)
+        self._wire_meter.datagram_read(host.name, self.now, frame)
         if self._frozen(host):
             host.waiting.append(packet)
         else:
@@ -336,10 +345,10 @@
         """Deliver a request over TCP and send the answer back."""
         if not self.truth.round_trip(host.name, target.name) or target.detector is None or self._frozen(target):
             return
-        self._stream(host, target, packet)
+        self._wire_meter.stream(host.name, target.name, self.now, packet)
         answer = self._receive(target, packet, True)
         if answer is not None:
-            self._stream(target, host, answer)
+            self._wire_meter.stream(target.name, host.name, self.now, answer)
             if isinstance(answer.body, BucketRecords):
                 self.history.repairs.append(Repair(self.now, host.name, len(answer.updates)))
             self._at(self.now + self._transit_time(), self._answered, host, answer)
