--- a/chutepin/broker/ports.py
+++ b/chutepin/broker/ports.py
@@ -1,4 +1,4 @@
-"""What the broker needs of the outside."""
+"""The ports of the broker: what it needs of the outside."""
 
 from __future__ import annotations
 
@@ -13,31 +13,47 @@
 class Caller(Protocol):
     """Who waits for an answer."""
 
-    def answer(self, answer: Answer) -> None: ...
+    def answer(self, answer: Answer) -> None:
+        """Take the one final answer."""
 
 
 class Executor(Protocol):
-    """Who does the work."""
+    """The executor, which runs requests."""
 
-    def exec(self, id: str, cls: str, body: bytes, repeatable: bool) -> None: ...
-    def kill(self, id: str) -> None: ...
-    def give_back(self, id: str, reply: bytes) -> None: ...
-    def bypass(self, id: str, notice: int) -> None: ...
-    def resolve(self, id: str) -> None: ...
-    def meter(self) -> bool: ...
+    def exec(self, id: str, cls: str, body: bytes, repeatable: bool) -> None:
+        """Start a run. `repeatable`: it may be sent again where it is unknown whether it arrived."""
+
+    def kill(self, id: str) -> None:
+        """Stop a run."""
+
+    def give_back(self, id: str, reply: bytes) -> None:
+        """Let a run go on with the reply to its call."""
+
+    def bypass(self, id: str, notice: int) -> None:
+        """Let a run go on without its call."""
+
+    def resolve(self, id: str) -> None:
+        """Find out whether a run in doubt goes on."""
+
+    def meter(self) -> bool:
+        """Request fresh gauges; false where nobody can answer now."""
 
 
 class Records(Protocol):
-    """The service below. `call` ends in one `Broker.called`, unless it is given up before."""
+    """The records service, which runs depend on."""
+
+    def call(self, id: str, deadline: float, body: bytes, repeatable: bool) -> None:
+        """Make a call. It ends in one `Broker.called`, unless it is given up before."""
 
-    def call(self, id: str, deadline: float, body: bytes, repeatable: bool) -> None: ...
-    def give_up(self, id: str) -> None: ...
+    def give_up(self, id: str) -> None:
+        """Abandon a call."""
 
 
 class Timer(Protocol):
-    """Has `Broker.tick` called once at this time or soon after; a new time replaces the old one."""
+    """The one timer of a broker."""
 
-    def set(self, at: float) -> None: ...
+    def set(self, at: float) -> None:
+        """Have `Broker.tick` called once at this time or soon after; a new time replaces the old one."""
 
 
 class Environment(NamedTuple):
--- a/chutepin/node.py
+++ b/chutepin/node.py
@@ -19,10 +19,11 @@
 from .clock import Clock
 from .config import AdmissionSetup, AmqpConfig, Config, ConfigError, Setup, StoreSetup, load, load_setup
 from .counters import Counters
-from .handover import HandoverLink, HandoverSession, HandoverStateMachine, ProcessUsage, Rendezvous, rendezvous_path
-from .idempotency import IdempotencyRecord, KeyRequest
+from .handover import HandoverLink, HandoverSession, HandoverStateMachine, Rendezvous, rendezvous_path
+from .handover_host import NodeHandoverHost
 from .lifecycle import Lifecycle, Transition
 from .logs import Log, LogFormat
+from .loop_timer import LoopTimer
 from .net.control import Reporter
 from .net.executor import ExecutorLink, Session
 from .net.records import RecordsService
@@ -39,33 +40,6 @@
 # After a hand-over the process is stopped once the longest deadline, of which this much counts, and a rest are over.
 MAX_DEADLINE = 3.0  # seconds
 FINISH_MARGIN = 0.7  # seconds
-
-
-class LoopTimer:
-    """The broker's one timer, on the event loop."""
-
-    def __init__(self, clock: Clock) -> None:
-        self._clock = clock
-        self._handle: asyncio.TimerHandle | None = None
-        self._at = 0.0
-        self.broker: Broker | None = None
-
-    def set(self, at: float) -> None:
-        """Have the broker ticked at this time."""
-        if self._handle is not None:
-            if self._at == at and not self._handle.cancelled():
-                return
-            self._handle.cancel()
-        loop = asyncio.get_running_loop()
-        self._at = at
-        self._handle = loop.call_at(loop.time() + max(0.0, at - self._clock.now()), self._ring)
-
-    def _ring(self) -> None:
-        self._handle = None
-        assert self.broker is not None
-        self.broker.tick()
-
-
 MAX_TOP = 10  # addresses and blocks that SIGUSR1 names
 RECONCILE = 8  # sweeps between looks at what descriptors the process holds
 
@@ -237,7 +211,10 @@
         config = self.config
         window = max((cls.window for cls in config.settings.classes), default=0.0)
         path = rendezvous_path(directory, config.name, f"{config.listen.host}:{config.listen.port}")
-        session = HandoverSession(_HandoverHost(self), HandoverStateMachine(window), self.clock, self.counters)
+        host = NodeHandoverHost(
+            self.broker, self.front, self.subsystems, self.lifecycle, self.descriptors, self.sockets
+        )
+        session = HandoverSession(host, HandoverStateMachine(window), self.clock, self.counters)
         self.broker.peer = session
         self.broker.keys.replicate = session.replicate
         link = HandoverLink(Rendezvous(path), session, self._listening_sockets, self.clock, self.counters, self.log)
@@ -513,72 +490,3 @@
             or (self.consumer is not None and not self.consumer.settled)
         ):
             await asyncio.sleep(0.01)
-
-
-class _HandoverHost:
-    """The node as the hand-over sees it (`handover.HandoverHost`)."""
-
-    def __init__(self, node: Node) -> None:
-        self._node = node
-        self._broker = node.broker
-
-    def records(self) -> list[IdempotencyRecord]:
-        """Return all records of this process."""
-        return list(self._broker.keys.records.values())
-
-    def is_current(self, record: IdempotencyRecord) -> bool:
-        """The record is still in the table."""
-        return self._broker.keys.records.get(record.key) is record
-
-    def peer_record_changed(self, record: IdempotencyRecord) -> None:
-        """Apply a record of the other process."""
-        self._broker.peer_exchange.peer_record_changed(record)
-
-    def peer_key_removed(self, key: str) -> None:
-        """Apply the removal of a key by the other process."""
-        self._broker.peer_exchange.peer_key_removed(key)
-
-    def peer_requests_key(self, request: KeyRequest) -> bool:
-        """Decide whether the other process may take a key."""
-        return self._broker.peer_exchange.peer_requests_key(request)
-
-    def key_replied(self, request_id: str, key: str, is_granted: bool) -> None:
-        """Go on with a request that waits for its key."""
-        self._broker.peer_exchange.key_replied(request_id, key, is_granted)
-
-    def peer_lost(self) -> None:
-        """Settle what the other process held."""
-        self._broker.peer_exchange.peer_lost()
-
-    def learned_statistics(self) -> dict[str, object]:
-        """Return what the decision module has learned."""
-        return self._broker.peer_exchange.learned()
-
-    def adopt_statistics(self, statistics: dict[str, object]) -> None:
-        """Begin with what the predecessor's decision module had learned."""
-        self._broker.peer_exchange.adopt(statistics)
-
-    def usage(self) -> ProcessUsage:
-        """Return what this process uses of the node's limits."""
-        running, memory_kb = self._broker.peer_exchange.usage
-        descriptors = self._node.descriptors
-        return ProcessUsage(running, memory_kb, descriptors.in_use + descriptors.unattributed)
-
-    def set_peer_usage(self, usage: ProcessUsage) -> None:
-        """Leave room for what the other process uses."""
-        self._node.descriptors.limit = self._node.sockets - usage.descriptors
-        self._broker.peer_exchange.set_peer_usage(usage.running, usage.memory_kb)
-
-    def yield_ownership(self) -> None:
-        """Stop accepting: a successor serves."""
-        self._node.lifecycle.apply(Transition.SUCCESSOR_READY)
-        self._node.front.yield_ownership()
-        for part in self._node.subsystems:
-            part.yield_ownership()
-
-    def resume_ownership(self) -> None:
-        """Accept again: the successor has gone."""
-        self._node.lifecycle.apply(Transition.SUCCESSOR_LOST)
-        self._node.front.resume_ownership()
-        for part in self._node.subsystems:
-            part.resume_ownership()
