--- a/chutepin/lab/scale/hollow.py
+++ b/chutepin/lab/scale/hollow.py
@@ -14,8 +14,8 @@
 from ...clock import Clock
 from ...config import Config, parse, parse_setup
 from ...counters import Counters
+from ...descriptors import build_budget, count_open_descriptors
 from ...logs import Log
-from ...node import descriptors, shares
 from ...registry import build_subsystems
 from ...subsystem import Subsystem
 from ..standins import EXAMPLE
@@ -108,7 +108,7 @@
         self.crash()
         self._counters = Counters()
         log = RecordingLog(self.place.name, self._died)
-        budget = shares((descriptors() or 0) + SOCKETS, amqp=False, store=False, cluster=True)
+        budget = build_budget((count_open_descriptors() or 0) + SOCKETS, amqp=False, store=False, cluster=True)
         self._parts = build_subsystems(self._config, parse_setup(self.place.setup), budget, self._counters, log, None)
         for part in self._parts:
             part.start()
--- a/chutepin/node.py
+++ b/chutepin/node.py
@@ -13,12 +13,13 @@
 from typing import TYPE_CHECKING
 
 from . import decision, signals
-from .admission import DescriptorBudget, Rules, Share
+from .admission import Rules, Share
 from .admission.addresses import Networks
 from .broker import Broker
 from .clock import Clock
 from .config import AdmissionSetup, AmqpConfig, Config, ConfigError, Setup, StoreSetup, load, load_setup
 from .counters import Counters
+from .descriptors import build_budget, count_open_descriptors
 from .handover import HandoverLink, HandoverSession, HandoverStateMachine, Rendezvous, rendezvous_path
 from .handover_host import NodeHandoverHost
 from .lifecycle import Lifecycle, Transition
@@ -44,36 +45,6 @@
 RECONCILE = 8  # sweeps between looks at what descriptors the process holds
 
 
-def descriptors() -> int | None:
-    """Count the descriptors that the process has open; None where the system doesn't tell."""
-    try:
-        return len(os.listdir("/proc/self/fd")) - 1  # the listing itself holds one
-    except OSError:
-        return None
-
-
-def shares(
-    limit: int, amqp: bool, store: bool, ops: bool = False, cluster: bool = False, consensus: bool = False
-) -> DescriptorBudget:
-    """Build the descriptors of descriptors: half for the front at most, two fifths for records, as after a
-    reload old and new connections stand side by side; what must reconnect has its own."""
-    return DescriptorBudget(
-        limit,
-        {
-            "front": (0, max(8, limit // 2)),
-            "records": (max(2, limit // 32), max(8, 2 * limit // 5)),
-            "executor": (2, 2),
-            "control": (1, 1),
-            "amqp": (2 * amqp, 2),
-            "store": (8 * store, 40),
-            "files": (2, 8),
-            "ops": (4 * ops, max(4, min(16, limit // 32)) * ops),
-            "cluster": (8 * cluster, 24 * cluster + 72 * consensus),
-        },
-        descriptors() or 0,
-    )
-
-
 def rules_of(setup: AdmissionSetup) -> Rules:
     """Build the admission rules from the operator's block."""
     values = {field.name: getattr(setup, field.name) for field in dataclasses.fields(setup)}
@@ -112,68 +83,86 @@
         setup_path: str | None = None,
     ) -> None:
         self.config = config
-        self.setup, self._setup_path = setup or Setup(), setup_path
+        self.setup = setup or Setup()
+        self._setup_path = setup_path
         self.clock = Clock()
         self.counters = Counters()
         self.lifecycle = Lifecycle()
         self.log = Log(self.clock, log_format)
-        timer = LoopTimer(self.clock)
-        session = Session(
-            self.clock, self.counters, self.log, config.settings.cancellation is decision.Cancellation.KEEPS_WORK
-        )
         # Descriptors that the process may really have, whatever the configuration allows.
-        self.sockets = sockets = min(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-        self.descriptors = shares(
-            sockets,
+        self.sockets = min(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
+        self.descriptors = build_budget(
+            self.sockets,
             amqp is not None,
             self.setup.store is not None,
             config.ops is not None,
             self.setup.cluster is not None,
             self.setup.consensus is not None,
         )
-        self.executor = ExecutorLink(config.executor, session, self.counters, self.log)
-        self.records = RecordsService(
-            config.records, self.clock, self.counters, self.log, max(4, sockets // 5), self.descriptors
+        self._session = self._build_session()
+        self.executor = ExecutorLink(config.executor, self._session, self.counters, self.log)
+        self.records = self._build_records()
+        self.broker = self._build_broker()
+        self.front = self._build_front()
+        self.store: Store | None = None
+        if self.setup.store is not None:  # loaded only where an operator switches it on
+            self.store = _open_store(self.setup.store, self.clock, self.log)
+        self.subsystems = build_subsystems(config, self.setup, self.descriptors, self.counters, self.log, self.store)
+        self.listener = self._build_listener() if config.ops is not None else None
+        self.consumer = self._build_consumer(amqp) if amqp is not None else None
+        self.recorder = self._build_recorder(record) if record is not None else None
+        self.source = self._build_source(read) if read is not None else None
+        directory = os.environ.get("TMPDIR")
+        self.handover = self._build_handover(directory) if directory else None
+        self._serving = False
+        self.reporter = Reporter(config.control, config.name, self._ready, self.counters, config.seed)
+        self._leave_requested = asyncio.Event()
+        self._notice = 0.0  # when it was told to leave
+
+    def _build_session(self) -> Session:
+        """Build the executor's session, which outlives its connections."""
+        keeps_work = self.config.settings.cancellation is decision.Cancellation.KEEPS_WORK
+        return Session(self.clock, self.counters, self.log, keeps_work)
+
+    def _build_records(self) -> RecordsService:
+        """Build the connections to the records service."""
+        max_connections = max(4, self.sockets // 5)
+        return RecordsService(
+            self.config.records, self.clock, self.counters, self.log, max_connections, self.descriptors
         )
-        self.broker = Broker(
-            config.settings,
-            config.seed,
+
+    def _build_broker(self) -> Broker:
+        """Build the broker, and have executor, records and timer report to it."""
+        timer = LoopTimer(self.clock)
+        broker = Broker(
+            self.config.settings,
+            self.config.seed,
             self.clock,
             self.counters,
             self.log,
             self.executor,
             self.records,
             timer,
-            config.memory,
+            self.config.memory,
         )
-        self.broker.on_started = self._began
-        timer.broker = self.broker
-        session.notices = self.broker
-        self.records.listener = self.broker
-        self.front = Front(
+        broker.on_started = self._began
+        timer.broker = broker
+        self._session.notices = broker
+        self.records.listener = broker
+        return broker
+
+    def _build_front(self) -> Front:
+        """Build the front for balancers."""
+        return Front(
             self.broker,
             self.clock,
             self.counters,
             self.log,
-            sockets,
+            self.sockets,
             rules_of(self.setup.admission),
             self.descriptors,
             self.lifecycle,
         )
-        self.store: Store | None = None
-        if self.setup.store is not None:  # loaded only where an operator switches it on
-            self.store = _open_store(self.setup.store, self.clock, self.log)
-        self.subsystems = build_subsystems(config, self.setup, self.descriptors, self.counters, self.log, self.store)
-        self.listener = self._build_listener() if config.ops is not None else None
-        self.consumer = self._build_consumer(amqp) if amqp is not None else None
-        self.recorder = self._build_recorder(record) if record is not None else None
-        self.source = self._build_source(read) if read is not None else None
-        directory = os.environ.get("TMPDIR")
-        self.handover = self._build_handover(directory) if directory else None
-        self._serving = False
-        self.reporter = Reporter(config.control, config.name, self._ready, self.counters, config.seed)
-        self._leave_requested = asyncio.Event()
-        self._notice = 0.0  # when it was told to leave
 
     # Each of these parts is optional; a module that only one of them needs is imported where that part is built.
 
@@ -443,7 +432,7 @@
     async def _sweep(self) -> None:
         over = 0
         for turn in itertools.count():
-            if turn % RECONCILE == 0 and (held := descriptors()) is not None:
+            if turn % RECONCILE == 0 and (held := count_open_descriptors()) is not None:
                 # One look may fall between the claim of a descriptor and its opening.
                 over = over + 1 if self.descriptors.reconcile(held) else 0
                 self.counters.check_invariant(over < 3, "ledger")
