--- a/chutepin/node.py
+++ b/chutepin/node.py
@@ -13,16 +13,18 @@
 from typing import TYPE_CHECKING
 
 from . import decision, signals
-from .admission import AddressSharing, DescriptorBudget, Rules
+from .admission import AddressSharing, Rules
 from .admission.addresses import Networks
 from .broker import Broker
 from .clock import Clock
 from .config import AdmissionSetup, AmqpConfig, Config, ConfigError, Setup, StoreSetup, load, load_setup
 from .counters import Counters
-from .handover import HandoverLink, HandoverSession, HandoverStateMachine, ProcessUsage, Rendezvous, rendezvous_path
-from .idempotency import IdempotencyRecord, KeyRequest
+from .descriptors import build_budget, count_open_descriptors
+from .handover import HandoverLink, HandoverSession, HandoverStateMachine, Rendezvous, rendezvous_path
+from .handover_host import NodeHandoverHost
 from .lifecycle import Lifecycle, Transition
 from .logs import Log, LogFormat
+from .loop_timer import LoopTimer
 from .net.control import Reporter
 from .net.executor import ExecutorLink, Session
 from .net.records import RecordsService
@@ -40,67 +42,10 @@
 # After a hand-over the process is stopped once the longest deadline, of which this much counts, and a rest are over.
 MAX_DEADLINE = 3.0  # seconds
 FINISH_MARGIN = 0.7  # seconds
-
-
-class LoopTimer:
-    """The broker's one timer, on the event loop."""
-
-    def __init__(self, clock: Clock) -> None:
-        self._clock = clock
-        self._handle: asyncio.TimerHandle | None = None
-        self._at = 0.0
-        self.broker: Broker | None = None
-
-    def set(self, at: float) -> None:
-        """Have the broker ticked at this time."""
-        if self._handle is not None:
-            if self._at == at and not self._handle.cancelled():
-                return
-            self._handle.cancel()
-        loop = asyncio.get_running_loop()
-        self._at = at
-        self._handle = loop.call_at(loop.time() + max(0.0, at - self._clock.now()), self._ring)
-
-    def _ring(self) -> None:
-        self._handle = None
-        assert self.broker is not None
-        self.broker.tick()
-
-
 MAX_TOP = 10  # addresses and blocks that SIGUSR1 names
 RECONCILE = 8  # sweeps between looks at what descriptors the process holds
 
 
-def descriptors() -> int | None:
-    """Count the descriptors that the process has open; None where the system doesn't tell."""
-    try:
-        return len(os.listdir("/proc/self/fd")) - 1  # the listing itself holds one
-    except OSError:
-        return None
-
-
-def shares(
-    limit: int, amqp: bool, store: bool, ops: bool = False, cluster: bool = False, consensus: bool = False
-) -> DescriptorBudget:
-    """Build the descriptors of descriptors: half for the front at most, two fifths for records, as after a
-    reload old and new connections stand side by side; what must reconnect has its own."""
-    return DescriptorBudget(
-        limit,
-        {
-            "front": (0, max(8, limit // 2)),
-            "records": (max(2, limit // 32), max(8, 2 * limit // 5)),
-            "executor": (2, 2),
-            "control": (1, 1),
-            "amqp": (2 * amqp, 2),
-            "store": (8 * store, 40),
-            "files": (2, 8),
-            "ops": (4 * ops, max(4, min(16, limit // 32)) * ops),
-            "cluster": (8 * cluster, 24 * cluster + 72 * consensus),
-        },
-        descriptors() or 0,
-    )
-
-
 def rules_of(setup: AdmissionSetup) -> Rules:
     """Build the admission rules from the operator's block."""
     values = {field.name: getattr(setup, field.name) for field in dataclasses.fields(setup)}
@@ -139,68 +84,86 @@
         setup_path: str | None = None,
     ) -> None:
         self.config = config
-        self.setup, self._setup_path = setup or Setup(), setup_path
+        self.setup = setup or Setup()
+        self._setup_path = setup_path
         self.clock = Clock()
         self.counters = Counters()
         self.lifecycle = Lifecycle()
         self.log = Log(self.clock, log_format)
-        timer = LoopTimer(self.clock)
-        session = Session(
-            self.clock, self.counters, self.log, config.settings.cancellation is decision.Cancellation.KEEPS_WORK
-        )
         # Descriptors that the process may really have, whatever the configuration allows.
-        self.sockets = sockets = min(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-        self.descriptors = shares(
-            sockets,
+        self.sockets = min(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
+        self.descriptors = build_budget(
+            self.sockets,
             amqp is not None,
             self.setup.store is not None,
             config.ops is not None,
             self.setup.cluster is not None,
             self.setup.consensus is not None,
         )
-        self.executor = ExecutorLink(config.executor, session, self.counters, self.log)
-        self.records = RecordsService(
-            config.records, self.clock, self.counters, self.log, max(4, sockets // 5), self.descriptors
+        self._session = self._build_session()
+        self.executor = ExecutorLink(config.executor, self._session, self.counters, self.log)
+        self.records = self._build_records()
+        self.broker = self._build_broker()
+        self.front = self._build_front()
+        self.store: Store | None = None
+        if self.setup.store is not None:  # loaded only where an operator switches it on
+            self.store = _open_store(self.setup.store, self.clock, self.log)
+        self.subsystems = build_subsystems(config, self.setup, self.descriptors, self.counters, self.log, self.store)
+        self.listener = self._build_listener() if config.ops is not None else None
+        self.consumer = self._build_consumer(amqp) if amqp is not None else None
+        self.recorder = self._build_recorder(record) if record is not None else None
+        self.source = self._build_source(read) if read is not None else None
+        directory = os.environ.get("TMPDIR")
+        self.handover = self._build_handover(directory) if directory else None
+        self._serving = False
+        self.reporter = Reporter(config.control, config.name, self._ready, self.counters, config.seed)
+        self._leave_requested = asyncio.Event()
+        self._notice = 0.0  # when it was told to leave
+
+    def _build_session(self) -> Session:
+        """Build the executor's session, which outlives its connections."""
+        keeps_work = self.config.settings.cancellation is decision.Cancellation.KEEPS_WORK
+        return Session(self.clock, self.counters, self.log, keeps_work)
+
+    def _build_records(self) -> RecordsService:
+        """Build the connections to the records service."""
+        max_connections = max(4, self.sockets // 5)
+        return RecordsService(
+            self.config.records, self.clock, self.counters, self.log, max_connections, self.descriptors
         )
-        self.broker = Broker(
-            config.settings,
-            config.seed,
+
+    def _build_broker(self) -> Broker:
+        """Build the broker, and have executor, records and timer report to it."""
+        timer = LoopTimer(self.clock)
+        broker = Broker(
+            self.config.settings,
+            self.config.seed,
             self.clock,
             self.counters,
             self.log,
             self.executor,
             self.records,
             timer,
-            config.memory,
+            self.config.memory,
         )
-        self.broker.on_started = self._began
-        timer.broker = self.broker
-        session.notices = self.broker
-        self.records.listener = self.broker
-        self.front = RespListener(
+        broker.on_started = self._began
+        timer.broker = broker
+        self._session.notices = broker
+        self.records.listener = broker
+        return broker
+
+    def _build_front(self) -> RespListener:
+        """Build the front for balancers."""
+        return RespListener(
             self.broker,
             self.clock,
             self.counters,
             self.log,
-            sockets,
+            self.sockets,
             rules_of(self.setup.admission),
             self.descriptors,
             self.lifecycle,
         )
-        self.store: Store | None = None
-        if self.setup.store is not None:  # loaded only where an operator switches it on
-            self.store = _open_store(self.setup.store, self.clock, self.log)
-        self.subsystems = build_subsystems(config, self.setup, self.descriptors, self.counters, self.log, self.store)
-        self.listener = self._build_listener() if config.ops is not None else None
-        self.consumer = self._build_consumer(amqp) if amqp is not None else None
-        self.recorder = self._build_recorder(record) if record is not None else None
-        self.source = self._build_source(read) if read is not None else None
-        directory = os.environ.get("TMPDIR")
-        self.handover = self._build_handover(directory) if directory else None
-        self._serving = False
-        self.reporter = Reporter(config.control, config.name, self._ready, self.counters, config.seed)
-        self._leave_requested = asyncio.Event()
-        self._notice = 0.0  # when it was told to leave
 
     # Each of these parts is optional; a module that only one of them needs is imported where that part is built.
 
@@ -238,7 +201,10 @@
         config = self.config
         window = max((cls.window for cls in config.settings.classes), default=0.0)
         path = rendezvous_path(directory, config.name, f"{config.listen.host}:{config.listen.port}")
-        session = HandoverSession(_HandoverHost(self), HandoverStateMachine(window), self.clock, self.counters)
+        host = NodeHandoverHost(
+            self.broker, self.front, self.subsystems, self.lifecycle, self.descriptors, self.sockets
+        )
+        session = HandoverSession(host, HandoverStateMachine(window), self.clock, self.counters)
         self.broker.peer = session
         self.broker.keys.replicate = session.replicate
         link = HandoverLink(Rendezvous(path), session, self._listening_sockets, self.clock, self.counters, self.log)
@@ -469,7 +435,7 @@
     async def _sweep(self) -> None:
         over = 0
         for turn in itertools.count():
-            if turn % RECONCILE == 0 and (held := descriptors()) is not None:
+            if turn % RECONCILE == 0 and (held := count_open_descriptors()) is not None:
                 # One look may fall between the claim of a descriptor and its opening.
                 over = over + 1 if self.descriptors.reconcile(held) else 0
                 self.counters.check_invariant(over < 3, "ledger")
@@ -516,72 +482,3 @@
             or (self.consumer is not None and not self.consumer.settled)
         ):
             await asyncio.sleep(0.01)
-
-
-class _HandoverHost:
-    """The node as the hand-over sees it (`handover.HandoverHost`)."""
-
-    def __init__(self, node: Node) -> None:
-        self._node = node
-        self._broker = node.broker
-
-    def records(self) -> list[IdempotencyRecord]:
-        """Return all records of this process."""
-        return list(self._broker.keys.records.values())
-
-    def is_current(self, record: IdempotencyRecord) -> bool:
-        """The record is still in the table."""
-        return self._broker.keys.records.get(record.key) is record
-
-    def peer_record_changed(self, record: IdempotencyRecord) -> None:
-        """Apply a record of the other process."""
-        self._broker.peer_exchange.peer_record_changed(record)
-
-    def peer_key_removed(self, key: str) -> None:
-        """Apply the removal of a key by the other process."""
-        self._broker.peer_exchange.peer_key_removed(key)
-
-    def peer_requests_key(self, request: KeyRequest) -> bool:
-        """Decide whether the other process may take a key."""
-        return self._broker.peer_exchange.peer_requests_key(request)
-
-    def key_replied(self, request_id: str, key: str, is_granted: bool) -> None:
-        """Go on with a request that waits for its key."""
-        self._broker.peer_exchange.key_replied(request_id, key, is_granted)
-
-    def peer_lost(self) -> None:
-        """Settle what the other process held."""
-        self._broker.peer_exchange.peer_lost()
-
-    def learned_statistics(self) -> dict[str, object]:
-        """Return what the decision module has learned."""
-        return self._broker.peer_exchange.learned()
-
-    def adopt_statistics(self, statistics: dict[str, object]) -> None:
-        """Begin with what the predecessor's decision module had learned."""
-        self._broker.peer_exchange.adopt(statistics)
-
-    def usage(self) -> ProcessUsage:
-        """Return what this process uses of the node's limits."""
-        running, memory_kb = self._broker.peer_exchange.usage
-        descriptors = self._node.descriptors
-        return ProcessUsage(running, memory_kb, descriptors.in_use + descriptors.unattributed)
-
-    def set_peer_usage(self, usage: ProcessUsage) -> None:
-        """Leave room for what the other process uses."""
-        self._node.descriptors.limit = self._node.sockets - usage.descriptors
-        self._broker.peer_exchange.set_peer_usage(usage.running, usage.memory_kb)
-
-    def yield_ownership(self) -> None:
-        """Stop accepting: a successor serves."""
-        self._node.lifecycle.apply(Transition.SUCCESSOR_READY)
-        self._node.front.yield_ownership()
-        for part in self._node.subsystems:
-            part.yield_ownership()
-
-    def resume_ownership(self) -> None:
-        """Accept again: the successor has gone."""
-        self._node.lifecycle.apply(Transition.SUCCESSOR_LOST)
-        self._node.front.resume_ownership()
-        for part in self._node.subsystems:
-            part.resume_ownership()
--- a/chutepin/testbench/scale/hollow.py
+++ b/chutepin/testbench/scale/hollow.py
@@ -15,7 +15,6 @@
 from chutepin.config import Config, parse, parse_setup
 from chutepin.counters import Counters
 from chutepin.logs import Log
-from chutepin.node import descriptors, shares
 from chutepin.registry import build_subsystems
 from chutepin.subsystem import Subsystem
 from chutepin.testbench.scale.places import Place
@@ -23,6 +22,8 @@
 from chutepin.testbench.scale.workload import LINGER
 from chutepin.testbench.standins.platform import EXAMPLE
 
+from ...descriptors import build_budget, count_open_descriptors
+
 SOCKETS = 1024  # descriptors that a node may have
 NOWHERE = "127.0.0.1:1"  # stands in the configuration where a hollow node neither listens nor connects
 COUNTERS: dict[tuple[Direction, Kind], str] = {
@@ -108,7 +109,7 @@
         self.crash()
         self._counters = Counters()
         log = RecordingLog(self.place.name, self._died)
-        budget = shares((descriptors() or 0) + SOCKETS, amqp=False, store=False, cluster=True)
+        budget = build_budget((count_open_descriptors() or 0) + SOCKETS, amqp=False, store=False, cluster=True)
         self._parts = build_subsystems(self._config, parse_setup(self.place.setup), budget, self._counters, log, None)
         for part in self._parts:
             part.start()
