--- a/chutepin/cluster/detector.py
+++ b/chutepin/cluster/detector.py
@@ -110,10 +110,11 @@
 
     def _next_due(self) -> float:
         context = self.context
+        view = context.view
         at = min(self._next_probe, self.joining.next_due(), self._next_housekeeping)
         if not context.active and not context.leaving:
             return at
-        if context.view.queue and context.view.table.live():
+        if view.queue and view.table.live():
             at = min(at, self.send_queue.gossip_due())
         return min(at, self.probing.next_due(), self.suspicions.next_due(), self.link_checks.next_due())
 
--- a/chutepin/cluster/send_queue.py
+++ b/chutepin/cluster/send_queue.py
@@ -53,10 +53,12 @@
 
     def drain_effects(self) -> list[Effect]:
         """Return what is to be done since the last call, in order."""
-        view = self._context.view
-        effects = self._effects + list(view.events)
+        events = self._context.view.events
+        effects = self._effects
         self._effects = []
-        view.events.clear()
+        if events:
+            effects += events
+            events.clear()
         return effects
 
     def address(self, name: str) -> str | None:
