--- a/chutepin/cluster/context.py
+++ b/chutepin/cluster/context.py
@@ -27,7 +27,7 @@
 
     @property
     def me(self) -> Record:
-        """This member's own record."""
+        """The member's own record."""
         return self.view.me
 
     @property
--- a/chutepin/cluster/detector.py
+++ b/chutepin/cluster/detector.py
@@ -87,7 +87,7 @@
 
     @property
     def me(self) -> Record:
-        """This member's own record."""
+        """The member's own record."""
         return self.context.view.me
 
     @property
@@ -131,8 +131,9 @@
             self.send_queue.send(name, Gossip(), [view.me])
 
     def restart(self, now: float, incarnation: int) -> None:
-        """Go on after another process of this node has used its name: with a process incarnation above that one's, and
-        nothing pending."""
+        """Go on after another process of this node has used its name.
+
+        The process incarnation is above that process's one, and nothing is pending."""
         self.view.start_process_incarnation(incarnation)
         self._cancel_pending()
         self.send_queue.restart(now)
--- a/chutepin/cluster/messages.py
+++ b/chutepin/cluster/messages.py
@@ -17,8 +17,10 @@
 
 
 class Ack(NamedTuple):
-    """The answer to a ping. `last_heard_ms`: milliseconds since its sender last heard the requester of the ping (or the
-    pinger, if it has none) directly; -1 if not lately."""
+    """The answer to a ping.
+
+    `last_heard_ms`: milliseconds since its sender last heard the requester of the ping (or the pinger, if it has
+    none) directly; -1 if not lately."""
 
     nonce: int
     last_heard_ms: int
@@ -45,9 +47,11 @@
 
 
 class Sync(NamedTuple):
-    """The full state of the sender, in the updates. `reply_requested`: it wants that of the receiver. `joined`: some
-    member has accepted the sender before. `referred`: in an answer, that the updates are a few members, one of which is
-    to be asked for the full state; in a request, that the sender follows such a referral. Over TCP only."""
+    """The full state of the sender, in the updates.
+
+    `reply_requested`: it wants that of the receiver. `joined`: some member has accepted the sender before.
+    `referred`: in an answer, that the updates are a few members, one of which is to be asked for the full state; in
+    a request, that the sender follows such a referral. Over TCP only."""
 
     reply_requested: bool
     joined: bool
@@ -55,17 +59,20 @@
 
 
 class BucketDigests(NamedTuple):
-    """Anti-entropy, the first request: a digest of four bytes for each bucket of names, and that of the bad links. Over
-    TCP only."""
+    """Anti-entropy, the first request: a digest of four bytes for each bucket of names, and that of the bad links.
+
+    Over TCP only."""
 
     digests: bytes
     links: int
 
 
 class BucketRecords(NamedTuple):
-    """The answer to BucketDigests. `buckets` has a bit for each of `bucket_count` buckets, set where digests differ;
-    the updates are the sender's records of these, the first `settled` of them older than dissemination takes. `links`
-    is the digest of its bad links. Over TCP only."""
+    """The answer to BucketDigests.
+
+    `buckets` has a bit for each of `bucket_count` buckets, set where digests differ; the updates are the sender's
+    records of these, the first `settled` of them older than dissemination takes. `links` is the digest of its bad
+    links. Over TCP only."""
 
     bucket_count: int
     buckets: bytes
@@ -75,6 +82,7 @@
 
 class RecordRequest(NamedTuple):
     """Anti-entropy, the second request: for the whole records of `names`; the updates are what is newer at the sender.
+
     Over TCP only."""
 
     names: tuple[str, ...]
--- a/chutepin/cluster/probe_state.py
+++ b/chutepin/cluster/probe_state.py
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    """This member's own suspicion, after its own probe has failed."""
+    """The member's own suspicion, after its own probe has failed."""
 
     subject: str
     incarnation: int
--- a/chutepin/cluster/probing.py
+++ b/chutepin/cluster/probing.py
@@ -73,8 +73,9 @@
             self.start(now, subject, ProbeReason.SCHEDULED)
 
     def probe_reported_suspects(self, now: float, certain: int = 0) -> None:
-        """Verify what others suspect: of all members that hear of a suspicion some three probe the suspect at once. The
-        first `certain` suspects are probed in any case."""
+        """Verify what others suspect: of all members that hear of a suspicion some three probe the suspect at once.
+
+        The first `certain` suspects are probed in any case."""
         context = self._context
         reported = context.view.reported_suspects
         context.view.reported_suspects = []
--- a/chutepin/cluster/send_queue.py
+++ b/chutepin/cluster/send_queue.py
@@ -98,8 +98,9 @@
             self._effects.append(Send(address, self._packet(to, body, first, introduce=introduce)))
 
     def ping(self, to: str, nonce: int, requester: str = "", requester_nonce: int = 0, introduce: bool = True) -> None:
-        """Ping a member, for this one or for a requester. If it is not alive here it gets that record first, so that it
-        can refute."""
+        """Ping a member, for this one or for a requester.
+
+        If it is not alive here it gets that record first, so that it can refute."""
         view = self._context.view
         member = view.table.members.get(to)
         refutable = [member.record] if member is not None and member.record.status is not Status.ALIVE else []
--- a/chutepin/cluster/sender_check.py
+++ b/chutepin/cluster/sender_check.py
@@ -1,4 +1,7 @@
-"""Whether a packet is from a process that holds its name, and for this one. Pure."""
+"""Whether a packet is for this process to answer.
+
+It is not if it is misdirected, comes from a process of the same name, or is a notice that this process's name is
+taken."""
 
 from __future__ import annotations
 
@@ -44,8 +47,9 @@
         return record
 
     def is_stale_process(self, now: float, member: Member, record: Record, packet: Packet, stream: bool) -> bool:
-        """Whether a later process of the sender's name is known. The sender is notified, as it may be a restart with a
-        clock that was set back."""
+        """Whether a later process of the sender's name is known.
+
+        The sender is notified, as it may be a restart with a clock that was set back."""
         if record.address != member.record.address or packet.process_incarnation >= member.process_incarnation:
             return False
         self._context.view.counts["drop.stale_process"] += 1
@@ -58,8 +62,10 @@
         return True
 
     def is_name_conflict(self, member: Member, record: Record, packet: Packet) -> bool:
-        """Whether the sender's name is held by a live process at another address. Of two that the sides of a partition
-        had accepted the earlier one holds it; one that has not joined yet holds nothing."""
+        """Whether the sender's name is held by a live process at another address.
+
+        Of two that the sides of a partition had accepted the earlier one holds it; one that has not joined yet holds
+        nothing."""
         if not member.record.live or member.record.address == record.address:
             return False
         joined = not isinstance(packet.body, Sync) or packet.body.joined
--- a/chutepin/cluster/subsystem.py
+++ b/chutepin/cluster/subsystem.py
@@ -31,7 +31,7 @@
 
 
 class Cluster:
-    """This node's part in the cluster (`subsystem.Subsystem`)."""
+    """The node's part in the cluster (`subsystem.Subsystem`)."""
 
     def __init__(
         self,
--- a/chutepin/cluster/suspicions.py
+++ b/chutepin/cluster/suspicions.py
@@ -29,8 +29,10 @@
         return now - context.health.last_answered_at > window
 
     def add(self, now: float, subject: str) -> None:
-        """Suspect a member whose probe has failed. A member that gets no answer from anybody does not spread it: its
-        own silence explains more than the death of all others."""
+        """Suspect a member whose probe has failed.
+
+        A member that gets no answer from anybody does not spread it: its own silence explains more than the death of
+        all others."""
         view = self._context.view
         member = view.table.members.get(subject)
         if member is None or not member.record.live or subject in self._by_subject:
--- a/chutepin/consensus/codec.py
+++ b/chutepin/consensus/codec.py
@@ -150,7 +150,7 @@
         return message
     except CodecError:
         raise
-    except Exception:  # an unpacker may raise anything on hostile bytes; only the sender's connection ends
+    except Exception:  # noqa: BLE001  an unpacker may raise anything on hostile bytes; only the sender's connection ends
         raise CodecError("malformed") from None
 
 
--- a/chutepin/consensus/replicated_state.py
+++ b/chutepin/consensus/replicated_state.py
@@ -51,8 +51,9 @@
 
 
 class Outcome(NamedTuple):
-    """What became of a request. `at_index` is that of the entry which decided it;
-    for a read, the one up to which the state shows all."""
+    """What became of a request.
+
+    `at_index` is that of the entry which decided it; for a read, the one up to which the state shows all."""
 
     state: OutcomeState
     at_index: int = 0
--- a/chutepin/consensus/subsystem.py
+++ b/chutepin/consensus/subsystem.py
@@ -35,7 +35,7 @@
 
 
 class ConsensusSubsystem:
-    """This node's part in the replicated log (`subsystem.Subsystem`, `operators.ConsensusPart`)."""
+    """The node's part in the replicated log (`subsystem.Subsystem`, `operators.ConsensusPart`)."""
 
     def __init__(
         self,
--- a/chutepin/facade.py
+++ b/chutepin/facade.py
@@ -102,20 +102,47 @@
 class Core(Protocol):
     """What the module asks of the core. All times are absolute."""
 
-    def run(self, id: str) -> None: ...
-    def stop(self, id: str) -> None: ...
-    def refuse(self, id: str, hold_off: float, terminal: bool) -> None: ...
-    def fail(self, id: str) -> None: ...
-    def call(self, id: str, deadline: float) -> None: ...
-    def skip_call(self, id: str) -> None: ...
-    def keep_key(self, id: str, until: float) -> None: ...
-    def forget_key(self, id: str) -> None: ...
-    def share(self, id: str) -> None: ...
-    def set_health(self, good: bool) -> None: ...
-    def announce(self, value: float) -> None: ...
-    def set_idle(self, after: float) -> None: ...
-    def set_timer(self, token: int, at: float) -> None: ...
-    def remark(self, text: str) -> None: ...
+    def run(self, id: str) -> None:
+        """Start a queued request."""
+
+    def stop(self, id: str) -> None:
+        """Stop a run; its answer stays owed."""
+
+    def refuse(self, id: str, hold_off: float, terminal: bool) -> None:
+        """Reject a request that never ran."""
+
+    def fail(self, id: str) -> None:
+        """Answer with an error."""
+
+    def call(self, id: str, deadline: float) -> None:
+        """Make the call that a run waits for."""
+
+    def skip_call(self, id: str) -> None:
+        """Let a run go on without its call."""
+
+    def keep_key(self, id: str, until: float) -> None:
+        """Keep the request's idempotency key."""
+
+    def forget_key(self, id: str) -> None:
+        """Remove the request's idempotency key."""
+
+    def share(self, id: str) -> None:
+        """Answer with the result of the request that this one repeats."""
+
+    def set_health(self, good: bool) -> None:
+        """Answer health checks so from now on."""
+
+    def announce(self, value: float) -> None:
+        """Send this value with every answer from now on."""
+
+    def set_idle(self, after: float) -> None:
+        """Close connections that are idle for `after` seconds."""
+
+    def set_timer(self, token: int, at: float) -> None:
+        """Call `Facade.tick` with this token at that time."""
+
+    def remark(self, text: str) -> None:
+        """Write a line to the log."""
 
 
 class Facade:
--- a/chutepin/handover/__init__.py
+++ b/chutepin/handover/__init__.py
@@ -1,9 +1,12 @@
-"""Hand-over between two processes of one node during an upgrade: rendezvous, passing of the listening sockets,
-ownership of idempotency keys, shared limits, and recovery when one of the two stalls or dies.
+"""Hand-over between two processes of one node during an upgrade.
 
-Decisions without I/O: `state_machine` (stages and transitions), `session` (messages in, messages out), `messages` and
-`frames` (types and their bytes). I/O: `rendezvous` (the Unix socket where the two meet), `link` (the connection). The
-node is known through the port `HandoverHost`; `docs/operation.md` has the design and the transition table."""
+Rendezvous, passing of the listening sockets, ownership of idempotency keys, shared limits, and recovery when one of
+the two stalls or dies.
+
+Decisions without I/O: `state_machine` (stages and transitions), `session` (messages in, messages out), `messages`
+and `frames` (types and their bytes). I/O: `rendezvous` (the Unix socket where the two meet), `link` (the
+connection). The node is known through the port `HandoverHost`; `docs/operation.md` has the design and the transition
+table."""
 
 from .link import HandoverLink
 from .messages import ProcessUsage
--- a/chutepin/net/amqp/consumer.py
+++ b/chutepin/net/amqp/consumer.py
@@ -214,7 +214,7 @@
         except ProtocolError as error:
             self.counters.add("amqp.protocol")
             self.log.event("amqp.protocol", why=str(error))
-        except Exception as error:  # whatever it is, it is counted and logged here
+        except Exception as error:  # noqa: BLE001  whatever it is, it is counted and logged here
             self.counters.add("errors")
             self.log.event("amqp.error", error=repr(error))
         finally:
--- a/chutepin/net/executor.py
+++ b/chutepin/net/executor.py
@@ -345,6 +345,6 @@
         except ProtocolError as error:
             self._counters.add("executor.malformed")
             self._log.event("executor.malformed", why=str(error))
-        except Exception as error:  # whatever it is, it is counted and logged here
+        except Exception as error:  # noqa: BLE001  whatever it is, it is counted and logged here
             self._counters.add("errors")
             self._log.event("executor.error", error=repr(error))
--- a/chutepin/node.py
+++ b/chutepin/node.py
@@ -365,8 +365,9 @@
             self.lifecycle.apply(Transition.CAN_SERVE)
 
     async def _serve(self) -> None:
-        """Accept balancers, on the sockets of a predecessor where it passed them. Raises OSError at the start only:
-        beside a predecessor the node stays, and is asked again."""
+        """Accept balancers, on the sockets of a predecessor where it passed them.
+
+        Raises OSError at the start only: beside a predecessor the node stays, and is asked again."""
         sockets = self.handover.sockets if self.handover is not None else []
         for part in self.subsystems:
             sockets[:] = part.adopt(sockets)
@@ -427,7 +428,7 @@
         while True:
             try:
                 return await work()
-            except Exception as error:  # whatever it is, it is counted and logged here
+            except Exception as error:  # noqa: BLE001  whatever it is, it is counted and logged here
                 self.counters.add("errors")
                 self.log.event("error", message="a part of the node is begun again", error=repr(error))
             await asyncio.sleep(SWEEP_INTERVAL_S)
--- a/chutepin/signals.py
+++ b/chutepin/signals.py
@@ -40,7 +40,7 @@
     """Call handlers on this loop, each with the signal's time, also for signals that came before.
 
     Signals that come after the context are kept."""
-    global _wake  # a signal's handler has no other place to look
+    global _wake  # noqa: PLW0603  a signal's handler has no other place to look
 
     def deliver_pending() -> None:
         for number in HANDLED_SIGNALS if _wake is wake else ():  # else the context has ended since this was scheduled
--- a/chutepin/store/writer_thread.py
+++ b/chutepin/store/writer_thread.py
@@ -147,7 +147,7 @@
                     self._notify_waiters()
         except StoreError as error:
             self._end(error)
-        except Exception as error:  # without this, a programming error would leave callers waiting for ever
+        except Exception as error:  # noqa: BLE001  without this, a programming error would leave callers waiting for ever
             self._engine.context.failure = repr(error)
             self._end(StoreError(f"{self._engine.context.label}: {error!r}"))
 
