--- a/chutepin/broker/core.py
+++ b/chutepin/broker/core.py
@@ -216,7 +216,7 @@
 
     # For the executor's link:
 
-    def welcome(self, cold: bool, born: float) -> None:
+    def executor_started(self, cold: bool, born: float) -> None:
         """Note that the executor is up; only the first time begins the life of the decision module."""
         if self.started:
             return
@@ -227,7 +227,7 @@
         if self._schedule.stop is not None and notice is not None:
             self._decisions.report(Drain(self._schedule.stop, notice))
 
-    def ended(self, id: str, end: End, elapsed: float, result: bytes) -> None:
+    def run_ended(self, id: str, end: End, elapsed: float, result: bytes) -> None:
         """Settle the end of a run."""
         attempt = self._attempts.by_id.get(id)
         if attempt is None:
@@ -245,7 +245,7 @@
         self._decisions.report(RunEnded(id, end, elapsed))
         self._attempts.forget(id)
 
-    def wants_call(self, id: str, notice: int, body: bytes) -> None:
+    def call_wanted(self, id: str, notice: int, body: bytes) -> None:
         """Note that a run wants to call the records service."""
         attempt = self._attempts.by_id.get(id)
         if attempt is None:
@@ -257,16 +257,16 @@
         self._decisions.report(CallWanted(id))
         self._attempts.stop_if_unwatched(attempt)
 
-    def not_carried_out(self, command: str, id: str) -> None:
+    def command_not_carried_out(self, command: str, id: str) -> None:
         """Note that the executor did not carry out a command: a run that it never began has not run."""
         self._counters.add("executor.bad")
         self._log.event("executor.not_carried_out", command=command, id=id)
         attempt = self._attempts.by_id.get(id)
         # Also where the run was stopped meanwhile: else it would never end, and look like a hang.
         if command == "EXEC" and attempt is not None and attempt.phase in (Phase.RUNNING, Phase.STOPPED):
-            self.ended(id, End.NEVER, 0.0, b"")
+            self.run_ended(id, End.NEVER, 0.0, b"")
 
-    def metered(self, values: tuple[float, ...]) -> None:
+    def gauges_received(self, values: tuple[float, ...]) -> None:
         """Take fresh gauges, and deliver the timers that wait for them."""
         if len(values) == self._gauge_count:
             self._gauges = values
@@ -274,7 +274,7 @@
 
     # For the records service:
 
-    def called(self, id: str, end: End, reply: bytes) -> None:
+    def call_ended(self, id: str, end: End, reply: bytes) -> None:
         """Settle the end of a call; after OK the run goes on with the reply, unchanged."""
         attempt = self._attempts.by_id.get(id)
         if attempt is None or attempt.phase is not Phase.CALLING_DEPENDENCY:
--- a/chutepin/broker/ports.py
+++ b/chutepin/broker/ports.py
@@ -43,7 +43,7 @@
     """The records service, which runs depend on."""
 
     def call(self, id: str, deadline: float, body: bytes, repeatable: bool) -> None:
-        """Make a call. It ends in one `Broker.called`, unless it is given up before."""
+        """Make a call. It ends in one `Broker.call_ended`, unless it is given up before."""
 
     def give_up(self, id: str) -> None:
         """Abandon a call."""
--- a/chutepin/net/executor.py
+++ b/chutepin/net/executor.py
@@ -31,11 +31,11 @@
 class Notices(Protocol):
     """Who hears the executor."""
 
-    def welcome(self, cold: bool, born: float) -> None: ...
-    def ended(self, id: str, end: End, elapsed: float, result: bytes) -> None: ...
-    def wants_call(self, id: str, notice: int, body: bytes) -> None: ...
-    def not_carried_out(self, command: str, id: str) -> None: ...
-    def metered(self, values: tuple[float, ...]) -> None: ...
+    def executor_started(self, cold: bool, born: float) -> None: ...
+    def run_ended(self, id: str, end: End, elapsed: float, result: bytes) -> None: ...
+    def call_wanted(self, id: str, notice: int, body: bytes) -> None: ...
+    def command_not_carried_out(self, command: str, id: str) -> None: ...
+    def gauges_received(self, values: tuple[float, ...]) -> None: ...
 
 
 @dataclass(slots=True)
@@ -172,7 +172,7 @@
             case "WELCOME":
                 born = self._clock.now() - number(words, 2) / 1000
                 self._welcomed, self._sync = True, self._meters + 1
-                self.notices.welcome(word(words, 1) == "chilly", born)
+                self.notices.executor_started(word(words, 1) == "chilly", born)
                 self.meter()
             case "EXIT":
                 end, elapsed = _ENDS.get(word(words, 3), End.ERROR), number(words, 4) / 1000
@@ -183,11 +183,11 @@
                 if self._new(notice):
                     self._settled(word(words, 2))
                     self._paused.pop(words[2], None)
-                    self.notices.wants_call(words[2], notice, body)
+                    self.notices.call_wanted(words[2], notice, body)
             case "METERS":
                 self._metered(int(number(words, 1)), tuple(number(words, i) for i in range(2, len(words))))
             case "BAD":
-                self.notices.not_carried_out(word(words, 1), words[2] if len(words) > 2 else "")
+                self.notices.command_not_carried_out(word(words, 1), words[2] if len(words) > 2 else "")
             case "LOG":
                 if self._new(int(number(words, 1))):
                     self._log.event("executor.says", text=" ".join(words[2:]))
@@ -201,7 +201,7 @@
             self._counters.add("executor.woken")
             self.command(id, line("WAKE", id), True)
         else:
-            self.notices.ended(id, end, elapsed, result)
+            self.notices.run_ended(id, end, elapsed, result)
 
     def _settled(self, id: str) -> None:
         """A notice shows that earlier commands for this run were read, or no longer matter."""
@@ -231,7 +231,7 @@
         self._answered(mark)
         if mark >= self._quiet >= 0:
             self.quiet()
-        self.notices.metered(values)
+        self.notices.gauges_received(values)
 
 
 class ExecutorLink:
--- a/chutepin/net/records.py
+++ b/chutepin/net/records.py
@@ -27,7 +27,7 @@
 class Called(Protocol):
     """Who hears how calls ended."""
 
-    def called(self, id: str, end: End, reply: bytes) -> None: ...
+    def call_ended(self, id: str, end: End, reply: bytes) -> None: ...
 
 
 @dataclass(slots=True)
@@ -229,7 +229,7 @@
         if (timer := self._timers.pop(id, None)) is not None:
             timer.cancel()
         assert self.listener is not None
-        self.listener.called(id, end, body)
+        self.listener.call_ended(id, end, body)
 
     def close_idle(self) -> None:
         """Close connections that carried nothing of late, before the service does, and retired ones."""
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -115,7 +115,7 @@
             memory,
         )
         if up:
-            self.broker.welcome(False, self.hand.time)
+            self.broker.executor_started(False, self.hand.time)
 
     def pick(self, id: str, cls: str = "status-read", key: str | None = None, wait: float = 7.0, **more: Any) -> None:
         now = self.hand.time
@@ -126,7 +126,7 @@
         )
 
     def end(self, id: str, end: End = End.OK) -> None:
-        self.broker.ended(id, end, 0.2, b"result of " + id.encode() if end is End.OK else b"")
+        self.broker.run_ended(id, end, 0.2, b"result of " + id.encode() if end is End.OK else b"")
 
     def running(self) -> list[str]:
         """Runs that were begun and have not ended."""
--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -338,7 +338,7 @@
             consumer._link.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             broker.deaf = True
             for id in core.ports.ids("exec"):
-                core.broker.ended(id, End.OK, 0.1, b"r" * 300_000)
+                core.broker.run_ended(id, End.OK, 0.1, b"r" * 300_000)
             consumer.leave()
             assert not consumer.settled
             broker.deaf = False
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -29,10 +29,10 @@
 def test_dependency_call_has_an_absolute_deadline_and_its_reply_returns() -> None:
     core = Core()
     core.pick("a", wait=2.0)
-    core.broker.wants_call("a", 7, b"ask")
+    core.broker.call_wanted("a", 7, b"ask")
     ((_, _, deadline, body),) = [entry for entry in core.ports.done if entry[0] == "call"]
     assert body == b"ask" and core.hand.time < deadline <= core.hand.time + 2.0
-    core.broker.called("a", End.OK, b"\x00reply")
+    core.broker.call_ended("a", End.OK, b"\x00reply")
     assert core.ports.done[-1] == ("return", "a", b"\x00reply")
     core.end("a")
     assert core.words("a") == ["served"]
@@ -41,10 +41,10 @@
 def test_run_goes_on_without_a_dependency_call_that_fails() -> None:
     core = Core()
     core.pick("a", wait=1.0)
-    core.broker.wants_call("a", 7, b"ask")
+    core.broker.call_wanted("a", 7, b"ask")
     while not core.ports.ids("bypass"):
         if len(core.ports.ids("call")) > core.counters.counts["calls.error"]:
-            core.broker.called("a", End.ERROR, b"")
+            core.broker.call_ended("a", End.ERROR, b"")
         core.pass_time(0.01)
     assert ("bypass", "a", 7) in core.ports.done and len(core.ports.ids("call")) > 1
     core.end("a")
@@ -185,8 +185,8 @@
     core.pick("a", "position-push")
     core.broker.caller_disconnected("a")
     assert core.ports.ids("kill") == ["a"]
-    core.broker.not_carried_out("EXEC", "a")
-    core.broker.not_carried_out("KILL", "a")
+    core.broker.command_not_carried_out("EXEC", "a")
+    core.broker.command_not_carried_out("KILL", "a")
     assert not core.broker.has_open_attempts and not core.broker._facade._policy.jobs
 
 
@@ -225,7 +225,7 @@
 def test_unwatched_run_at_a_dependency_call_is_stopped_once_its_request_is_over() -> None:
     core = Core()
     core.pick("a", wait=1.0, watched=False)
-    core.broker.wants_call("a", 1, b"ask")
+    core.broker.call_wanted("a", 1, b"ask")
     core.pass_time(1.1)
     assert core.words("a")[0] in ("failed", "served") and core.ports.ids("kill") == ["a"]
 
@@ -278,8 +278,8 @@
     @rule(data=st.data(), end=st.sampled_from(list(End)))
     def call(self, data: st.DataObject, end: End) -> None:
         if (id := self.some(self.core.running(), data)) is not None:
-            self.core.broker.wants_call(id, 1, b"ask")
-            self.core.broker.called(id, end, b"reply")
+            self.core.broker.call_wanted(id, 1, b"ask")
+            self.core.broker.call_ended(id, end, b"reply")
 
     @rule(data=st.data())
     def caller_disconnects(self, data: st.DataObject) -> None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -340,7 +340,7 @@
     core.broker.drain(notice + 9.0, notice)
     if not up:
         core.hand.time += grace / 4
-        core.broker.welcome(False, core.hand.time)
+        core.broker.executor_started(False, core.hand.time)
     core.hand.time = notice + grace - 0.01
     core.pick("in time")
     core.hand.time = notice + grace + 0.01
@@ -381,12 +381,12 @@
         assert self.link is not None
         self.link.transport.abort()
 
-    def welcome(self, cold: bool, born: float) -> None: ...
-    def metered(self, values: tuple[float, ...]) -> None: ...
-    def wants_call(self, id: str, notice: int, body: bytes) -> None: ...
-    def not_carried_out(self, command: str, id: str) -> None: ...
+    def executor_started(self, cold: bool, born: float) -> None: ...
+    def gauges_received(self, values: tuple[float, ...]) -> None: ...
+    def call_wanted(self, id: str, notice: int, body: bytes) -> None: ...
+    def command_not_carried_out(self, command: str, id: str) -> None: ...
 
-    def ended(self, id: str, end: End, elapsed: float, result: bytes) -> None:
+    def run_ended(self, id: str, end: End, elapsed: float, result: bytes) -> None:
         self.ends.append((id, end))
 
 
@@ -453,7 +453,7 @@
                 writer.write(line.split()[1] + b" WAIT\r\n")
 
         class Listener:
-            def called(self, id: str, end: End, reply: bytes) -> None:
+            def call_ended(self, id: str, end: End, reply: bytes) -> None:
                 ends.append((id, end))
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
@@ -496,7 +496,7 @@
             await asyncio.get_running_loop().create_future()  # reads no more than the stream's own limit
 
         class Listener:
-            def called(self, id: str, end: End, reply: bytes) -> None:
+            def call_ended(self, id: str, end: End, reply: bytes) -> None:
                 ends.append(end)
 
         listener = stack.enter_context(socket.create_server(("127.0.0.1", 0)))
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -102,7 +102,7 @@
     class Listener:
         ends: list[End]
 
-        def called(self, id: str, end: End, reply: bytes) -> None:
+        def call_ended(self, id: str, end: End, reply: bytes) -> None:
             self.ends.append(end)
 
     async def run() -> None:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -139,17 +139,17 @@
 
     # What the node hears.
 
-    def welcome(self, cold: bool, born: float) -> None: ...
-    def metered(self, values: tuple[float, ...]) -> None: ...
+    def executor_started(self, cold: bool, born: float) -> None: ...
+    def gauges_received(self, values: tuple[float, ...]) -> None: ...
 
-    def ended(self, id: str, end: End, elapsed: float, result: bytes) -> None:
+    def run_ended(self, id: str, end: End, elapsed: float, result: bytes) -> None:
         assert result == id.encode() and end is End.OK
         self.heard.append(id)
 
-    def wants_call(self, id: str, notice: int, body: bytes) -> None:
+    def call_wanted(self, id: str, notice: int, body: bytes) -> None:
         raise AssertionError("no run of this model calls")
 
-    def not_carried_out(self, command: str, id: str) -> None:
+    def command_not_carried_out(self, command: str, id: str) -> None:
         raise AssertionError("a command that the executor does not know")
 
     # What happens.
@@ -317,7 +317,7 @@
         self.wires.append(Wire())
         return self.wires[-1].reader, self.wires[-1]
 
-    def called(self, id: str, end: End, reply: bytes) -> None:
+    def call_ended(self, id: str, end: End, reply: bytes) -> None:
         number = self.open.pop(id)  # a second end would be a KeyError
         if end is End.OK:
             assert reply == b"%d" % number, "the reply to an earlier call"
@@ -554,7 +554,7 @@
             writer.write(line(words[1].decode(), "DONE", body=b"x"))
 
     class Listener:
-        def called(self, id: str, end: End, reply: bytes) -> None:
+        def call_ended(self, id: str, end: End, reply: bytes) -> None:
             ends.append((id, end))
 
     async def run() -> None:
@@ -577,7 +577,7 @@
     hand = Hand()
 
     class Listener:
-        def called(self, id: str, end: End, reply: bytes) -> None:
+        def call_ended(self, id: str, end: End, reply: bytes) -> None:
             ends.append((id, end))
 
     async def run() -> None:
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -223,7 +223,7 @@
     while core.broker.awaiting_response_count:
         for id in set(core.ports.ids("exec")) - begun:
             begun.add(id)
-            core.broker.ended(id, End.OK, 0.1, b"r" * 3500)
+            core.broker.run_ended(id, End.OK, 0.1, b"r" * 3500)
         core.pass_time(0.01)
 
 
@@ -268,7 +268,7 @@
             self.lines.append(line)
         writer.close()
 
-    def called(self, id: str, end: End, reply: bytes) -> None:
+    def call_ended(self, id: str, end: End, reply: bytes) -> None:
         self.ends.append(end)
 
 
