--- a/chutepin/cluster/sender_check.py
+++ b/chutepin/cluster/sender_check.py
@@ -22,8 +22,9 @@
         self._send_queue = send_queue
 
     def is_addressed_here(self, packet: Packet) -> bool:
-        """Whether a packet is for this process to answer: not misdirected, not from a process of the same name, and no
-        notice that this process's name is taken."""
+        """Whether a packet is for this process to answer.
+
+        It is not if it is misdirected, comes from a process of the same name, or says that this name is taken."""
         view = self._context.view
         if packet.to and packet.to != view.me.name:
             view.counts["drop.misdirected"] += 1
--- a/chutepin/net/executor.py
+++ b/chutepin/net/executor.py
@@ -32,19 +32,19 @@
 class NoticeHandler(Protocol):
     """Handles the notices of the executor."""
 
-    def welcome(self, cold: bool, born: float) -> None:
+    def executor_started(self, cold: bool, born: float) -> None:
         """The executor is up since `born`, warming up or not."""
 
-    def ended(self, id: str, end: End, elapsed: float, result: bytes) -> None:
+    def run_ended(self, id: str, end: End, elapsed: float, result: bytes) -> None:
         """A run is over after `elapsed` seconds."""
 
-    def wants_call(self, id: str, notice: int, body: bytes) -> None:
+    def call_wanted(self, id: str, notice: int, body: bytes) -> None:
         """A run needs a call with this body; `notice` is the number to bypass it by."""
 
-    def not_carried_out(self, command: str, id: str) -> None:
+    def command_not_carried_out(self, command: str, id: str) -> None:
         """The executor did not carry out a command."""
 
-    def metered(self, values: tuple[float, ...]) -> None:
+    def gauges_received(self, values: tuple[float, ...]) -> None:
         """The gauges, in the order of the settings."""
 
 
@@ -187,7 +187,7 @@
             case "WELCOME":
                 born = self._clock.now() - number(words, 2) / 1000
                 self._welcomed, self._sync_meter = True, self._last_meter + 1
-                self.notices.welcome(word(words, 1) == "chilly", born)
+                self.notices.executor_started(word(words, 1) == "chilly", born)
                 self.meter()
             case "EXIT":
                 end, elapsed = _ENDS.get(word(words, 3), End.ERROR), number(words, 4) / 1000
@@ -198,11 +198,11 @@
                 if self._is_new_notice(notice):
                     self._confirm_run(word(words, 2))
                     self._probe_stops_until.pop(words[2], None)
-                    self.notices.wants_call(words[2], notice, body)
+                    self.notices.call_wanted(words[2], notice, body)
             case "METERS":
                 self._handle_meters(int(number(words, 1)), tuple(number(words, i) for i in range(2, len(words))))
             case "BAD":
-                self.notices.not_carried_out(word(words, 1), words[2] if len(words) > 2 else "")
+                self.notices.command_not_carried_out(word(words, 1), words[2] if len(words) > 2 else "")
             case "LOG":
                 if self._is_new_notice(int(number(words, 1))):
                     self._log.event("executor.says", text=" ".join(words[2:]))
@@ -216,7 +216,7 @@
             self._counters.add("executor.woken")
             self.command(id, line("WAKE", id), True)
         else:
-            self.notices.ended(id, end, elapsed, result)
+            self.notices.run_ended(id, end, elapsed, result)
 
     def _confirm_run(self, id: str) -> None:
         """A notice shows that earlier commands for this run were read, or no longer matter."""
@@ -246,7 +246,7 @@
         self._expire_probes(mark)
         if mark >= self._quiesce_meter >= 0:
             self.on_quiesced()
-        self.notices.metered(values)
+        self.notices.gauges_received(values)
 
 
 class ExecutorLink:
--- a/chutepin/net/records.py
+++ b/chutepin/net/records.py
@@ -28,7 +28,7 @@
 class CallHandler(Protocol):
     """Handles the ends of calls."""
 
-    def called(self, id: str, end: End, reply: bytes) -> None:
+    def call_ended(self, id: str, end: End, reply: bytes) -> None:
         """A call is over."""
 
 
@@ -99,7 +99,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def call(self, id: str, deadline: float, body: bytes, repeatable: bool) -> None:
-        """Make a call for a request; it ends in one `called`, at the latest just after its deadline."""
+        """Make a call for a request; it ends in one `call_ended`, at the latest just after its deadline."""
         loop = asyncio.get_running_loop()
         self._timers[id] = loop.call_at(
             loop.time() + deadline + DEADLINE_GRACE_S - self._clock.now(), self._time_out, id
@@ -241,7 +241,7 @@
         if (timer := self._timers.pop(id, None)) is not None:
             timer.cancel()
         assert self.listener is not None
-        self.listener.called(id, end, body)
+        self.listener.call_ended(id, end, body)
 
     def close_idle(self) -> None:
         """Close connections that carried nothing of late, before the service does, and retired ones."""
