--- a/chutepin/broker/actions.py
+++ b/chutepin/broker/actions.py
@@ -61,15 +61,15 @@
             attempt.phase = Phase.STOPPED
             self._executor.kill(id)
 
-    def refuse(self, id: str, hold_off: float, terminal: bool) -> None:
+    def reject(self, id: str, retry_after: float, no_other_node: bool) -> None:
         """Reject a request. That promises that it never ran: what did is failed instead."""
         attempt = self._attempts.by_id.get(id)
         if attempt is None:  # answered when it was overdue
             return
         if attempt.phase is Phase.QUEUED and not self._idempotent.has_run(attempt.request):
-            self._attempts.reject(attempt, hold_off, terminal)
+            self._attempts.reject(attempt, retry_after, no_other_node)
         else:
-            self._attempts.fail(attempt, hold_off, terminal)
+            self._attempts.fail(attempt, retry_after, no_other_node)
 
     def fail(self, id: str) -> None:
         """Answer with an error; what still runs stays open until it ends."""
@@ -124,6 +124,6 @@
         """Have the module ticked at this time."""
         self._schedule.set_timer(token, at)
 
-    def remark(self, text: str) -> None:
+    def log_line(self, text: str) -> None:
         """Write a line of the module to the log."""
         self._log.event("module", text=text)
--- a/chutepin/broker/core.py
+++ b/chutepin/broker/core.py
@@ -10,7 +10,17 @@
 from ..clock import Clock
 from ..counters import Counters
 from ..decision import Idempotency, RequestClass
-from ..facade import CallEnded, CallWanted, Drain, End, Facade, Left, Offer, Report, RunEnded
+from ..facade import (
+    CallerDisconnected,
+    CallNeeded,
+    CallReturned,
+    DrainNotice,
+    End,
+    Facade,
+    PendingRequest,
+    Report,
+    RunEnded,
+)
 from ..idempotency import IdempotencyRecord, IdempotencyTable, KeyOwnership, KeyRequest, NoPeerProcess, PeerProcess
 from ..logs import Log
 from ..request_metrics import RequestMetrics
@@ -176,7 +186,7 @@
         """Let the decision module decide about a request."""
         request = attempt.request
         now = self._clock.now()
-        offer = Offer(
+        pending = PendingRequest(
             request.id,
             request.cls,
             request.tenant,
@@ -189,7 +199,7 @@
             request.is_retry,
             (record.run_id or record.holder_id) if record else None,
         )
-        self._decisions.run(lambda: self._facade.pick(now, offer))
+        self._decisions.run(lambda: self._facade.pick(now, pending))
         if request.id in self._attempts.by_id:
             deadline = self.classes[request.cls].deadline
             answer_deadline = max(now, min(request.due, now + deadline)) + OVERDUE_ANSWER_S
@@ -202,14 +212,14 @@
             return
         self._counters.add("callers.gone")
         self._attempts.withdraw(attempt)
-        self._decisions.report(Left(id))
+        self._decisions.report(CallerDisconnected(id))
 
     def drain(self, stop: float, notice: float) -> None:
         """Drain the node: all that was read is answered by `stop`. `notice`: when it was told to leave."""
         self._drain.begin(notice)
         self._schedule.stop = stop
         if self.started:
-            self._decisions.report(Drain(stop, notice))
+            self._decisions.report(DrainNotice(stop, notice))
 
     def finish(self, stop: float) -> None:
         """Answer all by `stop` without a drain: a successor takes what comes."""
@@ -227,7 +237,7 @@
         self.on_started()
         notice = self._drain.notice
         if self._schedule.stop is not None and notice is not None:
-            self._decisions.report(Drain(self._schedule.stop, notice))
+            self._decisions.report(DrainNotice(self._schedule.stop, notice))
 
     def run_ended(self, id: str, end: End, elapsed: float, result: bytes) -> None:
         """Settle the end of a run."""
@@ -256,7 +266,7 @@
         attempt.phase = Phase.CALL_WANTED
         attempt.call_notice = notice
         attempt.call_body = body
-        self._decisions.report(CallWanted(id))
+        self._decisions.report(CallNeeded(id))
         self._attempts.stop_if_unwatched(attempt)
 
     def command_not_carried_out(self, command: str, id: str) -> None:
@@ -288,7 +298,7 @@
             attempt.phase = Phase.RUNNING
             attempt.call_body = b""
             self._executor.give_back(id, reply)
-        self._decisions.report(CallEnded(id, end, self._clock.now() - attempt.call_since))
+        self._decisions.report(CallReturned(id, end, self._clock.now() - attempt.call_since))
 
     # Time:
 
@@ -330,7 +340,7 @@
             elif attempt.awaiting_response:
                 self._counters.add("answers.overdue")
                 self._attempts.fail(attempt)
-                self._decisions.report(Left(id))
+                self._decisions.report(CallerDisconnected(id))
 
     def _sweep(self, now: float) -> None:
         """Settle runs in doubt, and remove records of keys whose window is over."""
--- a/chutepin/broker/decisions.py
+++ b/chutepin/broker/decisions.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from ..clock import Clock
-from ..facade import Facade, Left, Report, RunEnded
+from ..facade import CallerDisconnected, Facade, Report, RunEnded
 from .attempts import NOT_STARTED, OpenAttempts
 
 
@@ -43,7 +43,7 @@
     def _forget_if_over(self, report: Report) -> None:
         if isinstance(report, RunEnded):
             self._attempts.forget(report.id)
-        elif isinstance(report, Left):
+        elif isinstance(report, CallerDisconnected):
             attempt = self._attempts.by_id.get(report.id)
             if attempt is not None and attempt.phase in NOT_STARTED:
                 self._attempts.forget(report.id)
--- a/chutepin/broker/peer_exchange.py
+++ b/chutepin/broker/peer_exchange.py
@@ -44,7 +44,7 @@
     def set_peer_usage(self, running: int, memory_kb: float) -> None:
         """Take what the other process uses as capacity that is not there."""
         facade = self._decisions.facade
-        self._decisions.run(lambda: facade.elsewhere(self._clock.now(), running, memory_kb))
+        self._decisions.run(lambda: facade.set_peer_usage(self._clock.now(), running, memory_kb))
 
     def learned(self) -> dict[str, object]:
         """Return what the decision module has learned, as JSON knows it."""
--- a/chutepin/facade.py
+++ b/chutepin/facade.py
@@ -40,7 +40,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Offer:
+class PendingRequest:
     """A request as the module sees it: no bodies and no connection."""
 
     id: str
@@ -66,14 +66,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CallWanted:
+class CallNeeded:
     """A run needs its call to the dependency."""
 
     id: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CallEnded:
+class CallReturned:
     """A call is over."""
 
     id: str
@@ -82,21 +82,21 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Left:
+class CallerDisconnected:
     """The caller has disconnected."""
 
     id: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Drain:
+class DrainNotice:
     """The node shuts down, after a notice at `notice`; all is answered by `stop`."""
 
     stop: float
     notice: float
 
 
-Report = RunEnded | CallWanted | CallEnded | Left | Drain
+Report = RunEnded | CallNeeded | CallReturned | CallerDisconnected | DrainNotice
 
 
 class Core(Protocol):
@@ -108,7 +108,7 @@
     def stop(self, id: str) -> None:
         """Stop a run; its answer stays owed."""
 
-    def refuse(self, id: str, hold_off: float, terminal: bool) -> None:
+    def reject(self, id: str, retry_after: float, no_other_node: bool) -> None:
         """Reject a request that never ran."""
 
     def fail(self, id: str) -> None:
@@ -141,7 +141,7 @@
     def set_timer(self, token: int, at: float) -> None:
         """Call `Facade.tick` with this token at that time."""
 
-    def remark(self, text: str) -> None:
+    def log_line(self, text: str) -> None:
         """Write a line to the log."""
 
 
@@ -157,22 +157,22 @@
         self._policy = Policy(dataclasses.replace(self._settings, warming_up=cold), self._seed)
         self._apply(now, self._policy.start(min(born, now)))
 
-    def pick(self, now: float, offer: Offer) -> None:
+    def pick(self, now: float, pending: PendingRequest) -> None:
         """Take in a request."""
         self._handle(
             now,
             decision.Request(
-                id=offer.id,
-                cls=offer.cls,
-                unread=max(0.0, now - offer.arrived),
-                size=offer.size,
-                tenant=offer.tenant,
-                key=offer.subject,
-                due=offer.due,
-                rank=offer.rank,
-                caller=offer.caller,
-                repeats=offer.repeats,
-                is_retry=offer.is_retry,
+                id=pending.id,
+                cls=pending.cls,
+                unread=max(0.0, now - pending.arrived),
+                size=pending.size,
+                tenant=pending.tenant,
+                key=pending.subject,
+                due=pending.due,
+                rank=pending.rank,
+                caller=pending.caller,
+                repeats=pending.repeats,
+                is_retry=pending.is_retry,
             ),
         )
 
@@ -181,13 +181,13 @@
         match what:
             case RunEnded(id, end, elapsed):
                 self._handle(now, decision.Finished(id, _OUTCOME[end], elapsed))
-            case CallWanted(id):
+            case CallNeeded(id):
                 self._handle(now, decision.CallNeeded(id))
-            case CallEnded(id, end, elapsed):
+            case CallReturned(id, end, elapsed):
                 self._handle(now, decision.CallReturned(id, _OUTCOME[end], elapsed))
-            case Left(id):
+            case CallerDisconnected(id):
                 self._handle(now, decision.CallerDisconnected(id))
-            case Drain(stop, notice):
+            case DrainNotice(stop, notice):
                 self._handle(now, decision.DrainNotice(stop, notice))
 
     @property
@@ -196,7 +196,7 @@
         usage = self._policy.usage()
         return usage.running, usage.memory
 
-    def elsewhere(self, now: float, running: int, memory: float) -> None:
+    def set_peer_usage(self, now: float, running: int, memory: float) -> None:
         """Take in what the node's other process uses."""
         self._handle(now, decision.PeerProcessUsage(running, memory))
 
@@ -238,8 +238,8 @@
                     core.run(id)
                 case decision.Stop(id):
                     core.stop(id)
-                case decision.Reject(id, hold_off, terminal):
-                    core.refuse(id, hold_off, terminal)
+                case decision.Reject(id, retry_after, no_other_node):
+                    core.reject(id, retry_after, no_other_node)
                 case decision.Fail(id):
                     core.fail(id)
                 case decision.Call(id, timeout):
@@ -261,4 +261,4 @@
                 case decision.SetTimer(token, after):
                     core.set_timer(token, now + after)
                 case decision.Log(text):
-                    core.remark(text)
+                    core.log_line(text)
