--- a/tests/test_handover_frames.py
+++ b/tests/test_handover_frames.py
@@ -5,7 +5,15 @@
 import pytest
 
 from chutepin.facade import End
-from chutepin.handover.frames import FrameReader, decode_record, encode_frame, encode_record
+from chutepin.handover.frames import (
+    Frame,
+    FrameReader,
+    MalformedFrameError,
+    decode,
+    decode_record,
+    encode_frame,
+    encode_record,
+)
 from chutepin.idempotency import IdempotencyRecord
 from chutepin.net.lines import ProtocolError
 
@@ -26,3 +34,10 @@
             frames.next()
     with pytest.raises(ProtocolError):
         decode_record({"key": "k"})
+
+
+@pytest.mark.parametrize("field", ["running", "descriptors"])
+def test_usage_that_is_no_finite_count_is_a_malformed_frame(field: str) -> None:
+    fields = {"running": 1, "memory": 1.0, "descriptors": 1, field: float("inf")}
+    with pytest.raises(MalformedFrameError):
+        decode(Frame("USE", fields))
