--- a/chutepin/net/executor.py
+++ b/chutepin/net/executor.py
@@ -205,7 +205,7 @@
                 self.notices.command_not_carried_out(word(words, 1), words[2] if len(words) > 2 else "")
             case "LOG":
                 if self._is_new_notice(int(number(words, 1))):
-                    self._log.event("executor.says", text=" ".join(words[2:]))
+                    self._log.event("executor.log", text=" ".join(words[2:]))
             case _:
                 raise ProtocolError(f"unknown notice {words[0][:20]}")
 
--- a/chutepin/node.py
+++ b/chutepin/node.py
@@ -245,7 +245,7 @@
             config = load()
         except ConfigError as error:
             self.counters.add("reloads.bad")
-            self.log.event("reload.kept_old", why=str(error))
+            self.log.event("reload.rejected", why=str(error))
             return
         kept = dataclasses.replace(
             self.config, executor=config.executor, records=config.records, control=config.control
@@ -272,7 +272,7 @@
             setup = load_setup(self._setup_path)
         except ConfigError as error:
             self.counters.add("reloads.bad")
-            self.log.event("reload.kept_old", why=str(error))
+            self.log.event("reload.rejected", why=str(error))
             return
         if dataclasses.replace(self.setup, admission=setup.admission) != setup:
             self.log.event("reload.only_admission", file=self._setup_path)
@@ -388,7 +388,7 @@
         if not self._serving:
             self._serving = True
             self.log.event(
-                "serves", name=self.config.name, listen=f"{self.config.listen.host}:{self.config.listen.port}"
+                "serving", name=self.config.name, listen=f"{self.config.listen.host}:{self.config.listen.port}"
             )
             for part in self.subsystems:
                 part.start()
@@ -447,7 +447,7 @@
 
     async def _leave(self) -> None:
         """Serve through the grace, say goodbye, and go once all is answered and the balancers have closed."""
-        self.log.event("leaves")
+        self.log.event("leaving")
         self.lifecycle.apply(Transition.LEAVE)
         if self.lifecycle.handed_over:
             await self._finish()
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -161,7 +161,7 @@
         refused = await world.connect()
         await eventually(lambda: refused.ended)
         for text, word in (
-            ("admission { per-address 9 }", b"reload.kept_old"),
+            ("admission { per-address 9 }", b"reload.rejected"),
             ("admission { per-address (connections)9 }", b""),
         ):
             setup(tmp_path, text)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -181,7 +181,7 @@
         world.path.write_text("{")
         world.hang_up()
         assert world.process is not None and world.process.stderr is not None
-        while b'reload.kept_old why="LB_CONFIG: not JSON"' not in (await world.process.stderr.readline()):
+        while b'reload.rejected why="LB_CONFIG: not JSON"' not in (await world.process.stderr.readline()):
             pass
         await world.configure(stack)
         reports, notices = len(world.reports), len(world.notices)
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -117,7 +117,7 @@
             await eventually(lambda: world.joins or (world.process and world.process.returncode is not None))
             world.process.send_signal(signal.SIGTERM)
         log = (await world.process.stderr.read()).decode()
-        assert await world.process.wait() == 0 and "leaves" in log, log
+        assert await world.process.wait() == 0 and "leaving" in log, log
         assert ("reloads=1" in log) == (number is signal.SIGHUP)
         assert log.count("chutepin: counters") == 1 + (number is signal.SIGUSR1)
 
