--- a/chutepin/node.py
+++ b/chutepin/node.py
@@ -38,12 +38,12 @@
     from .pcap import Recorder, Source
     from .store import Store
 
-STOP_MARGIN = 0.15  # seconds before the process is stopped by which all is answered
-# After a hand-over the process is stopped once the longest deadline, of which this much counts, and a rest are over.
-MAX_DEADLINE = 3.0  # seconds
-FINISH_MARGIN = 0.7  # seconds
-MAX_TOP = 10  # addresses and blocks that SIGUSR1 names
-RECONCILE = 8  # sweeps between looks at what descriptors the process holds
+STOP_MARGIN_S = 0.15  # before the process is stopped, by when everything is answered
+MAX_DEADLINE_S = 3.0  # of the longest deadline, what counts for the end after a hand-over
+FINISH_MARGIN_S = 0.7  # between that deadline and the stop after a hand-over
+POLL_INTERVAL_S = 0.01  # between looks at whether everything is answered
+MAX_TOP_ADDRESSES = 10  # addresses and blocks that SIGUSR1 names
+SWEEPS_PER_RECONCILIATION = 8  # between counts of the descriptors that the process holds
 
 
 def rules_of(setup: AdmissionSetup) -> Rules:
@@ -115,10 +115,10 @@
         self.source = self._build_source(read) if read is not None else None
         directory = os.environ.get("TMPDIR")
         self.handover = self._build_handover(directory) if directory else None
-        self._serving = False
+        self._is_serving = False
         self.reporter = Reporter(config.control, config.name, self._ready, self.counters, config.seed)
         self._leave_requested = asyncio.Event()
-        self._notice = 0.0  # when it was told to leave
+        self._notice_at = 0.0  # when the notice to leave was given
 
     def _build_session(self) -> Session:
         """Build the executor's session, which outlives its connections."""
@@ -146,14 +146,14 @@
             timer,
             self.config.memory,
         )
-        broker.on_started = self._began
+        broker.on_started = self._on_executor_started
         timer.broker = broker
         self._session.notices = broker
         self.records.listener = broker
         return broker
 
     def _build_front(self) -> RespListener:
-        """Build the front for balancers."""
+        """Build the listener for balancers."""
         return RespListener(
             self.broker,
             self.clock,
@@ -168,22 +168,24 @@
     # Each of these parts is optional; a module that only one of them needs is imported where that part is built.
 
     def _build_listener(self) -> OperatorListener:
-        """Build the socket of the operators' calls."""
+        """Build the operators' socket."""
         from .admin import CommandTable, OperatorListener
 
-        more = {name: call for part in self.subsystems for name, call in part.commands().items()}
-        orders = {name: order for part in self.subsystems for name, order in part.commands_with_arguments().items()}
-        calls = CommandTable(self.lifecycle, self.broker.metrics, more, orders)
-        return OperatorListener(calls, self.descriptors, self.counters, self.log)
+        commands = {name: command for part in self.subsystems for name, command in part.commands().items()}
+        with_arguments = {
+            name: command for part in self.subsystems for name, command in part.commands_with_arguments().items()
+        }
+        table = CommandTable(self.lifecycle, self.broker.metrics, commands, with_arguments)
+        return OperatorListener(table, self.descriptors, self.counters, self.log)
 
     def _build_consumer(self, amqp: AmqpConfig) -> Consumer:
-        """Build the AMQP front."""
+        """Build the AMQP consumer."""
         from .net.amqp import Consumer
 
         return Consumer(amqp, self.broker, self.clock, self.counters, self.log, self.config.seed)
 
     def _build_recorder(self, path: str) -> Recorder:
-        """Build the record of what passes the front, a pcap file."""
+        """Build the recorder of balancers' traffic, a pcap file."""
         from .pcap import Recorder
 
         recorder = Recorder(path, self.clock, self.counters, self.config.listen.port)
@@ -228,7 +230,7 @@
     def print_state(self) -> None:
         """On SIGUSR1: the counters, who is connected most, and the descriptors."""
         self.print_counters()
-        addresses, blocks = self.front.table.top(MAX_TOP)
+        addresses, blocks = self.front.table.top(MAX_TOP_ADDRESSES)
         self.log.always(
             "admission.top",
             addresses=" ".join(f"{name}={count}" for name, count in addresses),
@@ -281,9 +283,9 @@
         self.setup = dataclasses.replace(self.setup, admission=setup.admission)
 
     def _request_leave(self, at: float) -> None:
-        """The notice to leave, given at this time; a second one changes nothing."""
+        """Take the notice to leave, given at this time; a second one changes nothing."""
         if not self._leave_requested.is_set():
-            self._notice = min(at, self.clock.now())
+            self._notice_at = min(at, self.clock.now())
             self._leave_requested.set()
 
     async def run(self) -> int:
@@ -322,7 +324,7 @@
         if self.consumer is not None:
             work.append(self._restart_on_error(self.consumer.run))
         if self.source is not None:
-            work.append(self._replay(self.source))
+            work.append(self._replay_file(self.source))
         tasks = [asyncio.ensure_future(part) for part in work]
         self.broker.tick()
         await self._leave_requested.wait()
@@ -347,21 +349,21 @@
         except StoreError as error:
             self.log.always("store.close_failed", why=str(error))
 
-    async def _replay(self, source: Source) -> None:
+    async def _replay_file(self, source: Source) -> None:
         """Feed a file once the executor is up; leave after its end."""
         while not self.broker.started:
-            await asyncio.sleep(0.01)
+            await asyncio.sleep(POLL_INTERVAL_S)
         await source.run()
         self.log.event("pcap.read", **dataclasses.asdict(source.report))
         while self.broker.awaiting_response_count:
-            await asyncio.sleep(0.01)
+            await asyncio.sleep(POLL_INTERVAL_S)
         self._request_leave(self.clock.now())
 
-    def _began(self) -> None:
-        """The executor is up."""
+    def _on_executor_started(self) -> None:
+        """The executor has started."""
         if self.handover is not None:
             self.handover.session.executor_ready()
-        if self._serving:
+        if self._is_serving:
             self.lifecycle.apply(Transition.CAN_SERVE)
 
     async def _serve(self) -> None:
@@ -385,8 +387,8 @@
             await self.front.listen(
                 self.config.listen, AddressSharing.LATER if self.handover is not None else AddressSharing.NONE
             )
-        if not self._serving:
-            self._serving = True
+        if not self._is_serving:
+            self._is_serving = True
             self.log.event(
                 "serving", name=self.config.name, listen=f"{self.config.listen.host}:{self.config.listen.port}"
             )
@@ -411,7 +413,7 @@
 
     async def _report(self) -> None:
         """The list follows what all processes of the node report: one that does not serve yet has nothing to say."""
-        while not self._serving:
+        while not self._is_serving:
             await asyncio.sleep(SWEEP_INTERVAL_S / 5)
         await self.reporter.run()
 
@@ -436,7 +438,7 @@
     async def _sweep(self) -> None:
         over = 0
         for turn in itertools.count():
-            if turn % RECONCILE == 0 and (held := count_open_descriptors()) is not None:
+            if turn % SWEEPS_PER_RECONCILIATION == 0 and (held := count_open_descriptors()) is not None:
                 # One look may fall between the claim of a descriptor and its opening.
                 over = over + 1 if self.descriptors.reconcile(held) else 0
                 self.counters.check_invariant(over < 3, "ledger")
@@ -446,7 +448,7 @@
             self.records.close_idle()
 
     async def _leave(self) -> None:
-        """Serve through the grace, say goodbye, and go once all is answered and the balancers have closed."""
+        """Serve through the grace, ask balancers to close, and end once all is answered and they have closed."""
         self.log.event("leaving")
         self.lifecycle.apply(Transition.LEAVE)
         if self.lifecycle.handed_over:
@@ -454,32 +456,32 @@
             return
         for part in self.subsystems:
             part.leave()
-        stop = self._notice + self.config.stop - STOP_MARGIN
-        self.broker.drain(stop, self._notice)
+        stop = self._notice_at + self.config.stop - STOP_MARGIN_S
+        self.broker.drain(stop, self._notice_at)
         if self.consumer is not None:
             self.consumer.leave()
         grace = self.broker.last_arrival or stop
         while self.clock.now() < min(grace, stop):
-            await asyncio.sleep(0.02)
+            await asyncio.sleep(2 * POLL_INTERVAL_S)
         self.front.leave()
-        while self.clock.now() < stop + STOP_MARGIN / 3 and (
+        while self.clock.now() < stop + STOP_MARGIN_S / 3 and (
             self.broker.awaiting_response_count
             or self.front.connections
             or (self.consumer is not None and not self.consumer.settled)
         ):
-            await asyncio.sleep(0.01)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _finish(self) -> None:
-        """A successor serves: no drain, only an end once all that is open here is over."""
-        longest = max((cls.deadline for cls in self.config.settings.classes), default=MAX_DEADLINE)
-        stop = self._notice + min(longest, MAX_DEADLINE) + FINISH_MARGIN - STOP_MARGIN
+        """A successor serves: no drain, only an end once everything open here is over."""
+        longest = max((cls.deadline for cls in self.config.settings.classes), default=MAX_DEADLINE_S)
+        stop = self._notice_at + min(longest, MAX_DEADLINE_S) + FINISH_MARGIN_S - STOP_MARGIN_S
         self.broker.finish(stop)
         if self.consumer is not None:
             self.consumer.leave()
         self.front.yield_ownership()
-        while self.clock.now() < stop + STOP_MARGIN / 3 and (
+        while self.clock.now() < stop + STOP_MARGIN_S / 3 and (
             self.broker.has_open_attempts
             or self.front.connections
             or (self.consumer is not None and not self.consumer.settled)
         ):
-            await asyncio.sleep(0.01)
+            await asyncio.sleep(POLL_INTERVAL_S)
