--- a/chutepin/facade.py
+++ b/chutepin/facade.py
@@ -1,7 +1,7 @@
-"""The decision module behind three calls: `pick`, `report` and `tick`.
+"""Facade of the decision package for the broker: `Facade.pick`, `Facade.report` and `Facade.tick`.
 
-Nothing else in chutepin sees the module's events or actions. Each call hands one event to the module and turns its
-actions into calls on the core, in the module's order.
+No other module of the node uses the package's events or actions. Each call passes one event to the policy and applies
+the returned actions to the core, in their order.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 
 
 class End(Enum):
-    """How a run, a shared answer or a call ended, in the core's words."""
+    """Outcome of a run, a shared answer or a call, as the broker reports it."""
 
     OK = "ok"
     ERROR = "error"
-    REFUSED = "refused"  # rejected: proof that it never ran
-    LATE = "late"  # ran out of time
-    UNREACHABLE = "unreachable"  # proof that it never ran
-    BROKEN = "broken"  # outcome unknown
+    REFUSED = "refused"  # rejected: had no effect
+    LATE = "late"  # timed out
+    UNREACHABLE = "unreachable"  # never sent: had no effect
+    BROKEN = "broken"  # connection lost: the effect is unknown
     CANCELLED = "cancelled"
-    NEVER = "never"  # nothing was started
+    NEVER = "never"  # never started
 
 
-_OUTCOME = {
+_OUTCOMES = {
     End.OK: decision.Outcome.OK,
     End.ERROR: decision.Outcome.ERROR,
     End.REFUSED: decision.Outcome.BUSY,
@@ -41,24 +41,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PendingRequest:
-    """A request as the module sees it: no bodies and no connection."""
+    """Request data that the decision package needs: no body and no connection."""
 
     id: str
     cls: str
     tenant: str | None
     subject: str | None
-    arrived: float
-    due: float
-    size: float
+    arrived: float  # clock time
+    due: float  # clock time at which the caller gives up
+    size: float  # KB
     rank: float
     caller: int
     is_retry: bool
-    repeats: str | None  # id of the attempt that holds the key's record
+    repeats: str | None  # id of the attempt that holds the idempotency key's record
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunEnded:
-    """A run or a shared answer is over."""
+    """A run or a shared answer ended."""
 
     id: str
     end: End
@@ -67,14 +67,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallNeeded:
-    """A run needs its call to the dependency."""
+    """A run needs its dependency call."""
 
     id: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallReturned:
-    """A call is over."""
+    """A dependency call ended."""
 
     id: str
     end: End
@@ -83,14 +83,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerDisconnected:
-    """The caller has disconnected."""
+    """The caller of a request disconnected."""
 
     id: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DrainNotice:
-    """The node shuts down, after a notice at `notice`; all is answered by `stop`."""
+    """The node shuts down: the notice came at `notice`, and all requests must be answered by `stop`."""
 
     stop: float
     notice: float
@@ -100,65 +100,65 @@
 
 
 class Core(Protocol):
-    """What the module asks of the core. All times are absolute."""
+    """Operations of the broker's core that carry out decisions. Times are absolute unless said otherwise."""
 
     def run(self, id: str) -> None:
         """Start a queued request."""
 
     def stop(self, id: str) -> None:
-        """Stop a run; its answer stays owed."""
+        """Stop a run; the request still needs an answer."""
 
     def reject(self, id: str, retry_after: float, no_other_node: bool) -> None:
-        """Reject a request that never ran."""
+        """Reject a request that never ran; `retry_after` is in seconds from now."""
 
     def fail(self, id: str) -> None:
         """Answer with an error."""
 
     def call(self, id: str, deadline: float) -> None:
-        """Make the call that a run waits for."""
+        """Make the dependency call that a run waits for."""
 
     def skip_call(self, id: str) -> None:
-        """Let a run go on without its call."""
+        """Resume a run without its dependency call."""
 
     def keep_key(self, id: str, until: float) -> None:
         """Keep the request's idempotency key."""
 
     def forget_key(self, id: str) -> None:
-        """Remove the request's idempotency key."""
+        """Delete the request's idempotency key."""
 
     def share(self, id: str) -> None:
-        """Answer with the result of the request that this one repeats."""
+        """Answer a request with the result of the request that it repeats."""
 
     def set_health(self, good: bool) -> None:
-        """Answer health checks so from now on."""
+        """Set the answer to health checks."""
 
     def announce(self, value: float) -> None:
-        """Send this value with every answer from now on."""
+        """Set the load value sent with every answer."""
 
     def set_idle(self, after: float) -> None:
-        """Close connections that are idle for `after` seconds."""
+        """Set the idle time, in seconds, after which connections are closed."""
 
     def set_timer(self, token: int, at: float) -> None:
-        """Call `Facade.tick` with this token at that time."""
+        """Schedule a call of `Facade.tick` with `token` at the time `at`."""
 
     def log_line(self, text: str) -> None:
         """Write a line to the log."""
 
 
 class Facade:
-    """A decision instance of this node, from one start of the executor to the next."""
+    """Decision instance of this node; each start of the executor begins a new one."""
 
     def __init__(self, settings: decision.Settings, seed: int, core: Core) -> None:
         self._settings, self._seed, self._core = settings, seed, core
         self._policy = Policy(settings, seed)
 
-    def start(self, now: float, born: float, cold: bool) -> None:
-        """Begin anew: the executor came up at `born`, cold or warm."""
+    def start(self, now: float, started_at: float, cold: bool) -> None:
+        """Replace the policy by a new one for an executor that started at `started_at`, cold or warm."""
         self._policy = Policy(dataclasses.replace(self._settings, warming_up=cold), self._seed)
-        self._apply(now, self._policy.start(min(born, now)))
+        self._apply(now, self._policy.start(min(started_at, now)))
 
     def pick(self, now: float, pending: PendingRequest) -> None:
-        """Take in a request."""
+        """Pass a new request to the policy."""
         self._handle(
             now,
             decision.Request(
@@ -176,15 +176,15 @@
             ),
         )
 
-    def report(self, now: float, what: Report) -> None:
-        """Take in the end of a run or a call, that a caller has disconnected, or that the node shuts down."""
-        match what:
+    def report(self, now: float, event: Report) -> None:
+        """Pass a report about a run, a call, a caller or the node's shutdown to the policy."""
+        match event:
             case RunEnded(id, end, elapsed):
-                self._handle(now, decision.Finished(id, _OUTCOME[end], elapsed))
+                self._handle(now, decision.Finished(id, _OUTCOMES[end], elapsed))
             case CallNeeded(id):
                 self._handle(now, decision.CallNeeded(id))
             case CallReturned(id, end, elapsed):
-                self._handle(now, decision.CallReturned(id, _OUTCOME[end], elapsed))
+                self._handle(now, decision.CallReturned(id, _OUTCOMES[end], elapsed))
             case CallerDisconnected(id):
                 self._handle(now, decision.CallerDisconnected(id))
             case DrainNotice(stop, notice):
@@ -192,33 +192,33 @@
 
     @property
     def use(self) -> tuple[int, float]:
-        """Runs on the cores or at calls, from which they may come back any moment; memory of all requests in KB."""
+        """Number of runs on the cores or with a call in flight, which may return any time, and memory in use in KB."""
         usage = self._policy.usage()
         return usage.running, usage.memory
 
     def set_peer_usage(self, now: float, running: int, memory: float) -> None:
-        """Take in what the node's other process uses."""
+        """Record the use of cores and memory by the node's other process."""
         self._handle(now, decision.PeerProcessUsage(running, memory))
 
     def learned(self) -> dict[str, object]:
-        """What the module has learned; tables are lists of pairs, as names in JSON are no numbers."""
+        """Return the learned values by external name; tables become lists of pairs, as JSON has no numeric keys."""
         return {
             name: list(value.items()) if isinstance(value, dict) else value
             for name, value in self._policy.learned().items()
         }
 
     def adopt(self, learned: dict[str, object]) -> bool:
-        """Give the module what another one has learned. Returns false, and changes nothing, where that is malformed."""
+        """Replace the learned values by another process's. Return false, without a change, if they are malformed."""
         adopted: dict[str, object] = {}
         try:
             for name, current in self._policy.learned().items():
                 value: Any = learned[name]
-                if isinstance(current, dict):  # pairs come back from JSON as lists
+                if isinstance(current, dict):  # JSON turns pairs into lists
                     adopted[name] = {key: tuple(v) if isinstance(v, list) else v for key, v in value}
                     continue
                 kind: Any = type(current)
                 adopted[name] = kind(value)
-                if isinstance(current, list) and len(value) != len(current):  # one value a class or tenant
+                if isinstance(current, list) and len(value) != len(current):  # one value per class or tenant
                     return False
         except (KeyError, TypeError, ValueError, OverflowError):
             return False
@@ -226,13 +226,13 @@
         return True
 
     def tick(self, now: float, token: int, gauges: tuple[float, ...]) -> None:
-        """A timer that the module set ran out."""
+        """Pass a fired timer, with the current gauges, to the policy."""
         self._handle(now, decision.TimerFired(token, gauges))
 
     def _handle(self, now: float, event: decision.Event) -> None:
         self._apply(now, self._policy.handle(now, [event]))
 
-    def _apply(self, now: float, actions: list[decision.Action]) -> None:  # noqa: C901  one case an action
+    def _apply(self, now: float, actions: list[decision.Action]) -> None:  # noqa: C901  one case per action
         core = self._core
         for action in actions:
             match action:
@@ -254,8 +254,8 @@
                     core.forget_key(id)
                 case decision.ShareResult(id):
                     core.share(id)
-                case decision.SetHealth(good):
-                    core.set_health(good)
+                case decision.SetHealth(healthy):
+                    core.set_health(healthy)
                 case decision.Announce(value):
                     core.announce(value)
                 case decision.IdleTimeout(after):
