--- a/chutepin/decision/__init__.py
+++ b/chutepin/decision/__init__.py
@@ -1,7 +1,7 @@
-"""Admission and scheduling decisions for servers behind other people's balancers.
+"""Admission and scheduling decisions for servers behind balancers that other teams operate.
 
-`Policy` takes `Settings` and a seed, then answers each `handle(now, events)` with a list of actions that take effect at
-`now`. It knows no clock, no thread and no I/O."""
+`Policy` takes `Settings` and a seed. Each `Policy.handle(now, events)` returns the actions to apply at `now`. The
+package reads no clock, starts no thread and does no I/O."""
 
 from .actions import (
     Action,
--- a/chutepin/decision/actions.py
+++ b/chutepin/decision/actions.py
@@ -1,4 +1,4 @@
-"""Actions that a decision instance asks of its host; each takes effect at the time of the events that caused it."""
+"""Actions that a decision instance returns to its host; each applies at the time of the events that caused it."""
 
 from __future__ import annotations
 
@@ -14,97 +14,97 @@
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """Stop a run; its final answer is still owed."""
+    """Stop a run; the request still needs a final answer."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: rejected, with the assurance that this attempt never ran."""
+    """Answer a request finally as rejected; guarantees that this attempt never ran."""
 
     id: str
     retry_after: float = 0.0  # seconds
-    no_other_node: bool = False  # asks the caller not to retry at another server
+    no_other_node: bool = False  # asks the caller not to retry on another server
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: an error, which leaves open what ran."""
+    """Answer a request finally with an error, which does not say whether the attempt ran."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """Make the call that a run waits for."""
+    """Make the dependency call that a run waits for."""
 
     id: str
-    timeout: float
+    timeout: float  # seconds
 
 
 @dataclass(frozen=True, slots=True)
 class SkipCall:
-    """Let a run go on without its call, for less weight."""
+    """Resume a run without its dependency call, for part of the request's weight."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class KeepKey:
-    """Keep the request's idempotency key, so that repeats name the request."""
+    """Keep the request's idempotency key, so that repeats refer to the request."""
 
     id: str
-    keep_for: float
+    keep_for: float  # seconds
 
 
 @dataclass(frozen=True, slots=True)
 class ForgetKey:
-    """Forget the request's idempotency key."""
+    """Delete the request's idempotency key."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class ShareResult:
-    """Answer a queued request with the result of the one that it repeats."""
+    """Answer a queued request with the result of the request that it repeats."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class SetHealth:
-    """How health checks are answered from now on."""
+    """Set the answer to health checks."""
 
-    good: bool
-    cheap: bool = True  # without real work
+    healthy: bool
+    cheap: bool = True  # health checks are answered without running a request
 
 
 @dataclass(frozen=True, slots=True)
 class Announce:
-    """The value sent with every answer from now on; `LoadSignal` says how callers read it."""
+    """Set the load value sent with every answer; `LoadSignal` defines how callers interpret the value."""
 
     value: float
 
 
 @dataclass(frozen=True, slots=True)
 class IdleTimeout:
-    """Close connections that were idle this long."""
+    """Set the idle time after which connections are closed."""
 
-    after: float
+    after: float  # seconds
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for `TimerFired` after this long. It cannot be revoked."""
+    """Request a `TimerFired` event after a delay; the timer cannot be cancelled."""
 
     token: int
-    after: float
+    after: float  # seconds
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the operators' log."""
+    """Write a line to the operators' log."""
 
     text: str
 
--- a/chutepin/decision/drain.py
+++ b/chutepin/decision/drain.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: what arrives after the grace is not run, and all is answered before the stop."""
+"""Graceful shutdown: requests that arrive after the grace period are rejected, all others answered before the stop."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Drain:
-    """The times of a shutdown."""
+    """Deadlines of a graceful shutdown."""
 
     def __init__(self, settings: Settings) -> None:
         self.stop_at: float | None = None
@@ -18,14 +18,14 @@
         self._margin = 2 * settings.tick
 
     @property
-    def is_begun(self) -> bool:
-        """Whether a notice came."""
+    def has_begun(self) -> bool:
+        """Return whether a drain notice was received."""
         return self.stop_at is not None
 
     def update(self, now: float, notice: DrainNotice) -> float:
-        """Take in a notice, the first or one with another stop. Returns when all must be answered."""
+        """Apply the first notice, or a later one with another stop. Return the time by which to answer all requests."""
         if self.stop_at is None:
-            noticed_at = now if notice.at is None else notice.at
-            self.last_arrival_at = noticed_at + self._grace
+            notice_at = now if notice.at is None else notice.at
+            self.last_arrival_at = notice_at + self._grace
         self.stop_at = max(now, notice.stop - self._margin)
         return self.stop_at
--- a/chutepin/decision/endings.py
+++ b/chutepin/decision/endings.py
@@ -1,4 +1,4 @@
-"""How requests end: rejected, failed, given up by their callers, or finished."""
+"""Completion of requests: rejected, failed, abandoned by their callers, or finished."""
 
 from __future__ import annotations
 
@@ -6,29 +6,29 @@
 
 from .actions import Fail, ForgetKey, Log, Reject, SetHealth, Stop
 from .events import Outcome
-from .job import Job, State
+from .job import Job, RequestState
 from .server_state import ServerState
 from .settings import Cancellation, Idempotency
 from .timers import TimerKind
 
-FULL_FLEET_REJECTED_SHARE = 0.2  # of requests here, from which the other servers are taken to be full as well
+FULL_FLEET_REJECTED_SHARE = 0.2  # rejected share on this server above which other servers are assumed to be full too
 MIN_RUN_TIME_S = 1e-6
 
 
 class RejectReason(Enum):
-    """Why a request that never ran is rejected."""
+    """Reason to reject a request that never ran."""
 
     DRAINING = "drain"
     HUNG = "hang"
     MEMORY = "memory"
-    HOPELESS = "hopeless"  # at its arrival: it could not meet its objective
-    LATE = "late"  # in the queue: it can no longer meet its objective
-    DUE = "due"  # it was queued until its deadline
-    REPLACED = "replaced"  # by a newer attempt with the same key
+    OBJECTIVE_UNREACHABLE = "hopeless"  # the request could not meet its latency objective when it arrived
+    LATEST_START_PASSED = "late"  # the queued request can no longer meet its latency objective
+    DEADLINE_PASSED = "due"  # the request was queued until its deadline
+    REPLACED = "replaced"  # a newer attempt with the same idempotency key replaces the request
 
 
 class Endings:
-    """Final answers, and what is learned from them."""
+    """Handler that gives final answers and updates the statistics from them."""
 
     def __init__(self, server: ServerState) -> None:
         self._server = server
@@ -36,52 +36,52 @@
     def reject(self, job: Job, reason: RejectReason, no_other_node: bool | None = None) -> None:
         """Reject a request that never ran.
 
-        The caller may retry at another server only while few requests are rejected or this server is at fault;
-        otherwise each retry costs every server its reading."""
+        The caller may retry on another server only while few requests are rejected or this server is at fault;
+        otherwise each server has to read the same retry and reject it."""
         server = self._server
         at_fault = reason in (RejectReason.DRAINING, RejectReason.HUNG)
         if no_other_node is None:
             no_other_node = not at_fault and server.rejections.share > FULL_FLEET_REJECTED_SHARE
         server.rejections.record_rejection(reason.value)
         server.class_statistics.record_rejection(job.class_index, server.now - job.arrived_at)
-        if reason in (RejectReason.HOPELESS, RejectReason.LATE):
+        if reason in (RejectReason.OBJECTIVE_UNREACHABLE, RejectReason.LATEST_START_PASSED):
             server.announcement.record_rejection(server.quota_weight(job))
-        if job.state is State.QUEUED:
+        if job.state is RequestState.QUEUED:
             self._remove(job)
         else:
             job.answered = True
         server.actions.append(Reject(job.id, self._retry_after(at_fault, no_other_node), no_other_node))
 
     def fail(self, job: Job) -> None:
-        """Give the final answer for what cannot be served in time, running work included."""
+        """Answer a request that cannot be served in time, whether queued, running or in a call."""
         if job.answered:
             return
-        if job.state is State.QUEUED and not job.ran:
-            self.reject(job, RejectReason.DUE, no_other_node=True)
+        if job.state is RequestState.QUEUED and not job.ran:
+            self.reject(job, RejectReason.DEADLINE_PASSED, no_other_node=True)
             return
         self._server.actions.append(Fail(job.id))
         self.abandon(job)
 
     def abandon(self, job: Job) -> None:
-        """Nobody waits any longer: stop the work, unless a repeat with the same key may still come for its answer."""
+        """Stop the work of a request that no caller waits for, unless a repeat with its key may need the result."""
         server = self._server
         if job.answered:
             return
         job.answered = True
-        if job.state is State.RUNNING:
-            server.progress.record_abandoned(server.now - job.run_started - job.call_wait, job.work)
-        if job.state in (State.QUEUED, State.AWAITING_RESULT):
+        if job.state is RequestState.RUNNING:
+            server.progress.record_abandoned(server.now - job.run_started_at - job.call_wait, job.work)
+        if job.state in (RequestState.QUEUED, RequestState.AWAITING_RESULT):
             self._remove(job)
-        elif job.state is State.RUNNING and server.settings.cancellation is not Cancellation.UNSUPPORTED:
+        elif job.state is RequestState.RUNNING and server.settings.cancellation is not Cancellation.UNSUPPORTED:
             if job.request_class.idempotency is not Idempotency.KEYED:
                 server.actions.append(Stop(job.id))
 
     def finish(self, job: Job, outcome: Outcome) -> None:
-        """Take in the end of a run or of a shared answer."""
+        """Record the end of a run or of a shared answer, and remove the request."""
         server = self._server
-        if job.state is State.CALLING:
+        if job.state is RequestState.CALLING:
             server.call_budget.end(server.now, job.reserved_call_time, abandoned=True)
-        if job.state is State.RUNNING:
+        if job.state is RequestState.RUNNING:
             self.record_progress()
             if outcome is Outcome.OK:
                 self._record_run(job)
@@ -93,24 +93,27 @@
         self._remove(job)
 
     def record_progress(self) -> None:
-        """A run ended or came to a call: the server does not hang."""
+        """Record that a run ended or reached its call, which ends a hang."""
         server = self._server
         server.progress.last_progress_at = server.now
         if server.progress.hung:
             server.progress.hung = False
-            server.actions += [SetHealth(not server.drain.is_begun), Log("work moves again")]
+            server.actions += [SetHealth(not server.drain.has_begun), Log("work moves again")]
 
     def _retry_after(self, at_fault: bool, no_other_node: bool) -> float:
-        """Where the other servers are full as well: when the backlog here is expected to be at its target again."""
-        longest = self._server.settings.max_retry_after
+        """Return the Retry-After in seconds.
+
+        The maximum where this server is at fault; where the other servers are full too, the time in which the backlog
+        is expected to fall to its target; otherwise 0."""
+        max_retry_after = self._server.settings.max_retry_after
         if at_fault:
-            return longest
-        return min(longest, self._server.announcement.excess_backlog if no_other_node else 0.0)
+            return max_retry_after
+        return min(max_retry_after, self._server.announcement.excess_backlog if no_other_node else 0.0)
 
     def _record_run(self, job: Job) -> None:
-        """Feed the limit with the run time, without the time spent at calls."""
+        """Update limit and class statistics from a successful run; the run time excludes the time in calls."""
         server = self._server
-        run_time = max(MIN_RUN_TIME_S, server.now - job.run_started - job.call_wait)
+        run_time = max(MIN_RUN_TIME_S, server.now - job.run_started_at - job.call_wait)
         missed_objective = server.now - job.arrived_at > job.request_class.latency_objective
         after_pause = job.arrived_at >= server.pauses.ended_at
         back_pressure = (missed_objective and after_pause) or server.unread_wait.is_long(server.run_limit.average_time)
@@ -125,7 +128,7 @@
         )
 
     def _remove(self, job: Job) -> None:
-        """Forget a request that is over; its key stays for its window if it ran."""
+        """Remove a completed request; if the request ran, its key stays until its window ends."""
         server = self._server
         server.requests.remove(job)
         if not job.has_key:
--- a/chutepin/decision/errors.py
+++ b/chutepin/decision/errors.py
@@ -4,12 +4,12 @@
 
 
 class DecisionError(Exception):
-    """Base of all errors of this package."""
+    """Base class of all errors of this package."""
 
 
 class SettingsError(DecisionError):
-    """Settings that contradict themselves; the message names the field."""
+    """Invalid or contradictory settings; the message begins with the name of the field."""
 
 
 class UsageError(DecisionError):
-    """The host broke the contract: an unknown class, a request id given twice, or time running backwards."""
+    """Misuse by the host: an unknown class, a duplicate request id, or a time before that of the last batch."""
--- a/chutepin/decision/policy.py
+++ b/chutepin/decision/policy.py
@@ -1,6 +1,6 @@
-"""One server's decisions: dispatches events to the handlers of each concern and collects their actions.
+"""Dispatch of events to the handlers of a decision instance, and collection of their actions.
 
-The ordinary path is the concurrency limit of RFC 1858 (`aimd_limit`); `docs/design.md` says what was added.
+The concurrency limit follows RFC 1858 (`aimd_limit`); `docs/design.md` describes the additions to it.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     TimerFired,
 )
 from .experience import read_learned, write_learned
-from .job import Job, State
+from .job import Job, RequestState
 from .server_state import ServerState
 from .settings import Settings
 from .snapshot import Snapshot
@@ -34,7 +34,7 @@
 
 
 class Policy:
-    """One server's decisions. Feed it events; it answers with actions."""
+    """Decision instance of one server, which turns batches of events into actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.server = ServerState(settings, seed)
@@ -44,7 +44,7 @@
         self._control = ControlLoop(self.server, self._endings)
 
     def start(self, now: float) -> list[Action]:
-        """The first actions: health checks answered, connections kept, the first value announced."""
+        """Begin at `now`. Return the first actions: health, idle timeout and the first announced value."""
         server = self.server
         server.now = now
         server.warm_up.started_at = now
@@ -55,13 +55,13 @@
         return server.actions
 
     def handle(self, now: float, events: Sequence[Event]) -> list[Action]:
-        """All that is to be done about these events. Events about requests already over are harmless.
+        """Process a batch of events and return the actions. Events of completed requests are ignored.
 
         Raises UsageError."""
         server = self.server
         if now < server.now:
             raise UsageError(f"time runs backwards: {now} after {server.now}")
-        self._account_for_pause(now)
+        self._exclude_pause(now)
         server.now = now
         server.actions = []
         for event in events:
@@ -74,17 +74,17 @@
         return server.actions
 
     def snapshot(self) -> Snapshot:
-        """What the policy is doing; cheap, changes nothing."""
+        """Return the current state for dashboards. Cheap and without side effects."""
         server = self.server
         state = "serving"
-        if server.drain.is_begun:
+        if server.drain.has_begun:
             state = "draining"
         elif server.progress.hung:
             state = "hung"
         return Snapshot(
             limit=server.run_limit.limit,
             running=server.requests.running,
-            at_calls=server.requests.at_calls,
+            in_calls=server.requests.in_calls,
             queued=len(server.requests.queued),
             average_run_time=server.run_limit.average_time,
             slowness=server.progress.slowness,
@@ -95,16 +95,16 @@
         )
 
     def usage(self) -> PeerProcessUsage:
-        """What this process uses, for another one on the same cores and memory."""
+        """Return the use of cores and memory, for another process on the same server."""
         server = self.server
         return PeerProcessUsage(server.requests.running + server.call_budget.in_flight, server.memory.used)
 
     def learned(self) -> dict[str, object]:
-        """What another process may begin with."""
+        """Return the learned values by external name, for the successor process."""
         return read_learned(self.server)
 
     def adopt(self, learned: dict[str, object]) -> None:
-        """Begin with what another process had learned about the same cores and callers."""
+        """Replace the learned values by those of a process that ran on the same cores and for the same callers."""
         server = self.server
         write_learned(server, learned)
         server.run_limit.set_ceiling(server.core_capacity.limit_ceiling(server.now))
@@ -130,14 +130,14 @@
             case CallerDisconnected():
                 self._endings.abandon(job)
             case CallNeeded():
-                self._calls.need(job)
+                self._calls.request_call(job)
             case CallReturned():
-                self._calls.end(job, event)
+                self._calls.record_return(job, event)
 
     def _on_drain(self, notice: DrainNotice) -> None:
-        """Answer everything before the stop."""
+        """Begin or update the drain, and move all later deadlines to the stop."""
         server = self.server
-        if not server.drain.is_begun:
+        if not server.drain.has_begun:
             server.actions += [SetHealth(False), Log("draining")]
         stop_at = server.drain.update(server.now, notice)
         for job in list(server.requests.jobs.values()):
@@ -145,8 +145,8 @@
                 job.due_at = stop_at
                 server.timers.push(job.due_at, TimerKind.DUE, job)
 
-    def _account_for_pause(self, now: float) -> None:
-        """Take a pause of the process out of the run times and of the time without progress."""
+    def _exclude_pause(self, now: float) -> None:
+        """Exclude a pause of the process from the run times and from the time without progress."""
         server = self.server
         lateness = now - server.timers.armed_for
         if not server.pauses.is_pause(lateness):
@@ -155,7 +155,7 @@
         server.timers.armed_for = now
         server.progress.last_progress_at = min(now, server.progress.last_progress_at + lateness)
         for job in server.requests.running_jobs():
-            job.run_started += lateness
+            job.run_started_at += lateness
 
     def _expire_timers(self) -> None:
         server = self.server
@@ -169,17 +169,17 @@
         match kind:
             case TimerKind.DUE:
                 self._endings.fail(job)
-            case TimerKind.CALL_TOO_LATE if job.state is State.AWAITING_CALL:
+            case TimerKind.CALL_TOO_LATE if job.state is RequestState.AWAITING_CALL:
                 self._calls.fail_if_too_late(job)
-            case TimerKind.RETRY_CALL if job.state is State.AWAITING_CALL:
+            case TimerKind.RETRY_CALL if job.state is RequestState.AWAITING_CALL:
                 self._calls.retry_now(job)
-            case TimerKind.LATEST_START if job.state is State.QUEUED:
-                self._endings.reject(job, RejectReason.LATE)
+            case TimerKind.LATEST_START if job.state is RequestState.QUEUED:
+                self._endings.reject(job, RejectReason.LATEST_START_PASSED)
 
     def _set_timer(self) -> None:
-        """Ask for one timer, for the earliest deadline, or the next control interval while there is work.
+        """Request one timer, for the earliest deadline, and while there is work at the latest for the control interval.
 
-        Without the latter a hang or a pause would show only when something else comes."""
+        Without a timer for the control interval, a hang or a pause would be detected only at the next event."""
         server = self.server
         has_work = server.requests.running or server.requests.queued
         latest = server.now + CONTROL_INTERVAL_S if has_work else math.inf
--- a/chutepin/decision/process_pauses.py
+++ b/chutepin/decision/process_pauses.py
@@ -1,18 +1,18 @@
-"""Pauses of the process (suspended, swapped out, its core taken), which show in a timer that comes late.
+"""Detection of pauses of the process (suspended, swapped out, without a core) by timers that fire late.
 
-Such a pause is no run time, no sign of a hang and no crowding of the cores: counted there, it would halve the limit and
-take a sound server out of service. On a host that is late with every timer, slowness is seen later.
+A pause must not count as run time, as a hang or as overload of the cores: it would halve the limit and mark a healthy
+server as unhealthy. The disadvantage is that slowness is detected later on a host that fires every timer late.
 """
 
 from __future__ import annotations
 
 import math
 
-PAUSE_TICKS = 20  # a timer later than this many ticks shows a pause
+PAUSE_TICKS = 20  # a timer later than this many ticks indicates a pause
 
 
 class ProcessPauses:
-    """The last pause."""
+    """Record of the last pause."""
 
     def __init__(self, tick: float) -> None:
         self.began_at = 0.0
@@ -20,14 +20,14 @@
         self._min_pause = PAUSE_TICKS * tick
 
     def is_pause(self, lateness: float) -> bool:
-        """Whether a timer was so late that the process must have paused."""
+        """Return whether a timer was late enough to indicate a pause."""
         return lateness > self._min_pause
 
     def record(self, began_at: float, ended_at: float) -> None:
-        """Take in a pause."""
+        """Record a pause as the last one."""
         self.began_at = began_at
         self.ended_at = ended_at
 
     def time_since(self, since: float, now: float) -> float:
-        """How much of the time from `since` to `now` the last pause took."""
+        """Return the seconds of the last pause that lie between `since` and `now`."""
         return max(0.0, min(now, self.ended_at) - max(since, self.began_at))
--- a/chutepin/decision/server_state.py
+++ b/chutepin/decision/server_state.py
@@ -1,4 +1,4 @@
-"""State of a decision instance, in one part for each concern."""
+"""State of a decision instance, with one component for each concern."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class ServerState:
-    """State shared by the handlers of events, and the questions that need several of its parts."""
+    """State shared by the event handlers, and queries over several of its components."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
@@ -61,34 +61,34 @@
         self.call_limit = _call_limit(settings)
         self.peer_running = 0  # runs of another process on the same cores
 
-    def cores_admit_one(self) -> bool:
-        """Whether the cores survive one more run, should all calls in flight return together.
+    def has_core_capacity(self) -> bool:
+        """Return whether the cores sustain one more run even if all calls in flight return at once.
 
-        Holds whatever the calls do, also where runs cannot be stopped. The price: a call or a start waits while calls
-        take long."""
+        The bound holds whatever the calls do, also where runs cannot be stopped. In exchange, calls and runs may have
+        to wait to start while calls take long."""
         in_use = self.requests.running + self.call_budget.in_flight + self.peer_running
         return in_use + 1 <= self.core_capacity.total(self.now)
 
     def quota_weight(self, job: Job) -> float:
-        """What a request counts for, by its tenant's quota."""
+        """Return the weight factor of a request: lower if its tenant is over quota, otherwise 1."""
         return self.settings.over_quota_weight if self.tenants.is_over_quota(job.tenant_index) else 1.0
 
     def weight_density(self, job: Job) -> float:
-        """Priority weight for each unit of expected work."""
+        """Return the priority weight per unit of expected work."""
         weight = job.request_class.priority_weight * self.quota_weight(job)
         return weight if self.settings.weight_by_work else weight / job.work
 
     def expected_time(self, job: Job) -> float:
-        """Seconds that a run started now takes, its call included."""
+        """Return the expected time in seconds of a run that starts now, including its call."""
         run_time = self.warm_up.run_time(self.now, job.work, self.progress.slowness)
         return run_time + self.class_statistics.call_wait[job.class_index]
 
 
 def _call_limit(settings: Settings) -> AimdLimit:
-    """The limit of calls in flight, where the settings give this server a share of the dependency.
+    """Return the limit of calls in flight: adaptive if the settings give this server a share of the dependency.
 
-    A dependency without shares turns away what it cannot take. A limit on top of that would read the long tail of sound
-    calls as a fault, shrink to one and leave runs waiting for it."""
+    A dependency without shares rejects the calls that it cannot process. An adaptive limit would mistake the long tail
+    of normal call times for overload, shrink to one, and leave runs waiting for calls."""
     if settings.max_calls:
         floor = 1
         ceiling = max(settings.cores, int(settings.max_calls * USED_CALL_SHARE))
--- a/chutepin/decision/settings.py
+++ b/chutepin/decision/settings.py
@@ -1,6 +1,6 @@
-"""Settings of a decision instance: classes of requests, tenants, limits of the server.
+"""Settings of a decision instance: request classes, tenants and limits of the server.
 
-Times are seconds, memory is in kilobytes, work is seconds on a standard core."""
+Times are in seconds, memory in kilobytes, work in seconds on a standard core."""
 
 from __future__ import annotations
 
@@ -11,64 +11,64 @@
 
 
 class Idempotency(Enum):
-    """What a second run of a request does."""
+    """Idempotency of a class of requests."""
 
-    IDEMPOTENT = "safe"  # harmless
-    KEYED = "keyed"  # must not run twice here inside its window; repeats name the kept request
-    NOT_IDEMPOTENT = "unsafe"  # must not run twice; callers repeat only what was refused
+    IDEMPOTENT = "safe"  # a second run has no further effect
+    KEYED = "keyed"  # must not run twice on this server within its window; a repeat names the request it repeats
+    NOT_IDEMPOTENT = "unsafe"  # must not run twice; callers repeat only rejected requests
 
 
 class LoadSignal(Enum):
-    """How callers read the announced value."""
+    """Meaning of the announced value to callers."""
 
-    NONE = "none"  # not at all; announcing is an error
-    LEVEL = "level"  # requests ranked below it are not sent
-    CREDIT = "credit"  # the most requests each caller may have outstanding here
-    WEIGHT = "weight"  # the chance, 0 to 1, that a caller does not skip this server
+    NONE = "none"  # no value may be announced
+    LEVEL = "level"  # callers do not send requests ranked below the value
+    CREDIT = "credit"  # maximum number of requests that each caller may have outstanding on this server
+    WEIGHT = "weight"  # probability, 0 to 1, that a caller considers this server
 
 
 class Cancellation(Enum):
-    """What stopping a run does."""
+    """Effect of stopping a run."""
 
     UNSUPPORTED = "none"  # runs cannot be stopped
-    DISCARDS_WORK = "drop"  # the work is lost
-    KEEPS_WORK = "pause"  # the work is kept until the request runs again
+    DISCARDS_WORK = "drop"  # the work done is lost
+    KEEPS_WORK = "pause"  # the work done is kept until the request runs again
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests."""
+    """Class of requests with the same requirements."""
 
     name: str
     idempotency: Idempotency
-    priority_weight: float  # for each request answered within its objective
-    latency_objective: float  # an answer this soon after the first attempt earns the full weight
-    deadline: float  # the client waits this long over all attempts
-    late_weight: float = 0.0  # share of the weight earned between objective and deadline
-    window: float = 0.0  # keyed only: a repeat may come this long after the arrival
-    makes_calls: bool = False  # may call the dependency
-    weight_without_call: float = 0.0  # share of the weight earned when the call is left out
-    objective_stretch: float = 0.0  # the objective grows by this multiple of the request's own work
+    priority_weight: float  # weight earned by each answer within the latency objective
+    latency_objective: float  # maximum time from the first attempt to an answer that earns the full weight
+    deadline: float  # time that the client waits over all attempts
+    late_weight: float = 0.0  # share of the weight earned by an answer between objective and deadline
+    window: float = 0.0  # keyed classes only: maximum time from a request's arrival to its repeats
+    makes_calls: bool = False  # runs may call the dependency
+    weight_without_call: float = 0.0  # share of the weight earned if the call is skipped
+    objective_stretch: float = 0.0  # the objective is extended by this multiple of the request's own work
 
     def __post_init__(self) -> None:
         if not 0 < self.latency_objective <= self.deadline:
             raise SettingsError(f"classes.{self.name}.latency_objective: must be above 0 and within the deadline")
         if self.window < 0 or self.priority_weight < 0:
-            raise SettingsError(f"classes.{self.name}: window and worth must not be negative")
+            raise SettingsError(f"classes.{self.name}: window and priority weight must not be negative")
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant and its part of the fleet."""
+    """Tenant with its share and quota of the fleet."""
 
     name: str
     share: float
-    quota: float  # requests a second over all servers within its share
+    quota: float  # requests per second over all servers that are within the tenant's share
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Everything that an instance knows at its start; it learns the rest from events."""
+    """Configuration of a decision instance."""
 
     classes: tuple[RequestClass, ...]
     cores: int
@@ -77,34 +77,34 @@
     servers: int = 1
     callers: int = 1
     warming_up: bool = False
-    initial_speed: float = 1.0  # a cold server starts at no less than this share of its speed
+    initial_speed: float = 1.0  # minimum speed of a cold server as a share of its warm speed
     warm_up_time: float = 0.0
-    answer_slack: float = 0.0  # an answer this long after the deadline still counts
-    drain_grace: float = 0.0  # arrivals later than this after the notice are not run
-    max_running_per_core: float = 8.0  # running requests for each core that a warm server survives
-    max_running_window: float = 1.0  # as a mean over this time
-    run_factor: float = 1.0  # memory of a running request over that of a queued one
-    key_memory: float = 0.0
-    result_reuse_time: float = 0.0  # the result of an idempotent request serves repeats this long; 0 for never
+    answer_slack: float = 0.0  # an answer this long after the deadline still counts as in time
+    drain_grace: float = 0.0  # requests that arrive later than this after a drain notice are rejected
+    max_running_per_core: float = 8.0  # running requests per core that a warm server sustains
+    max_running_window: float = 1.0  # averaging window of `max_running_per_core`
+    run_factor: float = 1.0  # memory of a running request divided by that of a queued one
+    key_memory: float = 0.0  # memory of an idempotency key
+    result_reuse_time: float = 0.0  # how long the result of an idempotent request answers its repeats; 0: never
     cancellation: Cancellation = Cancellation.UNSUPPORTED
     signal: LoadSignal = LoadSignal.NONE
-    announcement_lifetime: float = 1.0  # callers remember an announced value this long
+    announcement_lifetime: float = 1.0  # time for which callers apply an announced value
     deep_checks: bool = False
-    max_idle_time: float = 30.0  # callers close connections idle for longer
-    max_retry_after: float = 0.0  # the longest Retry-After that callers honour; 0 for none
+    max_idle_time: float = 30.0  # callers close connections that are idle for longer
+    max_retry_after: float = 0.0  # longest Retry-After that callers honour; 0: none
     has_dependency: bool = False
-    max_calls: float = 0.0  # this server's part of the calls that the dependency survives; 0: not given
-    max_calls_window: float = 1.0  # as a mean over this time
-    abandoned_call_time: float = 0.0  # the dependency works on an abandoned call for this long
-    gauges: tuple[str, ...] = ()
-    passes_deadline: bool = True  # callers pass how long they wait; otherwise the class's deadline holds
-    marks_retries: bool = False  # retries are marked; otherwise an unmarked request may be a retry as well
+    max_calls: float = 0.0  # this server's share of the concurrent calls that the dependency sustains; 0: no share
+    max_calls_window: float = 1.0  # averaging window of `max_calls`
+    abandoned_call_time: float = 0.0  # how long the dependency works on an abandoned call
+    gauges: tuple[str, ...] = ()  # names of the gauges in `TimerFired`
+    passes_deadline: bool = True  # callers pass how long they wait; otherwise the class's deadline applies
+    marks_retries: bool = False  # callers mark retries; otherwise an unmarked request may also be a retry
     weight_by_work: bool = False
     over_quota_weight: float = 1.0
     tick: float = 0.001
 
     def mean_latency_objective(self) -> float:
-        """Seconds, each class counted alike."""
+        """Return the mean latency objective in seconds, with equal weight for each class."""
         return sum(cls.latency_objective for cls in self.classes) / len(self.classes)
 
     def __post_init__(self) -> None:
--- a/chutepin/decision/simulator_adapter.py
+++ b/chutepin/decision/simulator_adapter.py
@@ -1,4 +1,4 @@
-"""Host of many decision instances on the simulator's wire, one batch of lines at a time."""
+"""Host of decision instances that exchanges batches of JSON lines with the simulator."""
 
 from __future__ import annotations
 
@@ -13,59 +13,62 @@
 
 
 class Host:
-    """Decision instances by name; they share nothing."""
+    """Independent decision instances by name."""
 
     def __init__(self) -> None:
         self.instances: dict[str, Policy] = {}
 
     def run(self, source: TextIO, sink: TextIO) -> None:
         """Answer batches until the input ends. Raises WireError."""
-        pending: list[wire.Obj] | None = None
-        for count, line in enumerate(source, 1):
+        pending: list[wire.JsonObject] | None = None
+        for line_number, line in enumerate(source, 1):
             if not line.strip():
                 continue
             try:
-                pending = self._line(wire.parse_line(line), pending, sink)
+                pending = self._handle_message(wire.parse_line(line), pending, sink)
             except DecisionError as error:
-                raise wire.WireError(f"line {count}: {error}") from error
+                raise wire.WireError(f"line {line_number}: {error}") from error
         if pending is not None:
             raise wire.WireError("the input ends inside a batch")
 
-    def _line(self, m: wire.Obj, pending: list[wire.Obj] | None, sink: TextIO) -> list[wire.Obj] | None:
-        if m["op"] == "TURN":
+    def _handle_message(
+        self, message: wire.JsonObject, pending: list[wire.JsonObject] | None, sink: TextIO
+    ) -> list[wire.JsonObject] | None:
+        """Add a message to the pending batch, or answer the batch at its END. Return the batch still pending."""
+        if message["op"] == "TURN":
             if pending is not None:
                 raise wire.WireError("TURN inside a batch")
-            return [m]
+            return [message]
         if pending is None:
-            raise wire.WireError(f"'{m['op']}' outside a batch")
-        if m["op"] != "END":
-            pending.append(m)
+            raise wire.WireError(f"'{message['op']}' outside a batch")
+        if message["op"] != "END":
+            pending.append(message)
             return pending
-        sink.write("".join(line + "\n" for line in self.batch(pending)))
+        sink.write("".join(line + "\n" for line in self.handle_batch(pending)))
         sink.flush()
         return None
 
-    def batch(self, messages: list[wire.Obj]) -> list[str]:
-        """The reply to one batch, whose first message carries the clock. Raises DecisionError."""
+    def handle_batch(self, messages: list[wire.JsonObject]) -> list[str]:
+        """Return the reply lines to a batch, whose first message carries the clock. Raises DecisionError."""
         now = wire.number(messages[0], "clock")
         inboxes: dict[str, list[Event]] = {}
         replies: dict[str, list[Action]] = {}
-        for m in messages[1:]:
-            name = wire.text(m, "server")
-            if m["op"] == "LAUNCH":
+        for message in messages[1:]:
+            name = wire.text(message, "server")
+            if message["op"] == "LAUNCH":
                 inboxes[name] = []
-                settings = wire.parse_settings(m.get("env"))
-                self.instances[name] = Policy(settings, int(wire.number(m, "nonce64")))
+                settings = wire.parse_settings(message.get("env"))
+                self.instances[name] = Policy(settings, int(wire.number(message, "nonce64")))
                 replies[name] = self.instances[name].start(now)
                 continue
             if name not in self.instances:
-                raise wire.WireError(f"'{m['op']}' for an instance that does not exist: '{name}'")
-            if m["op"] == "EXIT":
+                raise wire.WireError(f"'{message['op']}' for an instance that does not exist: '{name}'")
+            if message["op"] == "EXIT":
                 del self.instances[name]
                 inboxes.pop(name, None)
                 replies.pop(name, None)
             else:
-                inboxes.setdefault(name, []).append(wire.parse_event(m))
+                inboxes.setdefault(name, []).append(wire.parse_event(message))
         for name, events in inboxes.items():
             if events:
                 replies.setdefault(name, []).extend(self.instances[name].handle(now, events))
@@ -74,7 +77,7 @@
 
 
 def main() -> int:
-    """Entry of `python -m chutepin.decision.simulator_adapter`."""
+    """Run `python -m chutepin.decision.simulator_adapter`. Return its exit status."""
     for stream in (sys.stdin, sys.stdout):
         stream.reconfigure(encoding="utf-8")  # type: ignore[union-attr]
     try:
--- a/chutepin/decision/simulator_protocol.py
+++ b/chutepin/decision/simulator_protocol.py
@@ -1,4 +1,6 @@
-"""Codec between the simulator's JSON wire and this package's types. It alone knows the simulator's names."""
+"""Codec between the simulator's JSON messages and the types of this package.
+
+No other module uses the simulator's names."""
 
 from __future__ import annotations
 
@@ -38,11 +40,11 @@
 )
 from .settings import Cancellation, Idempotency, LoadSignal, RequestClass, Settings, Tenant
 
-Obj = dict[str, Any]
+JsonObject = dict[str, Any]
 
 
 class WireError(DecisionError):
-    """Malformed input; the message says what and where."""
+    """Malformed input; the error message names the field."""
 
 
 _IDEMPOTENCY = {"pure": Idempotency.IDEMPOTENT, "token": Idempotency.KEYED, "side_effect": Idempotency.NOT_IDEMPOTENT}
@@ -69,8 +71,8 @@
 }
 
 
-def parse_line(line: str) -> Obj:
-    """One message of the wire. Raises WireError."""
+def parse_line(line: str) -> JsonObject:
+    """Parse one message. Raises WireError."""
     try:
         message = json.loads(line)
     except ValueError as error:
@@ -80,8 +82,8 @@
     return message
 
 
-def number(obj: Obj, name: str, default: float | None = None) -> float:
-    """A required or defaulted number."""
+def number(obj: JsonObject, name: str, default: float | None = None) -> float:
+    """Return a number field; the field is required without a default. Raises WireError."""
     value = obj.get(name)
     if value is None:
         if default is None:
@@ -92,35 +94,35 @@
     return value
 
 
-def text(obj: Obj, name: str) -> str:
-    """A required text."""
+def text(obj: JsonObject, name: str) -> str:
+    """Return a required text field. Raises WireError."""
     value = obj.get(name)
     if not isinstance(value, str) or not value:
         raise WireError(f"field '{name}' is missing or not a text")
     return value
 
 
-def _optional_text(obj: Obj, name: str) -> str | None:
+def _optional_text(obj: JsonObject, name: str) -> str | None:
     return text(obj, name) if obj.get(name) else None
 
 
-def _choice(obj: Obj, name: str, table: dict[str, Any], default: str | None = None) -> Any:
+def _choice(obj: JsonObject, name: str, table: dict[str, Any], default: str | None = None) -> Any:
     value = obj.get(name, default)
     if not isinstance(value, str) or value not in table:
         raise WireError(f"field '{name}' is not one of {', '.join(table)}")
     return table[value]
 
 
-def _section(obj: Obj, name: str, kind: type, required: bool = False) -> Any:
+def _section(obj: JsonObject, name: str, expected_type: type, required: bool = False) -> Any:
     value = obj.get(name)
     if value is None and not required:
-        return kind()
-    if not isinstance(value, kind):
+        return expected_type()
+    if not isinstance(value, expected_type):
         raise WireError(f"setting '{name}' is missing or malformed")
     return value
 
 
-def _flag(obj: Obj, name: str, default: bool = False) -> bool:
+def _flag(obj: JsonObject, name: str, default: bool = False) -> bool:
     value = obj.get(name)
     if value is None:
         return default
@@ -129,24 +131,25 @@
     return bool(value)
 
 
-def _row(obj: Obj, name: str, index: int) -> Obj:
-    """The value of one class in a row, as an object of its own under the row's name."""
-    row = _section(obj, name, list)
-    return {name: row[index]} if index < len(row) else {}
+def _class_entry(obj: JsonObject, name: str, index: int) -> JsonObject:
+    """Return one class's value in a list by class, as an object with the list's name as its only field."""
+    values = _section(obj, name, list)
+    return {name: values[index]} if index < len(values) else {}
 
 
-def _initial_count(obj: Obj, name: str) -> int:
-    """The length of a list at the start, 1 or more.
+def _initial_count(obj: JsonObject, name: str) -> int:
+    """Return the initial number of servers or callers, at least 1.
 
-    The list may have been empty, or all in it may just have ended; a node that serves somebody counts one."""
+    The simulator may count 0 because the list was empty or all its members have just ended. A running server counts at
+    least itself, and assumes at least one caller."""
     count = int(number(obj, name, 1))
     if count < 0:
         raise WireError(f"field '{name}' must not be negative")
     return max(1, count)
 
 
-# Outside names of settings that are checked under another name inside.
-_OUTSIDE_NAMES = {
+# The simulator's names of the settings fields that `Settings` and `RequestClass` check under their own names.
+_EXTERNAL_NAMES = {
     "classes": "categories",
     "latency_objective": "slo",
     "cores": "familyInfo.cpus",
@@ -169,16 +172,16 @@
 }
 
 
-def _under_outside_names(error: str) -> str:
-    """An error of the settings, with the fields' outside names."""
-    field, _, why = error.partition(":")
+def _with_external_names(error: str) -> str:
+    """Return the text of a SettingsError with the simulator's name of the field."""
+    field, _, reason = error.partition(":")
     path = field.split(".")
-    path[0] = _OUTSIDE_NAMES.get(path[0], path[0])
-    path[-1] = _OUTSIDE_NAMES.get(path[-1], path[-1])
-    return ".".join(path) + ":" + why
+    path[0] = _EXTERNAL_NAMES.get(path[0], path[0])
+    path[-1] = _EXTERNAL_NAMES.get(path[-1], path[-1])
+    return ".".join(path) + ":" + reason
 
 
-def _class(raw: Any, index: int, info: Obj) -> RequestClass:
+def _class(raw: Any, index: int, info: JsonObject) -> RequestClass:
     if not isinstance(raw, dict):
         raise WireError("setting 'categories' is malformed")
     deadline = number(raw, "deadline")
@@ -186,13 +189,13 @@
         name=text(raw, "name"),
         idempotency=_choice(raw, "idempotency", _IDEMPOTENCY),
         priority_weight=number(raw, "importance", 1.0),
-        # An objective past the deadline is no contradiction: whatever is answered by then is in time.
+        # The simulator allows an objective after the deadline: every answer within the deadline then meets it.
         latency_objective=min(deadline, number(raw, "slo", deadline)),
         deadline=deadline,
         late_weight=number(raw, "lateWorth", 0.0),
         window=number(raw, "window", 0.0),
-        makes_calls=_flag(_row(info, "classCalls", index), "classCalls"),
-        weight_without_call=number(_row(info, "degradedWorth", index), "degradedWorth", 0.0),
+        makes_calls=_flag(_class_entry(info, "classCalls", index), "classCalls"),
+        weight_without_call=number(_class_entry(info, "degradedWorth", index), "degradedWorth", 0.0),
         objective_stretch=number(raw, "aimStretch", 0.0),
     )
 
@@ -204,7 +207,7 @@
 
 
 def parse_settings(env: Any) -> Settings:
-    """The settings of a LAUNCH; unknown keys are skipped. Raises WireError."""
+    """Parse the settings of a LAUNCH; unknown keys are ignored. Raises WireError."""
     if not isinstance(env, dict):
         raise WireError("field 'env' is missing or not an object")
     info = _section(env, "familyInfo", dict, required=True)
@@ -246,83 +249,85 @@
             tick=number(env, "tick", 0.001),
         )
     except SettingsError as error:
-        raise WireError(_under_outside_names(str(error))) from error
+        raise WireError(_with_external_names(str(error))) from error
 
 
-def _request(m: Obj) -> Request:
-    attrs = int(number(m, "attrs", 0))
+def _request(message: JsonObject) -> Request:
+    attrs = int(number(message, "attrs", 0))
     return Request(
-        id=text(m, "tid"),
-        cls=text(m, "band"),
-        unread=number(m, "unreadFor", 0.0),
-        size=number(m, "sizeKb", 0.0),
-        tenant=_optional_text(m, "team"),
-        key=_optional_text(m, "object"),
-        due=number(m, "due", 0.0) or None,
-        hint=(number(m, "weightHint", 0.0) or None) if attrs & 1 else None,
-        rank=number(m, "precedence", 0.0),
-        caller=int(number(m, "by", 0)),
-        repeats=_optional_text(m, "dupOf"),
+        id=text(message, "tid"),
+        cls=text(message, "band"),
+        unread=number(message, "unreadFor", 0.0),
+        size=number(message, "sizeKb", 0.0),
+        tenant=_optional_text(message, "team"),
+        key=_optional_text(message, "object"),
+        due=number(message, "due", 0.0) or None,
+        hint=(number(message, "weightHint", 0.0) or None) if attrs & 1 else None,
+        rank=number(message, "precedence", 0.0),
+        caller=int(number(message, "by", 0)),
+        repeats=_optional_text(message, "dupOf"),
         is_retry=bool(attrs & 2),
     )
 
 
-def _call_returned(m: Obj) -> CallReturned:
-    return CallReturned(text(m, "tid"), _choice(m, "rc", _OUTCOME), number(m, "elapsed", 0.0))
+def _call_returned(message: JsonObject) -> CallReturned:
+    return CallReturned(text(message, "tid"), _choice(message, "rc", _OUTCOME), number(message, "elapsed", 0.0))
 
 
-def _gauges(m: Obj) -> tuple[float, ...]:
-    return tuple(float(value) for value in _section(m, "stats", list))
+def _gauges(message: JsonObject) -> tuple[float, ...]:
+    return tuple(float(value) for value in _section(message, "stats", list))
 
 
-_EVENTS: dict[str, Callable[[Obj], Event]] = {
+_EVENTS: dict[str, Callable[[JsonObject], Event]] = {
     "ORDER": _request,
-    "ENDED": lambda m: Finished(text(m, "tid"), _choice(m, "rc", _OUTCOME), number(m, "elapsed", 0.0)),
-    "VANISHED": lambda m: CallerDisconnected(text(m, "tid")),
-    "AWAITING": lambda m: CallNeeded(text(m, "tid")),
+    "ENDED": lambda message: Finished(
+        text(message, "tid"), _choice(message, "rc", _OUTCOME), number(message, "elapsed", 0.0)
+    ),
+    "VANISHED": lambda message: CallerDisconnected(text(message, "tid")),
+    "AWAITING": lambda message: CallNeeded(text(message, "tid")),
     "DOWNSTREAM": _call_returned,
-    "QUIESCE": lambda m: DrainNotice(number(m, "due")),
-    "DUE": lambda m: TimerFired(int(number(m, "nonce")), _gauges(m)),
+    "QUIESCE": lambda message: DrainNotice(number(message, "due")),
+    "DUE": lambda message: TimerFired(int(number(message, "nonce")), _gauges(message)),
 }
 
 
-def parse_event(message: Obj) -> Event:
-    """An event other than LAUNCH and EXIT. Raises WireError."""
-    make = _EVENTS.get(message["op"])
-    if make is None:
+def parse_event(message: JsonObject) -> Event:
+    """Parse an event other than LAUNCH and EXIT. Raises WireError."""
+    parse = _EVENTS.get(message["op"])
+    if parse is None:
         raise WireError(f"unknown event '{message['op']}'")
-    return make(message)
+    return parse(message)
 
 
-def _rejection(a: Reject) -> Obj:
-    obj: Obj = {"op": "NOT_NOW", "tid": a.id}
-    if a.retry_after > 0:
-        obj["holdOff"] = a.retry_after
-    if a.no_other_node:
+def _rejection(action: Reject) -> JsonObject:
+    obj: JsonObject = {"op": "NOT_NOW", "tid": action.id}
+    if action.retry_after > 0:
+        obj["holdOff"] = action.retry_after
+    if action.no_other_node:
         obj["terminal"] = True
     return obj
 
 
-_ACTIONS: dict[type, Callable[[Any], Obj]] = {
-    Run: lambda a: {"op": "PROCESS", "tid": a.id},
-    Stop: lambda a: {"op": "ABORT_WORK", "tid": a.id},
+_ACTIONS: dict[type, Callable[[Any], JsonObject]] = {
+    Run: lambda action: {"op": "PROCESS", "tid": action.id},
+    Stop: lambda action: {"op": "ABORT_WORK", "tid": action.id},
     Reject: _rejection,
-    Fail: lambda a: {"op": "REPORT_FAILURE", "tid": a.id},
-    Call: lambda a: {"op": "GO_CALL", "tid": a.id, "tryFor": a.timeout},
-    SkipCall: lambda a: {"op": "BYPASS", "tid": a.id},
-    KeepKey: lambda a: {"op": "STORE_KEY", "tid": a.id, "forTime": a.keep_for},
-    ForgetKey: lambda a: {"op": "UNPIN", "tid": a.id},
-    ShareResult: lambda a: {"op": "SHARE", "tid": a.id},
-    SetHealth: lambda a: {"op": "FITNESS", "enable": a.good, "cheap": a.cheap},
-    Announce: lambda a: {"op": "ANNOUNCE", "x": a.value},
-    IdleTimeout: lambda a: {"op": "KEEPALIVE", "forTime": a.after},
-    SetTimer: lambda a: {"op": "ARM", "nonce": a.token, "after": a.after},
-    Log: lambda a: {"op": "SAY_LOG", "bodyText": a.text},
+    Fail: lambda action: {"op": "REPORT_FAILURE", "tid": action.id},
+    Call: lambda action: {"op": "GO_CALL", "tid": action.id, "tryFor": action.timeout},
+    SkipCall: lambda action: {"op": "BYPASS", "tid": action.id},
+    KeepKey: lambda action: {"op": "STORE_KEY", "tid": action.id, "forTime": action.keep_for},
+    ForgetKey: lambda action: {"op": "UNPIN", "tid": action.id},
+    ShareResult: lambda action: {"op": "SHARE", "tid": action.id},
+    SetHealth: lambda action: {"op": "FITNESS", "enable": action.healthy, "cheap": action.cheap},
+    Announce: lambda action: {"op": "ANNOUNCE", "x": action.value},
+    IdleTimeout: lambda action: {"op": "KEEPALIVE", "forTime": action.after},
+    SetTimer: lambda action: {"op": "ARM", "nonce": action.token, "after": action.after},
+    Log: lambda action: {"op": "SAY_LOG", "bodyText": action.text},
 }
 
 
 def format_action(action: Action, instance: str) -> str:
-    """One line of a reply."""
+    """Format an action of an instance as one line of a reply."""
     obj = _ACTIONS[type(action)](action)
     obj["server"] = instance
     return json.dumps(obj, separators=(",", ":"))
--- a/chutepin/decision/timers.py
+++ b/chutepin/decision/timers.py
@@ -1,4 +1,4 @@
-"""Deadlines of requests, calls and keys, behind the one timer that the host keeps."""
+"""Deadlines of requests, calls and keys, multiplexed onto the single timer of the host."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 from .actions import SetTimer
 from .job import Job
 
-MIN_COMPACTED_TIMERS = 1000  # kept before those that no longer matter are dropped
+MIN_COMPACTED_TIMERS = 1000  # minimum number of timers in the heap before obsolete ones are removed
 
 
 class TimerKind(Enum):
-    """What is to be done at a deadline."""
+    """Reason for a deadline."""
 
-    DUE = 0  # the final answer is owed
-    LATEST_START = 1  # a queued request can no longer meet its objective
-    CALL_TOO_LATE = 2  # a run's call can no longer end in time
-    RETRY_CALL = 3  # a failed call may be made again
-    MAKE_CALLS = 4  # waiting calls are looked at again
-    KEY_EXPIRED = 5
+    DUE = 0  # the request must have its final answer
+    LATEST_START = 1  # a request still queued can no longer meet its latency objective
+    CALL_TOO_LATE = 2  # a call not yet started can no longer end in time
+    RETRY_CALL = 3  # a failed call may be retried
+    MAKE_CALLS = 4  # waiting calls are checked again
+    KEY_EXPIRED = 5  # the window of an idempotency key has ended
 
 
 class Timer(NamedTuple):
-    """A deadline; the sequence number orders those of the same moment."""
+    """Deadline; the sequence number orders deadlines at the same time."""
 
     at: float
     sequence: int
@@ -35,12 +35,12 @@
 
 
 class TimerQueue:
-    """Deadlines in order of time, and the timer that the host was asked for."""
+    """Heap of deadlines, and the timer requested from the host."""
 
     def __init__(self, tick: float, jobs: Mapping[str, Job]) -> None:
         self.heap: list[Timer] = []
-        self.token = 0  # of the timer last asked for
-        self.armed_for = math.inf
+        self.token = 0  # token of the last requested timer
+        self.armed_for = math.inf  # time of the last requested timer; infinite if none is pending
         self._sequence = 0
         self._max_size = MIN_COMPACTED_TIMERS
         self._tick = tick
@@ -54,18 +54,20 @@
             self._compact()
 
     def pop_expired(self, now: float) -> Timer | None:
-        """Take out the earliest deadline that has come."""
+        """Remove and return the earliest deadline that has passed, or None."""
         if self.heap and self.heap[0].at <= now:
             return heapq.heappop(self.heap)
         return None
 
     def record_fired(self, token: int) -> None:
-        """Take in that the host's timer ran out."""
+        """Record that a timer of the host fired."""
         if token == self.token:
             self.armed_for = math.inf
 
     def arm(self, now: float, latest: float) -> SetTimer | None:
-        """The timer to ask for: for the earliest deadline that still matters, at `latest` at the latest."""
+        """Return the timer to request, for the earliest relevant deadline but not after `latest`.
+
+        Return None if the armed timer does not fire later."""
         while self.heap and (job := self.heap[0].job) and job.id not in self._jobs:
             heapq.heappop(self.heap)
         at = min(latest, self.heap[0].at) if self.heap else latest
@@ -76,7 +78,7 @@
         return SetTimer(self.token, self.armed_for - now)
 
     def _compact(self) -> None:
-        """Drop the deadlines of requests that are over: most are long before their deadlines."""
+        """Remove the deadlines of completed requests; most requests complete long before their deadlines."""
         self.heap = [
             timer for timer in self.heap if timer.job is None or (timer.job.id in self._jobs and not timer.job.answered)
         ]
--- a/chutepin/decision/warm_up.py
+++ b/chutepin/decision/warm_up.py
@@ -1,4 +1,4 @@
-"""Speed of a server that starts cold and warms up evenly."""
+"""Speed of a server that starts cold and warms up linearly."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class WarmUp:
-    """Speed relative to a warm server, from the start on."""
+    """Speed of this server relative to a warm one, as a function of the time since its start."""
 
     def __init__(self, settings: Settings) -> None:
         self.started_at = 0.0
@@ -17,16 +17,16 @@
         self.duration = settings.warm_up_time
 
     def speed(self, now: float) -> float:
-        """Speed at a moment; 1 is warm."""
+        """Return the speed at a time; 1 is that of a warm server."""
         if not self.starts_cold or now - self.started_at >= self.duration:
             return 1.0
         return self.initial_speed + (1 - self.initial_speed) * (now - self.started_at) / self.duration
 
     def run_time(self, now: float, work: float, slowness: float) -> float:
-        """Expected time on the cores of a run that starts now.
+        """Return the expected core time in seconds of a run that starts now.
 
-        A cold server warms up meanwhile, evenly at the slowest: at its present speed a long run that ends in time
-        would look hopeless."""
+        A cold server warms up during the run, at least linearly. At the current speed, a long run that will end in time
+        would seem to miss its objective."""
         time = work * slowness
         speed = self.speed(now)
         if speed >= 1:
--- a/tests/decision_helper.py
+++ b/tests/decision_helper.py
@@ -1,4 +1,4 @@
-"""Settings, requests and a policy whose timers fire on time, for the tests of the decision module."""
+"""Settings, requests and a policy whose timers fire on time, for the tests of the decision package."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class PunctualPolicy(Policy):
-    """A host that fires each timer on time before it brings anything later."""
+    """Policy whose timers fire on time, before any later event is handled."""
 
     def handle(self, now: float, events: Sequence[decision.Event]) -> list[decision.Action]:
         actions: list[decision.Action] = []
--- a/tests/test_decision_rules.py
+++ b/tests/test_decision_rules.py
@@ -1,4 +1,4 @@
-"""The four rules hold on random legal event sequences, under usual and odd settings."""
+"""The four rules hold on random legal event sequences, under usual and unusual settings."""
 
 from __future__ import annotations
 
@@ -19,7 +19,15 @@
 from chutepin.decision.job import Job
 from chutepin.decision.policy import Policy
 from chutepin.decision.server_state import ServerState
-from tests.decision_world import BASE, IDEMPOTENT_CLASS, KEYED_CLASS, NOT_IDEMPOTENT_CLASS, RuleBrokenError, cold, play
+from tests.decision_world import (
+    BASE,
+    IDEMPOTENT_CLASS,
+    KEYED_CLASS,
+    NOT_IDEMPOTENT_CLASS,
+    RuleViolationError,
+    cold,
+    play,
+)
 
 SETTINGS_VARIANTS: dict[str, Settings] = {
     "usual": BASE,
@@ -54,37 +62,38 @@
 
 @pytest.mark.parametrize("name", SETTINGS_VARIANTS)
 @pytest.mark.parametrize("seed", range(4))
-def test_rules_hold(name: str, seed: int) -> None:
-    world = play(SETTINGS_VARIANTS[name], seed)
-    assert any(isinstance(action, decision.Run) for action in world.log)
+def test_rules_hold_under_all_settings(name: str, seed: int) -> None:
+    simulation = play(SETTINGS_VARIANTS[name], seed)
+    assert any(isinstance(action, decision.Run) for action in simulation.log)
 
 
 EVENT_VARIANTS: dict[str, dict[str, float]] = {
     "no due times": {"deadline_share": 0.0},
-    "no due times, marked_share": {"deadline_share": 0.0, "marked_share": 0.7},
-    "nobody heard to leave": {"disconnects_per_s": 0.0, "deadline_share": 0.0},
-    "everybody disconnects_per_s": {"disconnects_per_s": 20.0},
+    "no due times, marked retries": {"deadline_share": 0.0, "marked_share": 0.7},
+    "no disconnects, no due times": {"disconnects_per_s": 0.0, "deadline_share": 0.0},
+    "frequent disconnects": {"disconnects_per_s": 20.0},
 }
 
 
-@pytest.mark.parametrize("news", EVENT_VARIANTS)
+@pytest.mark.parametrize("events", EVENT_VARIANTS)
 @pytest.mark.parametrize("name", ["usual", "no halt", "pause", "marked tries", "credit", "silent"])
-def test_rules_hold_where_events_are_missing_or_odd(name: str, news: str) -> None:
-    world = play(SETTINGS_VARIANTS[name], 11, 900, True, **EVENT_VARIANTS[news])
-    assert any(isinstance(action, decision.Run) for action in world.log)
+def test_rules_hold_where_events_are_missing_or_unusual(name: str, events: str) -> None:
+    simulation = play(SETTINGS_VARIANTS[name], 11, 900, True, **EVENT_VARIANTS[events])
+    assert any(isinstance(action, decision.Run) for action in simulation.log)
 
 
-@pytest.mark.parametrize("halt", [Cancellation.KEEPS_WORK, Cancellation.DISCARDS_WORK])
-def test_run_whose_caller_disconnects_is_stopped_once_and_its_memory_is_released(halt: Cancellation) -> None:
+@pytest.mark.parametrize("cancellation", [Cancellation.KEEPS_WORK, Cancellation.DISCARDS_WORK])
+def test_run_whose_caller_disconnects_is_stopped_once_and_its_memory_is_released(cancellation: Cancellation) -> None:
     for answered_first in (True, False):
-        policy = Policy(replace(BASE, cancellation=halt), 1)
+        policy = Policy(replace(BASE, cancellation=cancellation), 1)
         policy.start(0.0)
         policy.handle(0.0, [decision.Request("a", "view", 0.0, 20.0, due=0.5)])
-        news: list[decision.Event] = [] if answered_first else [decision.CallerDisconnected("a")]
-        actions = policy.handle(0.6 if answered_first else 0.1, news)
+        events: list[decision.Event] = [] if answered_first else [decision.CallerDisconnected("a")]
+        actions = policy.handle(0.6 if answered_first else 0.1, events)
         assert decision.Stop("a") in actions and (decision.Fail("a") in actions) is answered_first
         if answered_first:
-            assert actions.index(decision.Fail("a")) < actions.index(decision.Stop("a"))  # so that the stop ends it
+            # Fail comes first, so that the cancelled run ends a request that is already answered.
+            assert actions.index(decision.Fail("a")) < actions.index(decision.Stop("a"))
         policy.handle(0.7, [decision.CallerDisconnected("a"), decision.Finished("a", decision.Outcome.CANCELLED)])
         assert (
             policy.server.memory.used == 0 and policy.server.requests.running == 0 and not policy.server.requests.jobs
@@ -92,7 +101,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_rules_hold_when_nothing_finishes(seed: int) -> None:
+def test_rules_hold_when_no_run_finishes(seed: int) -> None:
     play(BASE, seed, speed=0.0)
 
 
@@ -103,11 +112,11 @@
 
 @pytest.mark.parametrize("seed", range(2))
 def test_rules_and_memory_bounds_hold_when_callers_never_return(seed: int) -> None:
-    world = play(replace(BASE, max_idle_time=1e6), seed, steps=9000, drain=False, callers=10**9)
-    assert world.serial > MAX_CALLERS
+    simulation = play(replace(BASE, max_idle_time=1e6), seed, steps=9000, drain=False, callers=10**9)
+    assert simulation.last_serial > MAX_CALLERS
     assert (
-        len(world.policy.server.idle_connections.last_request_at) <= MAX_CALLERS + 1
-        and len(world.policy.server.attempt_ages.wait_counts) <= MAX_WAIT_SHARES + 1
+        len(simulation.policy.server.idle_connections.last_request_at) <= MAX_CALLERS + 1
+        and len(simulation.policy.server.attempt_ages.wait_counts) <= MAX_WAIT_SHARES + 1
     )
 
 
@@ -115,37 +124,37 @@
     assert play(BASE, 3).log == play(BASE, 3).log
 
 
-def _keep_nothing(self: Arrivals, job: Job) -> None:
+def _keep_no_key(self: Arrivals, job: Job) -> None:
     return
 
 
-def _fail_nothing(self: Endings, job: Job) -> None:
+def _never_fail(self: Endings, job: Job) -> None:
     return
 
 
-def _reject_nothing(self: Arrivals, job: Job) -> None:
+def _never_reject(self: Arrivals, job: Job) -> None:
     return
 
 
-def _always_remaining(self: CallBudget, now: float) -> float:
+def _unlimited_time(self: CallBudget, now: float) -> float:
     return 1e9
 
 
-def _reject_what_ran(self: Endings, job: Job) -> None:
+def _reject_after_run(self: Endings, job: Job) -> None:
     if not job.answered:
         self._server.actions.append(decision.Reject(job.id))
         job.answered = True
 
 
-def _never_join(self: Arrivals, job: Job) -> bool:
+def _never_attach(self: Arrivals, job: Job) -> bool:
     return False
 
 
-def _drain_late(self: Policy, notice: decision.DrainNotice) -> None:
+def _keep_deadlines(self: Policy, notice: decision.DrainNotice) -> None:
     self.server.drain.last_arrival_at = self.server.now + self.server.settings.drain_grace
 
 
-def _admit_always(self: ServerState) -> bool:
+def _always_has_capacity(self: ServerState) -> bool:
     return True
 
 
@@ -157,64 +166,64 @@
     (
         Arrivals,
         "_keep_key",
-        _keep_nothing,
+        _keep_no_key,
         "duplicate: second run in the window",
         replace(BASE, classes=(KEYED_CLASS,)),
     ),
-    (Endings, "fail", _fail_nothing, "lost", BASE),
+    (Endings, "fail", _never_fail, "lost", BASE),
     (
         Endings,
         "fail",
-        _reject_what_ran,
-        "duplicate: refused after a run",
+        _reject_after_run,
+        "duplicate: rejected after a run",
         replace(BASE, classes=(NOT_IDEMPOTENT_CLASS,)),
     ),
-    (Arrivals, "_rejection_reason", _reject_nothing, "drain: run after the grace", BASE),
+    (Arrivals, "_rejection_reason", _never_reject, "drain: run after the grace period", BASE),
     (
         Arrivals,
         "_rejection_reason",
-        _reject_nothing,
-        "fall-over: memory",
+        _never_reject,
+        "overload: memory",
         replace(BASE, key_memory=400.0, classes=(KEYED_CLASS,)),
     ),
     (
         Arrivals,
-        "_join_original",
-        _never_join,
+        "_attach_to_original",
+        _never_attach,
         "duplicate: second run in the window",
         replace(BASE, classes=(KEYED_CLASS,)),
     ),
-    (Policy, "_on_drain", _drain_late, "drain: unanswered at the stop", BASE),
-    (CallBudget, "remaining_time", _always_remaining, "fall-over: calls below", replace(BASE, max_calls=0.6)),
+    (Policy, "_on_drain", _keep_deadlines, "drain: unanswered at the stop", BASE),
+    (CallBudget, "remaining_time", _unlimited_time, "overload: dependency calls", replace(BASE, max_calls=0.6)),
 ]
 
 
-def test_ceiling_of_the_limit_is_needed(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Without it more runs than the cores survive are on them."""
+def test_cores_are_overloaded_without_a_ceiling_of_the_limit(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Without the ceiling, more requests run at once than the cores sustain."""
     monkeypatch.setattr(AimdLimit, "set_ceiling", _no_ceiling)
-    monkeypatch.setattr(ServerState, "cores_admit_one", _admit_always)
-    with pytest.raises(RuleBrokenError, match="fall-over: crowd"):
+    monkeypatch.setattr(ServerState, "has_core_capacity", _always_has_capacity)
+    with pytest.raises(RuleViolationError, match="overload: running requests"):
         for seed in range(30):
             play(cold(replace(BASE, memory=1e6, warm_up_time=60.0)), seed, speed=0.5)
 
 
-@pytest.mark.parametrize(("owner", "guard", "without", "broken", "settings"), GUARDS)
-def test_each_guard_is_needed(
+@pytest.mark.parametrize(("owner", "guard", "replacement", "violation", "settings"), GUARDS)
+def test_rule_is_violated_without_its_guard(
     owner: type,
     guard: str,
-    without: Callable[..., Any],
-    broken: str,
+    replacement: Callable[..., Any],
+    violation: str,
     settings: Settings,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Without a guard, some sequence breaks the rule that it keeps."""
-    monkeypatch.setattr(owner, guard, without)
-    seen: list[str] = []
+    """With a guard disabled, one of 30 random event sequences violates the rule that the guard enforces."""
+    monkeypatch.setattr(owner, guard, replacement)
+    violations: list[str] = []
     for seed in range(30):
         try:
             play(settings, seed, call_failures=0.1)
-        except RuleBrokenError as error:
-            seen.append(str(error))
-            if broken in seen[-1]:
+        except RuleViolationError as error:
+            violations.append(str(error))
+            if violation in violations[-1]:
                 return
-    pytest.fail(f"never broken: {broken}; seen {seen[:3]}")
+    pytest.fail(f"no violation of '{violation}'; violations found: {violations[:3]}")
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Idle connections of callers."""
+"""Idle timeout of caller connections."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from tests.decision_helper import new_request, started
 
 
-@pytest.mark.parametrize(("callers", "closes"), [(10, False), (3000, True)])
-def test_idle_connections_are_closed_where_callers_hardly_return(callers: int, closes: bool) -> None:
-    """A table full of connections that nobody uses again turns new callers away."""
+@pytest.mark.parametrize(("callers", "is_short"), [(10, False), (3000, True)])
+def test_idle_timeout_is_short_where_few_callers_return(callers: int, is_short: bool) -> None:
+    """Guards against a connection table full of unused connections, which keeps new callers out."""
     policy = started()
-    idle = []
+    timeouts = []
     for at in range(200):
         now = at / 10
         for action in policy.handle(now, [new_request(f"r{at}", now + 1.0, caller=at % callers)]):
-            idle += [action.after] if isinstance(action, decision.IdleTimeout) else []
-    assert (idle[-1:] == [SHORT_IDLE_TIMEOUT_S]) is closes
+            timeouts += [action.after] if isinstance(action, decision.IdleTimeout) else []
+    assert (timeouts[-1:] == [SHORT_IDLE_TIMEOUT_S]) is is_short
 
 
-@pytest.mark.parametrize(("refused", "stays"), [(0.0, False), (0.9, True)])
-def test_connections_of_callers_that_return_stay_while_most_is_rejected(refused: float, stays: bool) -> None:
-    """A full table turns callers away without handshake and reading."""
+@pytest.mark.parametrize(("rejected_share", "is_long"), [(0.0, False), (0.9, True)])
+def test_idle_timeout_is_long_while_most_requests_are_rejected(rejected_share: float, is_long: bool) -> None:
+    """A full connection table rejects callers without handshake and reading."""
     policy = started()
     for at in range(400):
-        policy.server.rejections.share = refused
-        now = at / 10  # each of 150 callers comes again every 15 s: twice while a connection may idle
+        policy.server.rejections.share = rejected_share
+        now = at / 10  # each of 150 callers sends a request every 15 s: twice within the maximum idle time
         policy.handle(now, [new_request(f"r{at}", now + 1.0, caller=at % 150)])
-    assert (policy.server.idle_connections.idle_timeout == policy.server.settings.max_idle_time) is stays
+    assert (policy.server.idle_connections.idle_timeout == policy.server.settings.max_idle_time) is is_long
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: replies only on standard output, one clear line on bad input."""
+"""Simulator adapter: replies on standard output only, and one error line for malformed input."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     return [json.loads(line) for line in sink.getvalue().splitlines()]
 
 
-def test_empty_batch() -> None:
+def test_empty_batch_is_acknowledged() -> None:
     assert run(batch()) == [{"op": "OK"}]
 
 
@@ -45,7 +45,7 @@
     assert "PROCESS" in ops and "ANNOUNCE" not in ops and ops.count("OK") == 2
 
 
-def test_restart_forgets_the_earlier_life() -> None:
+def test_restarted_instance_has_no_requests_of_the_previous_one() -> None:
     order = json.dumps({"op": "ORDER", "server": "server_1", "tid": "a", "band": "view"})
     text = batch(launch(ENV)) + batch(order, clock=1.1)
     text += batch('{"op":"EXIT","server":"server_1"}', launch(ENV), clock=1.2)
@@ -73,13 +73,13 @@
 
 
 @pytest.mark.parametrize("name", BAD)
-def test_bad_input_is_one_line_and_an_exit_code(name: str) -> None:
+def test_malformed_input_raises_an_error_that_names_the_line(name: str) -> None:
     with pytest.raises(wire.WireError, match=r"line \d+|input ends"):
         run(BAD[name])
 
 
-def test_process_reports_on_standard_error() -> None:
-    done = subprocess.run(
+def test_process_reports_malformed_input_on_standard_error_and_exits_with_2() -> None:
+    completed = subprocess.run(
         [sys.executable, "-m", "chutepin.decision.simulator_adapter"],
         input=batch() + "{\n",
         text=True,
@@ -87,12 +87,12 @@
         cwd=Path(__file__).parent.parent,
         check=False,
     )
-    assert done.returncode == 2
-    assert done.stdout == '{"op":"OK"}\n'
-    assert done.stderr.startswith("chutepin: line 3:") and done.stderr.count("\n") == 1
+    assert completed.returncode == 2
+    assert completed.stdout == '{"op":"OK"}\n'
+    assert completed.stderr.startswith("chutepin: line 3:") and completed.stderr.count("\n") == 1
 
 
-def test_every_action_has_a_line() -> None:
+def test_every_action_has_its_own_message() -> None:
     actions: list[decision.Action] = [
         decision.Run("a"),
         decision.Stop("a"),
@@ -111,14 +111,14 @@
     ]
     ops = {json.loads(wire.format_action(action, "server_1"))["op"] for action in actions}
     assert len(ops) == len(actions)
-    refusal = json.loads(wire.format_action(actions[2], "server_1"))
-    assert refusal == {"op": "NOT_NOW", "tid": "a", "holdOff": 0.5, "terminal": True, "server": "server_1"}
+    rejection = json.loads(wire.format_action(actions[2], "server_1"))
+    assert rejection == {"op": "NOT_NOW", "tid": "a", "holdOff": 0.5, "terminal": True, "server": "server_1"}
 
 
-def test_retry_mark_and_its_setting_pass_the_adapter() -> None:
+def test_retry_mark_and_its_setting_are_parsed() -> None:
     env = ENV | {"clientHabits": {"marksRetry": True}}
     assert wire.parse_settings(env).marks_retries and not wire.parse_settings(ENV).marks_retries
     order = {"op": "ORDER", "server": "server_1", "tid": "a", "band": "view"}
-    for attrs, again in ((0, False), (2, True), (7, True), (5, False)):
+    for attrs, is_retry in ((0, False), (2, True), (7, True), (5, False)):
         event = wire.parse_event(order | {"attrs": attrs})
-        assert isinstance(event, decision.Request) and event.is_retry is again and event.due is None
+        assert isinstance(event, decision.Request) and event.is_retry is is_retry and event.due is None
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -1,4 +1,4 @@
-"""The one timer of the host."""
+"""Multiplexing of all deadlines onto the host's single timer."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from tests.decision_helper import PLAIN, ids_of, new_request, started
 
 
-def test_one_timer_is_armed_for_the_earliest_deadline() -> None:
+def test_one_timer_is_armed_for_several_deadlines() -> None:
     policy = started()
     actions = policy.handle(0.0, [new_request("a", 3.0), new_request("b", 2.0), new_request("c", 1.0)])
     assert len([a for a in actions if isinstance(a, decision.SetTimer)]) == 1
 
 
-def test_waiting_calls_keep_one_timer() -> None:
-    """One for each batch would be 148 a second on a server."""
+def test_waiting_calls_share_one_timer() -> None:
+    """Guards against one timer per batch, which would set 148 timers a second on a server."""
     policy = started(replace(PLAIN, has_dependency=True, max_calls=0.1, max_calls_window=5.0))
     policy.handle(0.0, [new_request("a", 3.0), new_request("b", 3.0)])
     actions = policy.handle(0.1, [decision.CallNeeded("a"), decision.CallNeeded("b")])
@@ -27,7 +27,7 @@
     assert len(ids_of(actions, decision.SetTimer)) < 30 and len(policy.server.timers.heap) < 10
 
 
-def test_deadlines_of_finished_requests_are_dropped() -> None:
+def test_deadlines_of_finished_requests_are_removed() -> None:
     policy = started()
     for index in range(5 * MIN_COMPACTED_TIMERS):
         policy.handle(0.0001 * index, [new_request(f"r{index}")])
