--- a/chutepin/decision/control_loop.py
+++ b/chutepin/decision/control_loop.py
@@ -124,7 +124,7 @@
         have been served are then rejected."""
         server = self._server
         server.progress.hung = True
-        server.actions += [SetHealth(False), Log("no progress while work runs")]
+        server.actions += [SetHealth(False), Log("hang detected: no run makes progress")]
         for job in [*server.requests.queued.values(), *running]:
             may_run_again = not job.ran or job.request_class.idempotency is Idempotency.IDEMPOTENT
             if not job.answered and may_run_again:
--- a/chutepin/decision/endings.py
+++ b/chutepin/decision/endings.py
@@ -98,7 +98,7 @@
         server.progress.last_progress_at = server.now
         if server.progress.hung:
             server.progress.hung = False
-            server.actions += [SetHealth(not server.drain.has_begun), Log("work moves again")]
+            server.actions += [SetHealth(not server.drain.has_begun), Log("hang ended: a run made progress")]
 
     def _retry_after(self, at_fault: bool, no_other_node: bool) -> float:
         """Return the Retry-After in seconds.
