--- a/chutepin/net/__init__.py
+++ b/chutepin/net/__init__.py
@@ -1,1 +1,1 @@
-"""The wires: asyncio streams and their sans-I/O parsers."""
+"""Network connections of a node: sans-I/O parsers and state machines, and the asyncio streams that carry them."""
--- a/chutepin/net/amqp/__init__.py
+++ b/chutepin/net/amqp/__init__.py
@@ -1,7 +1,7 @@
-"""AMQP 0-9-1 as a consumer, under the same rules as the platform's requests.
+"""An AMQP 0-9-1 consumer whose deliveries follow the same rules as requests of balancers.
 
 `frames` and `session` are the protocol without a socket, `requests` maps deliveries to requests, `consumer` settles
-them and owns the link. Loaded only where a file of queues is given."""
+deliveries and owns the link. Loaded only if queues are configured."""
 
 from .consumer import Consumer
 from .frames import FrameParser, decode
--- a/chutepin/net/amqp/consumer.py
+++ b/chutepin/net/amqp/consumer.py
@@ -1,17 +1,16 @@
-"""The AMQP consumer: deliveries become requests of the broker, answers become settlements.
+"""The AMQP consumer: deliveries become requests to the broker, answers become settlements.
 
-How a delivery is settled, once and for all:
+A delivery is settled exactly once:
 
-- served: the reply is published where `reply-to` asks for one, then `basic.ack`;
-- refused, so it never ran: `basic.nack` with requeue, for another consumer or a later time. Its queue is not
-  consumed for as long as the refusal advises, or what was refused would come back at once;
-- failed, so it may have had its effect: a reply that says so, then `basic.reject` without requeue;
-- expired or malformed: `basic.reject` without requeue. A queue with a dead-letter exchange keeps both.
+- served: the reply is published if `reply-to` is set, then `basic.ack`;
+- rejected, so that it never ran: `basic.nack` with requeue, for another consumer or a later time. The queue is not
+  consumed for the retry delay of the answer, as the delivery would otherwise return at once;
+- failed, so that it may have taken effect: a reply with that outcome, then `basic.reject` without requeue;
+- expired or malformed: `basic.reject` without requeue, so that a dead-letter exchange of the queue keeps it.
 
-The key of a delivery is its `message-id`, never the delivery tag. Its deadline is absolute: the header
-`x-due-ms` (Unix milliseconds), else `expiration` counted from `timestamp` or the delivery, and never later
-than the contract's.
-"""
+The key of a delivery is its `message-id`, never the delivery tag. The deadline is absolute: the header `x-due-ms`
+(Unix milliseconds), else `expiration` counted from `timestamp` or from the delivery, and never later than the
+deadline of the class."""
 
 from __future__ import annotations
 
@@ -33,17 +32,17 @@
 from .requests import request_from
 from .session import Content, Session, State, consumer_tag
 
-MAX_UNSENT_BYTES = 2**20  # that the AMQP broker may leave unread before the link is given up
-MIN_QUEUE_PAUSE_S = 0.25  # that a queue is left alone after a refusal, at least
-CHECK_INTERVAL_S = 0.25  # between looks at heartbeats, pauses and the window
-OPEN_TIMEOUT_S = 10.0  # in which a session must be open, counted from its connection
+MAX_UNSENT_BYTES = 2**20  # over which the link is closed, as the AMQP broker does not read
+MIN_QUEUE_PAUSE_S = 0.25  # shortest pause of a queue after a rejected delivery
+CHECK_INTERVAL_S = 0.25  # between checks of heartbeats, pauses and the window
+OPEN_TIMEOUT_S = 10.0  # from the connection to the open session
 READ_BYTES = 65536
 
 
 def consumption_window(signal: LoadSignal, value: float | None, prefetch: int) -> int:
-    """Return how many deliveries may be in hand, 0 for none, by the value that the node announces to its callers.
+    """Return how many deliveries may be unsettled, 0 for none, by the load value that the node announces.
 
-    A level is the rank below which requests are not to be sent: it closes a part of the window, as a weight does."""
+    A level is the rank below which requests must not be sent; like a weight, it scales the window."""
     if value is None:
         return prefetch
     match signal:
@@ -60,7 +59,7 @@
 
 @dataclass(slots=True)
 class Delivery:
-    """Who gets a request's answer: one delivery on one link."""
+    """The destination of one request's answer: a delivery on one link."""
 
     consumer: Consumer
     session: Session
@@ -69,37 +68,39 @@
     properties: commands.Basic.Properties
 
     def answer(self, answer: Answer) -> None:
-        """Settle it."""
+        """Settle the delivery by the answer."""
         self.consumer.settle(self, answer)
 
 
 class Consumer:
     """Turns deliveries into requests and answers into settlements.
 
-    Lives as long as the node; links come and go."""
+    The consumer lives as long as the node and replaces its link whenever it is lost."""
 
     def __init__(
         self, config: AmqpConfig, broker: Broker, clock: Clock, counters: Counters, log: Log, seed: int
     ) -> None:
         self.config, self.broker, self.clock, self.counters, self.log = config, broker, clock, counters, log
         self._random = random.Random(seed)
-        self._open: dict[str, Delivery] = {}
-        self._resume_at = [0.0] * len(config.queues)  # when each queue may be consumed again
+        self._open_deliveries: dict[str, Delivery] = {}
+        self._resume_at = [0.0] * len(config.queues)  # by queue index: when it may be consumed again
         self._leaving = False
         self._link: asyncio.WriteTransport | None = None
-        self._session: Session | None = None  # of the present link
+        self._session: Session | None = None  # of the current link
         self._weights = sorted(cls.priority_weight for cls in broker.classes.values())
         self._queue_indexes = {consumer_tag(index): index for index in range(len(config.queues))}
 
     def delivered(self, session: Session, content: Content) -> None:
-        """Take in a complete delivery. What can never be served is rejected for good: requeued, it would come again."""
+        """Handle a complete delivery.
+
+        A delivery that can never be served is rejected without requeue: requeued, it would be delivered again."""
         tag = int(content.deliver.delivery_tag or 0)
         index = self._queue_indexes.get(str(content.deliver.consumer_tag))
         try:
             if index is None:
-                raise ProtocolError("an unknown consumer tag")
+                raise ProtocolError("unknown consumer tag")
             if content.properties is None or content.body_bytes > self.config.max_body:
-                raise ProtocolError("properties that cannot be decoded, or a body that is too long")
+                raise ProtocolError("properties cannot be decoded, or body is too long")
             queue = self.config.queues[index]
             request = self._request_from(content, content.properties, queue)
         except ProtocolError as error:
@@ -112,10 +113,10 @@
             session.settle(tag, commands.Basic.Reject(tag, requeue=False))
             return
         delivery = Delivery(self, session, tag, index, content.properties)
-        self._open[request.id] = delivery
+        self._open_deliveries[request.id] = delivery
         self.broker.pick(request, delivery)
-        if tag not in session.unsettled:  # answered at once
-            self._open.pop(request.id, None)
+        if tag not in session.unsettled:  # the broker has answered within `pick`
+            self._open_deliveries.pop(request.id, None)
 
     def _request_from(self, content: Content, properties: commands.Basic.Properties, queue: QueueConfig) -> Request:
         contract = self.broker.classes[queue.cls]
@@ -132,7 +133,9 @@
         )
 
     def settle(self, delivery: Delivery, answer: Answer) -> None:
-        """Settle a delivery by its answer; where the link is gone the broker delivers again and the key answers."""
+        """Settle a delivery by its answer.
+
+        If the link is lost, the AMQP broker delivers the message again, and its key finds the kept answer."""
         session, tag, properties = delivery.session, delivery.tag, delivery.properties
         if tag not in session.unsettled:
             self.counters.add("amqp.settled_too_late")
@@ -158,22 +161,22 @@
         session.settle(tag, commands.Basic.Ack(tag) if served else commands.Basic.Reject(tag, requeue=False))
 
     def lost(self, session: Session) -> None:
-        """A link is gone.
+        """Handle the loss of a link.
 
-        What is safe to repeat is dropped, the broker delivers it again; a work order goes on, so that its redelivery
-        finds the result."""
+        Requests that are safe to repeat are dropped, as the AMQP broker delivers them again. Requests with a key go
+        on, so that the redelivery finds the result."""
         session.lost()
-        for id, delivery in list(self._open.items()):
+        for id, delivery in list(self._open_deliveries.items()):
             if delivery.session is session:
-                del self._open[id]
+                del self._open_deliveries[id]
                 if self.broker.classes[self.config.queues[delivery.queue].cls].idempotency.value != "keyed":
                     self.broker.caller_disconnected(id)
 
     def update_consumption(self, session: Session) -> None:
-        """Apply the window that the announced value allows, and the pauses of queues."""
-        self._open = {id: d for id, d in self._open.items() if d.tag in d.session.unsettled}
+        """Apply the window for the announced load value, and the pauses of queues."""
+        self._open_deliveries = {id: d for id, d in self._open_deliveries.items() if d.tag in d.session.unsettled}
         now = self.clock.now()
-        window = 0  # until the executor is up nothing could run
+        window = 0  # nothing can run until the executor is up
         if self.broker.started:
             window = consumption_window(self.broker.load_signal, self.broker.value, self.config.prefetch)
         session.set_window(window)
@@ -184,25 +187,27 @@
                 session.pause(index)
 
     def leave(self) -> None:
-        """Take no more deliveries."""
+        """Stop consuming."""
         self._leaving = True
 
     @property
     def settled(self) -> bool:
-        """Whether no delivery is open and every acknowledgement has left the process.
+        """Whether no delivery is open and every acknowledgement has been sent.
 
-        A delivery whose acknowledgement stays behind comes again, to a process that knows nothing of it."""
+        A delivery whose acknowledgement is not sent is delivered again, to a process that does not know its key."""
         unsent = self._link is not None and self._link.get_write_buffer_size() > 0
-        return not unsent and not any(delivery.tag in delivery.session.unsettled for delivery in self._open.values())
+        return not unsent and not any(
+            delivery.tag in delivery.session.unsettled for delivery in self._open_deliveries.values()
+        )
 
     def describe(self) -> dict[str, object]:
-        """Return what the consumer is doing, for an operator: why a queue is not consumed shows here."""
+        """Return the state of the consumer for an operator, including why a queue is not consumed."""
         now = self.clock.now()
         pauses = [f"{consumer_tag(index)}:{at - now:.1f}s" for index, at in enumerate(self._resume_at) if at > now]
         fields: dict[str, object] = {
             "link": "none" if self._session is None else self._session.state.name.lower(),
             "value": self.broker.value,
-            "in_hand": len(self._open),
+            "in_hand": len(self._open_deliveries),
             "paused": " ".join(pauses) or "none",
         }
         if self._session is not None:
@@ -212,7 +217,7 @@
         return fields
 
     async def run(self) -> None:
-        """Connect, and again whenever the link is lost, until cancelled."""
+        """Connect, and reconnect with backoff when the link is lost, until cancelled."""
         loop = asyncio.get_running_loop()
         delay, address = ReconnectDelay(self._random), self.config.address
         while True:
@@ -233,7 +238,7 @@
         def write(data: bytes) -> None:
             writer.write(data)
             if writer.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
-                # Guards memory against a broker that stops reading what we acknowledge.
+                # Bounds the memory held for an AMQP broker that does not read the acknowledgements.
                 self.counters.add("amqp.stuck")
                 writer.transport.abort()
 
@@ -248,7 +253,7 @@
         except ProtocolError as error:
             self.counters.add("amqp.protocol")
             self.log.event("amqp.protocol", why=str(error))
-        except Exception as error:  # noqa: BLE001  whatever it is, it is counted and logged here
+        except Exception as error:  # noqa: BLE001  any fault of the handlers is counted and logged; the link reconnects
             self.counters.add("errors")
             self.log.event("amqp.error", error=repr(error))
         finally:
@@ -275,16 +280,16 @@
                 async with asyncio.timeout_at(loop.time() + CHECK_INTERVAL_S):
                     data = await reader.read(READ_BYTES)
                 if not data:
-                    raise ConnectionError("the broker closed the link")
+                    raise ConnectionError("AMQP broker closed the connection")
                 last_received_at = loop.time()
             except TimeoutError:
                 if reader.exception() is not None:
-                    # The socket's own time-out has the same type, and comes again at once with every read.
-                    raise ConnectionError("the link timed out") from None
+                    # A TimeoutError of the socket itself; every further read would raise it again at once.
+                    raise ConnectionError("connection timed out") from None
             session.received(data)
             now = loop.time()
             if session.state is not State.READY and now > opened_at + OPEN_TIMEOUT_S:
-                raise ProtocolError("the session did not open in time")
+                raise ProtocolError("session did not open in time")
             if session.heartbeat:
                 if now > last_received_at + 2 * session.heartbeat:
                     raise ProtocolError("no heartbeat from the broker")
--- a/chutepin/net/amqp/requests.py
+++ b/chutepin/net/amqp/requests.py
@@ -1,4 +1,4 @@
-"""From a delivery to a request: its class, key and deadline. Pure."""
+"""Mapping of a delivery to a request: class, key and deadline. Pure."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
     now: float,
     redelivery_window_s: float,
 ) -> Request:
-    """Build the request of a complete delivery. Raises ProtocolError for what can never be served."""
+    """Build the request of a complete delivery. Raises ProtocolError for one that can never be served."""
     keyed = contract.idempotency is Idempotency.KEYED
     key = properties.message_id
     if keyed and not key:
-        raise ProtocolError("a work order without message-id")
+        raise ProtocolError("work order without message-id")
     return Request(
         id=new_id(),
         cls=queue.cls,
@@ -51,17 +51,17 @@
 
 
 def deadline_of(properties: commands.Basic.Properties, now: float) -> float:
-    """Return the absolute deadline that the publisher set; infinite if none. Raises ProtocolError."""
+    """Return the absolute deadline set by the publisher, infinite if there is none. Raises ProtocolError."""
     deadline_ms = (properties.headers or {}).get(DEADLINE_HEADER)
     if deadline_ms is not None:
         if isinstance(deadline_ms, bool) or not isinstance(deadline_ms, int):
-            raise ProtocolError(f"{DEADLINE_HEADER} is no whole number")
+            raise ProtocolError(f"{DEADLINE_HEADER} is not an integer")
         return deadline_ms / 1000
     expiration = properties.expiration
     if not expiration:
         return math.inf
     if not expiration.isascii() or not expiration.isdigit() or len(expiration) > MAX_EXPIRATION_DIGITS:
-        raise ProtocolError("expiration is no whole number")
-    sent = properties.timestamp
-    start = sent.timestamp() if isinstance(sent, datetime) else now
+        raise ProtocolError("expiration is not an integer")
+    published_at = properties.timestamp
+    start = published_at.timestamp() if isinstance(published_at, datetime) else now
     return start + int(expiration) / 1000
--- a/chutepin/net/control.py
+++ b/chutepin/net/control.py
@@ -1,4 +1,4 @@
-"""Reports to the control plane: HTTP/1.1 by h11, one call a second on a connection that is kept."""
+"""Health reports to the control plane: HTTP/1.1 by h11, one request a second on a persistent connection."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from ..config import Address
 from ..counters import Counters
 
-REPORT_INTERVAL_S = 1.0  # at most; a node is dropped 3 s after its last report
-JITTER_SHARE = 0.2  # of the interval: nodes that lost the service together spread their reports
+REPORT_INTERVAL_S = 1.0  # at most; the control plane drops a node 3 s after its last report
+JITTER_SHARE = 0.2  # of the interval; spreads the reports of nodes that lost the control plane together
 REPORT_TIMEOUT_S = 1.0
 MAX_ANSWER_BYTES = 16 * 1024
 READ_BYTES = 4096
@@ -22,7 +22,7 @@
 
 
 class Reporter:
-    """Keeps the node listed: reports `Ready` while it is healthy and accepts requests."""
+    """Reports `Ready` to the control plane while the node is healthy and accepts requests, else `NotReady`."""
 
     def __init__(
         self, address: Address | None, name: str, ready: Callable[[], bool], counters: Counters, seed: int = 0
@@ -31,15 +31,15 @@
         self._address, self._name, self._ready, self._counters = address, name, ready, counters
         self._streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
         self._http = h11.Connection(h11.CLIENT)
-        self._stale = False  # the connection is to an address that is no longer the control plane's
+        self._stale = False  # the connection is to a previous address
 
     def move(self, address: Address | None) -> None:
-        """Send to this address from the next report on."""
+        """Send reports to this address from the next one on."""
         self._stale = self._stale or address != self._address
         self._address = address
 
     async def run(self) -> None:
-        """Report until cancelled. No answer or a wrong one costs only this report."""
+        """Report until cancelled. A missing or wrong answer fails only the one report."""
         loop = asyncio.get_running_loop()
         while True:
             started_at = loop.time()
@@ -81,7 +81,7 @@
                 data = await reader.read(READ_BYTES)
                 size += len(data)
                 if size > MAX_ANSWER_BYTES:
-                    raise h11.RemoteProtocolError("the answer is too long")
+                    raise h11.RemoteProtocolError("answer from the control plane is too long")
                 self._http.receive_data(data)
             elif isinstance(answer, h11.Response):
                 status = answer.status_code
--- a/chutepin/net/executor/__init__.py
+++ b/chutepin/net/executor/__init__.py
@@ -1,6 +1,7 @@
-"""The link to the executor: commands out, numbered notices in, both kept whole over a lost link.
+"""The connection to the executor: commands out and numbered notices in, neither lost nor repeated after a reconnect.
 
-`session` is the protocol without a socket, `repeated_returns` its rule for replies in doubt, `link` the connection."""
+`session` is the protocol without a socket, `repeated_returns` detects misdirected replies, `link` owns the
+connection."""
 
 from .link import ExecutorLink
 from .session import NoticeHandler, Session
--- a/chutepin/net/executor/link.py
+++ b/chutepin/net/executor/link.py
@@ -1,4 +1,4 @@
-"""The connection to the executor, met again whenever it is lost or its address changes."""
+"""The connection to the executor, opened again when it is lost or the executor's address changes."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from ..lines import ProtocolError, line
 from .session import Session
 
-MAX_UNSENT_BYTES = 8 * 2**20  # that the executor may leave unread before the link is given up
+MAX_UNSENT_BYTES = 8 * 2**20  # over which the link is closed, as the executor does not read
 MIN_RECONNECT_DELAY_S = 0.02  # doubled after each attempt
 MAX_RECONNECT_DELAY_S = 0.5
-CONNECT_TIMEOUT_S = 2.0  # a host that says nothing would hold a connection attempt for minutes
-MOVE_TIMEOUT_S = 0.3  # after which a link to an old address is left, confirmed or not
+CONNECT_TIMEOUT_S = 2.0  # an unresponsive host would keep the attempt pending for minutes
+MOVE_TIMEOUT_S = 0.3  # after which a link to an old address is closed, even with unconfirmed commands
 READ_BYTES = 65536
 
 
 class ExecutorLink:
-    """Keeps one connection to the executor open as long as the node runs."""
+    """Keeps one connection to the executor open while the node runs, and writes commands to it."""
 
     def __init__(self, address: Address, session: Session, counters: Counters, log: Log) -> None:
         self._address, self._session, self._counters, self._log = address, session, counters, log
@@ -28,7 +28,10 @@
         session.on_quiesced = self._leave
 
     def move(self, address: Address) -> None:
-        """Connect to the executor at this address from now on. Runs and notice numbers carry on."""
+        """Connect to the executor at this address from now on.
+
+        Runs and notice numbers are kept. The old link is closed once the commands on it are confirmed, or after
+        MOVE_TIMEOUT_S."""
         if address == self._address:
             return
         self._address, self._moving = address, True
@@ -38,12 +41,12 @@
             self._session.quiesce()
 
     def _leave(self, transport: asyncio.WriteTransport | None = None) -> None:
-        """Leave this link, or the present one, for the new address."""
+        """Close this link, or the current one, so that the next one is opened to the new address."""
         if self._transport is not None and transport in (None, self._transport):
             self._transport.abort()
 
     def exec(self, id: str, cls: str, body: bytes, repeatable: bool) -> None:
-        """Run a request. What must not run twice is not written twice: its end or due time decides."""
+        """Start a run. An EXEC that is not repeatable is written once: a notice or the deadline ends the request."""
         self._session.command(id, line("EXEC", id, cls, body=body), repeatable)
 
     def kill(self, id: str) -> None:
@@ -52,23 +55,23 @@
         self._session.command(id, line("KILL", id), True)
 
     def give_back(self, id: str, reply: bytes) -> None:
-        """The reply to the call that a run waits for."""
+        """Send the reply to the call that a run waits for."""
         self._session.answer_call(id, reply)
 
     def bypass(self, id: str, notice: int) -> None:
-        """Go on without the call."""
+        """Let a run continue without its call."""
         self._session.command(id, line("BYPASS", id, notice), True)
 
     def resolve(self, id: str) -> None:
-        """A request is over: have the executor say what became of its run, should that be in doubt."""
+        """Have the executor report the run of a request that has ended, if its EXEC is unconfirmed."""
         self._session.resolve(id)
 
     def meter(self) -> bool:
-        """Ask for the gauges."""
+        """Request the gauges; return False while no executor is connected."""
         return self._session.meter()
 
     async def run(self) -> None:
-        """Connect, and again whenever the link is lost, until cancelled."""
+        """Connect, and reconnect with a growing delay when the link is lost, until cancelled."""
         loop = asyncio.get_running_loop()
         delay = MIN_RECONNECT_DELAY_S
         while True:
@@ -79,7 +82,7 @@
             except OSError:
                 self._counters.add("executor.refused")
             else:
-                if address != self._address:  # moved while it was met: nobody would leave this link
+                if address != self._address:  # the address changed while connecting, when there was no link to close
                     writer.transport.abort()
                     continue
                 delay = MIN_RECONNECT_DELAY_S
@@ -114,6 +117,6 @@
         except ProtocolError as error:
             self._counters.add("executor.malformed")
             self._log.event("executor.malformed", why=str(error))
-        except Exception as error:  # noqa: BLE001  whatever it is, it is counted and logged here
+        except Exception as error:  # noqa: BLE001  any fault of the handlers is counted and logged; the link reconnects
             self._counters.add("errors")
             self._log.event("executor.error", error=repr(error))
--- a/chutepin/net/executor/repeated_returns.py
+++ b/chutepin/net/executor/repeated_returns.py
@@ -1,73 +1,74 @@
-"""RETURNs that are written once more after a lost link, and whether one was taken for the reply to another call."""
+"""RETURNs repeated after a lost link, and whether the executor applied one to a later call."""
 
 from __future__ import annotations
 
 from enum import Enum, auto
 
-MAX_RUNS = 4000  # with a wrong reply, of which the end is awaited; the executor keeps as many notices
+MAX_RUNS = 4000  # unfinished runs with a wrong reply that are remembered; the executor keeps as many notices
 
 
 class CallState(Enum):
-    """What a repeated RETURN means for the call that a run asks for."""
+    """How a call that a run requests is affected by a repeated RETURN."""
 
-    OPEN = auto()  # nothing: the call is to be made
-    IN_DOUBT = auto()  # it may have answered the call, which is to be made, though the run's result is worth nothing
-    ANSWERED = auto()  # it answers the call, and the run goes on without it
+    OPEN = auto()  # not affected: the call must be made
+    IN_DOUBT = auto()  # may have been answered: the call must be made, but the result of the run is discarded
+    ANSWERED = auto()  # answered by the RETURN: the run continues with the wrong reply, the call is not made
 
 
 class RepeatedReturns:
-    """Tells which runs got, or may have got, the reply to an earlier call.
+    """Tracks which runs received, or may have received, the reply to an earlier call.
 
-    Whether the executor read a RETURN of a lost link isn't known, so it is written again. If it had read the first, the
-    second does nothing, unless the run has asked for its next call by then: that call gets the earlier reply.
+    After a link is lost it is unknown whether the executor read a RETURN, so the RETURN is written again. If the
+    executor had read the first one, it ignores the second, unless the run has requested its next call by then: that
+    call receives the earlier reply.
 
-    A METER is written right before each repeated RETURN. A call that arrives before the answer to that METER was
-    asked for before the RETURN was read, so that the RETURN answers it. Where the link is lost before that answer,
-    nothing tells."""
+    A METER is written directly before each repeated RETURN. A call that arrives before the answer to that METER was
+    requested before the RETURN was read, so the RETURN answers it. If the link is lost before the answer to the
+    METER, the outcome remains unknown."""
 
     def __init__(self) -> None:
-        self._unread_until: dict[str, int] = {}  # the METER whose answer shows that the RETURN after it is being read
-        self._in_doubt: set[str] = set()  # runs whose repeated RETURN went with a link that was lost
-        self._wrongly_answered: dict[str, None] = {}  # runs, oldest first
+        self._pending: dict[str, int] = {}  # run to the unanswered METER before its repeated RETURN
+        self._in_doubt: set[str] = set()  # runs whose link was lost after a repeated RETURN
+        self._runs_with_wrong_reply: dict[str, None] = {}  # runs, oldest first
 
     def written(self, id: str, meter: int) -> None:
-        """Note that a RETURN was written once more, right behind this METER."""
-        self._unread_until[id] = meter
+        """Record that a RETURN was repeated directly after this METER."""
+        self._pending[id] = meter
 
     def meter_answered(self, meter: int) -> None:
-        """Note that this METER and all before it were read."""
-        self._unread_until = {id: until for id, until in self._unread_until.items() if until > meter}
+        """Record that the executor read this METER and all earlier ones."""
+        self._pending = {id: guard_meter for id, guard_meter in self._pending.items() if guard_meter > meter}
 
     def link_lost(self) -> None:
-        """Note that what was written may not be read."""
-        self._in_doubt.update(self._unread_until)
-        self._unread_until.clear()
+        """Record that RETURNs whose METER is unanswered may not have been read."""
+        self._in_doubt.update(self._pending)
+        self._pending.clear()
 
     def link_synced(self) -> None:
-        """Note that all calls that were asked for on lost links are known."""
+        """Record that all calls requested on lost links have been received."""
         self._in_doubt.clear()
 
     def call_wanted(self, id: str) -> CallState:
-        """Return whether a repeated RETURN answers the call that a run asks for."""
-        if self._unread_until.pop(id, None) is not None:
-            self._remember_wrong(id)
+        """Return whether a repeated RETURN answers the call that a run requests."""
+        if self._pending.pop(id, None) is not None:
+            self._record_wrong_reply(id)
             return CallState.ANSWERED
         if id in self._in_doubt:
             self._in_doubt.discard(id)
-            self._remember_wrong(id)
+            self._record_wrong_reply(id)
             return CallState.IN_DOUBT
         return CallState.OPEN
 
     def run_ended(self, id: str) -> bool:
-        """Forget a run that is over; return whether it went on with a wrong reply, or may have."""
-        self._unread_until.pop(id, None)
+        """Forget a run that has ended; return whether it received, or may have received, a wrong reply."""
+        self._pending.pop(id, None)
         self._in_doubt.discard(id)
-        if id not in self._wrongly_answered:
+        if id not in self._runs_with_wrong_reply:
             return False
-        del self._wrongly_answered[id]
+        del self._runs_with_wrong_reply[id]
         return True
 
-    def _remember_wrong(self, id: str) -> None:
-        self._wrongly_answered[id] = None
-        if len(self._wrongly_answered) > MAX_RUNS:
-            del self._wrongly_answered[next(iter(self._wrongly_answered))]
+    def _record_wrong_reply(self, id: str) -> None:
+        self._runs_with_wrong_reply[id] = None
+        if len(self._runs_with_wrong_reply) > MAX_RUNS:
+            del self._runs_with_wrong_reply[next(iter(self._runs_with_wrong_reply))]
--- a/chutepin/net/executor/session.py
+++ b/chutepin/net/executor/session.py
@@ -1,8 +1,7 @@
-"""The protocol with the executor without a socket: commands out, numbered notices in.
+"""The executor protocol without a socket: commands out, numbered notices in.
 
-A command that was written to a link is confirmed once a `METERS` answers a later `METER` of the same link:
-the executor reads in order. What was not confirmed when the link broke may or may not have been read.
-"""
+The executor reads commands in order, so a command is confirmed once a `METERS` answers a later `METER` of the same
+link. A command that is unconfirmed when its link is lost may or may not have been read."""
 
 from __future__ import annotations
 
@@ -18,46 +17,47 @@
 from .repeated_returns import CallState, RepeatedReturns
 
 MAX_BODY_BYTES = 64 * 1024
-MAX_LINE_BYTES = 16 * 1024  # a LOG may be longer than any other line; refused, it would come again on each link
+MAX_LINE_BYTES = 16 * 1024  # LOG lines are the longest; a rejected one would arrive again on each new link
 _ENDS = {"complete": End.OK, "error": End.ERROR, "cancelled": End.CANCELLED, "unknown": End.NEVER}
 
 
 class NoticeHandler(Protocol):
-    """Handles the notices of the executor."""
+    """The receiver of the executor's notices."""
 
     def executor_started(self, cold: bool, born: float) -> None:
-        """The executor is up since `born`, warming up or not."""
+        """Handle a new executor process that has been up since `born`; `cold` while it warms up."""
 
     def run_ended(self, id: str, end: End, elapsed: float, result: bytes) -> None:
-        """A run is over after `elapsed` seconds."""
+        """Handle the end of a run after `elapsed` seconds."""
 
     def call_wanted(self, id: str, notice: int, body: bytes) -> None:
-        """A run needs a call with this body; `notice` is the number to bypass it by."""
+        """Handle a run's request for a call with this body; `notice` is the number by which to bypass it."""
 
     def command_not_carried_out(self, command: str, id: str) -> None:
-        """The executor did not carry out a command."""
+        """Handle a command that the executor could not carry out."""
 
     def gauges_received(self, values: tuple[float, ...]) -> None:
-        """The gauges, in the order of the settings."""
+        """Handle the gauges, in the order of the settings."""
 
 
 @dataclass(slots=True)
 class Command:
-    """A command that is not confirmed."""
+    """A command that is not yet confirmed."""
 
     id: str
     data: bytes
-    repeatable: bool  # may be written twice
-    answers_call: bool = False  # a RETURN
+    repeatable: bool  # may be written again on a new link
+    answers_call: bool = False  # the command is a RETURN
     written: bool = False
-    in_doubt: bool = False  # written on a link that was lost, perhaps read
+    in_doubt: bool = False  # written on a lost link, so it may have been read
     confirmed_by: int = 0  # the number of the METER whose answer confirms it
 
 
 class Session:
-    """The protocol without a socket: what to write for each command, and what each notice means.
+    """The state of the protocol across links: which commands are unconfirmed and which notices have been handled.
 
-    Guards against notices lost or taken twice (by number) and against commands lost with a link."""
+    Notice numbers prevent a notice from being lost or handled twice; unconfirmed commands survive the loss of a
+    link."""
 
     def __init__(self, clock: Clock, counters: Counters, log: Log, stopped_runs_can_resume: bool) -> None:
         self._clock, self._counters, self._log = clock, counters, log
@@ -68,12 +68,12 @@
         self._last_meter = 0
         self._commands: list[Command] = []
         self._welcomed = False
-        self._unconfirmed_runs: dict[str, Command] = {}  # EXECs that may or may not have been read, by id
-        self._probed_until: dict[str, int] = {}  # of those, stopped to find out: the METER by which a run shows
-        self._probe_stops_until: dict[str, int] = {}  # the METER until whose answer a stop may be that of a probe
+        self._unconfirmed_runs: dict[str, Command] = {}  # EXECs that may or may not have been read, by request id
+        self._probes: dict[str, int] = {}  # probed run to the METER whose answer ends the probe
+        self._probe_kills: dict[str, int] = {}  # run to the METER until whose answer a stop counts as a probe's
         self._repeated_returns = RepeatedReturns()
-        self._sync_meter = -1  # the METER whose answer shows that all missed notices were read
-        self._quiesce_meter = -1  # the METER whose answer shows that all commands of a link to be left were read
+        self._sync_meter = -1  # its answer shows that all missed notices were received; -1 once answered
+        self._quiesce_meter = -1  # its answer shows that all commands of a link to be closed were read
         self.on_quiesced: Callable[[], None] = lambda: None
         self.send: Callable[[bytes], None] | None = None
 
@@ -83,38 +83,38 @@
 
     @property
     def synced(self) -> bool:
-        """Commands go out at once."""
+        """Whether commands are written at once instead of being queued."""
         return self.send is not None and self._welcomed and self._sync_meter < 0 and self._quiesce_meter < 0
 
     def quiesce(self) -> None:
-        """The link will be left: hold commands back, and tell once those written are known to be read.
+        """Queue further commands, and call `on_quiesced` once all written ones are confirmed.
 
-        Guards against doubt: a link left with commands in flight is like one that broke."""
-        if not self.synced:  # it carried nothing yet
+        Used before a link is closed: unconfirmed commands would be in doubt, as after a lost link."""
+        if not self.synced:  # the link has carried no commands yet
             self.on_quiesced()
             return
         self._quiesce_meter = self._last_meter + 1
         self.meter()
 
     def connected(self, send: Callable[[bytes], None]) -> None:
-        """A new link: join where the last one ended."""
+        """Start a new link: send JOIN with the number of the last notice handled."""
         self.send, self._welcomed, self._sync_meter, self._quiesce_meter = send, False, -1, -1
         self._parser = self._new_parser()
         send(line("JOIN", self._last_notice))
 
     def lost(self) -> None:
-        """The link is gone. What may have been read and must not be read twice is not written again."""
+        """End the link. A command that may have been read and is not repeatable is not written again."""
         self.send, self._welcomed, self._sync_meter, self._quiesce_meter = None, False, -1, -1
-        self._probed_until.clear()
+        self._probes.clear()
         self._repeated_returns.link_lost()
         self._unconfirmed_runs |= {c.id: c for c in self._commands if c.written and not c.repeatable}
         self._commands = [command for command in self._commands if command.repeatable or not command.written]
-        for command in self._commands:  # a METER on the next link says nothing of what this one carried
+        for command in self._commands:  # a METER on the next link does not confirm commands of this one
             command.in_doubt |= command.written
             command.written = False
 
     def command(self, id: str, data: bytes, repeatable: bool) -> None:
-        """Write a command, now or once the link is back."""
+        """Write a command now, or once the link is synced."""
         self._add(Command(id, data, repeatable))
 
     def answer_call(self, id: str, reply: bytes) -> None:
@@ -127,7 +127,7 @@
             self._write(command)
 
     def meter(self) -> bool:
-        """Request the gauges; false while no executor is connected."""
+        """Request the gauges; return False while no executor is connected."""
         if self.send is None or not self._welcomed:
             return False
         self._last_meter += 1
@@ -135,44 +135,47 @@
         return True
 
     def resolve(self, id: str) -> None:
-        """Write an unconfirmed EXEC once more, only for a request that is over.
+        """Write an unconfirmed EXEC again, for a request that has ended or a probe that found no run.
 
-        The executor leaves a run alone, and where there is none it starts nothing and reports that."""
+        The executor ignores the EXEC of an existing run. For a request that has ended it starts no run and reports
+        that."""
         if id in self._unconfirmed_runs and self.synced:
             self._counters.add("executor.resolved")
             self.command(id, self._unconfirmed_runs.pop(id).data, False)
 
     def _probe_unconfirmed_runs(self) -> None:
-        """Stop the unconfirmed runs, which pauses them.
+        """Stop the unconfirmed runs, which pauses them, to find out which ones exist.
 
-        One that had begun is reported and resumed; of one that is not reported nothing was read, and its EXEC is
-        written again.
+        A run that exists is reported as stopped and then resumed. If a run is not reported, its EXEC was not read and
+        is written again.
 
-        Guards against a run that nobody began keeping its place until its request is over. An EXEC written
-        again without asking could follow the end of the run and begin it a second time."""
+        Without the probe, a run that was never started would hold its place until its request ends. An EXEC written
+        again without the probe could arrive after the end of the run and start it a second time."""
         stopped = {command.id for command in self._commands if command.data.startswith(b"KILL ")}
         for id in self._unconfirmed_runs if self._stopped_runs_can_resume else ():
             assert self.send is not None
-            self._probed_until[id] = self._last_meter + 1
-            if id not in stopped:  # else the stop is meant, and was just written
+            self._probes[id] = self._last_meter + 1
+            if id not in stopped:  # otherwise the stop is requested, and was just written
                 self.send(line("KILL", id))
-                self._probe_stops_until[id] = self._last_meter + 1
-        if self._probed_until:
+                self._probe_kills[id] = self._last_meter + 1
+        if self._probes:
             self.meter()
 
-    def _expire_probes(self, mark: int) -> None:
-        """Give up probes that were not answered by this METER: their EXEC was not read."""
-        self._probe_stops_until = {
-            id: until for id, until in self._probe_stops_until.items() if until > mark or id in self._probed_until
+    def _expire_probes(self, meter: int) -> None:
+        """End the probes that are unanswered at this METER: their EXEC was not read and is written again."""
+        self._probe_kills = {
+            id: probe_meter
+            for id, probe_meter in self._probe_kills.items()
+            if probe_meter > meter or id in self._probes
         }
-        for id in [id for id, until in self._probed_until.items() if until <= mark]:
-            del self._probed_until[id]
-            self._probe_stops_until[id] = self._last_meter + 2  # should the stop show a little late
+        for id in [id for id, probe_meter in self._probes.items() if probe_meter <= meter]:
+            del self._probes[id]
+            self._probe_kills[id] = self._last_meter + 2  # the stop may still be reported late
             self.resolve(id)
 
     def forget_probe(self, id: str) -> None:
-        """From now on a stop of this run is intended."""
-        self._probe_stops_until.pop(id, None)
+        """Treat a later stop of this run as requested, not as the answer to a probe."""
+        self._probe_kills.pop(id, None)
 
     def _write(self, command: Command) -> None:
         assert self.send is not None
@@ -180,12 +183,12 @@
         if command.answers_call and command.in_doubt:
             self._last_meter += 1
             self._repeated_returns.written(command.id, self._last_meter)
-            data = line("METER", self._last_meter) + data  # in one piece: little can come between the two
+            data = line("METER", self._last_meter) + data  # one write, so that few notices can arrive between the two
         command.written, command.confirmed_by = True, self._last_meter + 1
         self.send(data)
 
     def received(self, data: bytes) -> None:
-        """Take in bytes from the executor. Raises ProtocolError."""
+        """Process bytes from the executor. Raises ProtocolError."""
         self._parser.feed(data)
         while (message := self._parser.next()) is not None:
             self._handle_notice(*message)
@@ -201,11 +204,11 @@
             case "EXIT":
                 end, elapsed = _ENDS.get(word(words, 3), End.ERROR), number(words, 4) / 1000
                 if self._is_new_notice(int(number(words, 1))):
-                    self._end_run(words[2], end, elapsed, body)
+                    self._handle_run_end(words[2], end, elapsed, body)
             case "CALLOUT":
                 notice = int(number(words, 1))
                 if self._is_new_notice(notice):
-                    self._want_call(word(words, 2), notice, body)
+                    self._handle_call(word(words, 2), notice, body)
             case "METERS":
                 self._handle_meters(int(number(words, 1)), tuple(number(words, i) for i in range(2, len(words))))
             case "BAD":
@@ -216,42 +219,42 @@
             case _:
                 raise ProtocolError(f"unknown notice {words[0][:20]}")
 
-    def _want_call(self, id: str, notice: int, body: bytes) -> None:
+    def _handle_call(self, id: str, notice: int, body: bytes) -> None:
         assert self.notices is not None
         state = self._repeated_returns.call_wanted(id)
         if state is not CallState.OPEN:
             self._log.event("executor.return_crossed", id=id, call=state.name.lower())
         if state is CallState.ANSWERED:
             self._counters.add("executor.returns_crossed")
-            return  # the RETURN stays a command until it is confirmed: the link may be lost before it is read
+            return  # the RETURN stays unconfirmed: the link may be lost before it is read
         if state is CallState.IN_DOUBT:
             self._counters.add("executor.returns_in_doubt")
         self._confirm_run(id)
-        self._probe_stops_until.pop(id, None)
+        self._probe_kills.pop(id, None)
         self.notices.call_wanted(id, notice, body)
 
-    def _end_run(self, id: str, end: End, elapsed: float, result: bytes) -> None:
+    def _handle_run_end(self, id: str, end: End, elapsed: float, result: bytes) -> None:
         assert self.notices is not None
         self._confirm_run(id)
-        if end is End.CANCELLED and self._probe_stops_until.pop(id, None) is not None:
+        if end is End.CANCELLED and self._probe_kills.pop(id, None) is not None:
             self._counters.add("executor.woken")
             self.command(id, line("WAKE", id), True)
             return
         if end is End.CANCELLED and self._stopped_runs_can_resume:
-            self.notices.run_ended(id, end, elapsed, result)  # it may go on, with what it was told
+            self.notices.run_ended(id, end, elapsed, result)  # the run may resume, with the reply that it received
         elif self._repeated_returns.run_ended(id):
             self.notices.run_ended(id, End.ERROR, elapsed, b"")
         else:
             self.notices.run_ended(id, end, elapsed, result)
 
     def _confirm_run(self, id: str) -> None:
-        """A notice shows that earlier commands for this run were read, or no longer matter."""
+        """Drop the commands of a run: a notice shows that they were read or no longer matter."""
         self._commands = [command for command in self._commands if command.id != id]
         self._unconfirmed_runs.pop(id, None)
-        self._probed_until.pop(id, None)
+        self._probes.pop(id, None)
 
     def _is_new_notice(self, number: int) -> bool:
-        """Each notice is taken once; a gap is counted (the executor keeps only the last 4,000)."""
+        """Return whether a notice is new; repeated and missed ones are counted (the executor keeps the last 4,000)."""
         if number <= self._last_notice:
             self._counters.add("executor.notices_again")
             return False
@@ -261,17 +264,17 @@
         self._counters.add("executor.notices")
         return True
 
-    def _handle_meters(self, mark: int, values: tuple[float, ...]) -> None:
+    def _handle_meters(self, meter: int, values: tuple[float, ...]) -> None:
         assert self.notices is not None
-        self._commands = [c for c in self._commands if not c.written or c.confirmed_by > mark]
-        if mark >= self._sync_meter >= 0:
+        self._commands = [c for c in self._commands if not c.written or c.confirmed_by > meter]
+        if meter >= self._sync_meter >= 0:
             self._sync_meter = -1
             self._repeated_returns.link_synced()
             for command in self._commands:
                 self._write(command)
             self._probe_unconfirmed_runs()
-        self._repeated_returns.meter_answered(mark)
-        self._expire_probes(mark)
-        if mark >= self._quiesce_meter >= 0:
+        self._repeated_returns.meter_answered(meter)
+        self._expire_probes(meter)
+        if meter >= self._quiesce_meter >= 0:
             self.on_quiesced()
         self.notices.gauges_received(values)
--- a/chutepin/net/records.py
+++ b/chutepin/net/records.py
@@ -1,4 +1,4 @@
-"""Calls to the records service, each on a connection of its own while there are enough."""
+"""Calls to the records service, each on its own connection while the descriptors allow."""
 
 from __future__ import annotations
 
@@ -15,71 +15,71 @@
 from .lines import LineParser, ProtocolError, line
 
 MAX_BODY_BYTES = 64 * 1024
-MAX_CALLS_PER_CONNECTION = 256  # after which it is closed; bounds the ids that it remembers
-FRESH_S = 0.1  # after a reply in which the service cannot have forgotten the connection
+MAX_CALLS_PER_CONNECTION = 256  # after which the connection is closed; bounds its finished ids
+RECENT_REPLY_S = 0.1  # after a reply, in which the service cannot have closed the connection as idle
 MAX_UNSENT_BYTES = 2 * 2**20
-IDLE_TIMEOUT_S = 8.0  # the service closes at 10, and a call that crosses the close would end unknown
-CONNECT_TIMEOUT_S = 2.0  # until a connection stands its calls have not run
-DEADLINE_GRACE_S = 0.03  # after a call's deadline in which the service's own PAST is awaited
+IDLE_TIMEOUT_S = 8.0  # the service closes after 10 s; the outcome of a call sent during the close is unknown
+CONNECT_TIMEOUT_S = 2.0  # calls of a connection that was not established have not run
+DEADLINE_GRACE_S = 0.03  # after a call's deadline, to receive the service's PAST reply
 READ_BYTES = 65536
 _ENDS = {"DONE": End.OK, "WAIT": End.REFUSED, "ERROR": End.ERROR, "PAST": End.LATE, "EMPTY": End.UNREACHABLE}
 
 
 class CallHandler(Protocol):
-    """Handles the ends of calls."""
+    """The receiver of the results of calls."""
 
     def call_ended(self, id: str, end: End, reply: bytes) -> None:
-        """A call is over."""
+        """Handle the end of a call."""
 
 
 @dataclass(slots=True)
 class Connection:
-    """One connection, its open calls, and the ids of earlier ones, whose replies may come late or twice."""
+    """One connection, its open calls, and the ids of earlier calls, whose replies may arrive late or twice."""
 
     calls: dict[str, Call] = field(default_factory=dict)
     finished_ids: set[str] = field(default_factory=set)
     writer: asyncio.StreamWriter | None = None
     last_used_at: float = 0.0
-    retired: bool = False  # takes no further call and ends with its last one
+    retired: bool = False  # carries no further calls and closes after its last one
 
     def can_carry(self, call: Call, now: float) -> bool:
-        """Whether this connection may carry a call.
+        """Return whether this connection may carry a call.
 
-        Guards a call against the replies to earlier ones for its id, and one that may not be repeated against a
-        connection that the service may have forgotten: a reset there proves nothing."""
-        fresh = not self.finished_ids or now - self.last_used_at < FRESH_S or call.repeatable
-        return not self.retired and call.id not in self.finished_ids and fresh
+        A call id must not be reused on a connection, as a late reply to the earlier call would be taken for the new
+        one's. A call that is not repeatable needs a new or recently used connection: the service may have closed an
+        idle one, and a reset there does not show whether the call ran."""
+        reusable = not self.finished_ids or now - self.last_used_at < RECENT_REPLY_S or call.repeatable
+        return not self.retired and call.id not in self.finished_ids and reusable
 
 
 @dataclass(slots=True)
 class Call:
-    """One call until it ends."""
+    """A call that has not ended."""
 
     id: str
     deadline: float
     body: bytes
     repeatable: bool
     written: bool = False
-    connection_proven: bool = True  # its connection was new, or received something after it was written
+    connection_proven: bool = True  # the connection was new, or received data after the call was written
 
 
 def _has_body(words: list[str]) -> bool:
     return len(words) > 2 or words[1:2] == ["DONE"]
 
 
-DESCRIPTOR_PART = "records"  # the name in the descriptor budget
+DESCRIPTOR_PART = "records"  # this module's name in the descriptor budget
 
 
 def _default_budget(max_connections: int) -> DescriptorBudget:
-    """A budget for connections alone; old ones stand beside those that take their places until they have closed."""
+    """Return a budget for connections alone, with room for old ones that close beside their successors."""
     return DescriptorBudget(2 * max_connections + 8, {DESCRIPTOR_PART: (0, 2 * max_connections)})
 
 
 class RecordsService:
-    """Makes calls, each on a connection of its own while the descriptors allow.
+    """Makes calls, each on its own connection while the descriptors allow, so that a bad reply fails no other call.
 
-    What spoils one reply then costs no other call. At a node of the last tier, which has no such address, calls end
-    unreachable."""
+    A node of the last tier has no records service: its calls end as unreachable."""
 
     def __init__(
         self,
@@ -94,12 +94,12 @@
         self._max_connections = max_connections
         self._descriptors = descriptors or _default_budget(max_connections)
         self.listener: CallHandler | None = None
-        self._connections: list[Connection] = []  # the last used one last
+        self._connections: list[Connection] = []  # least recently used first
         self._timers: dict[str, asyncio.TimerHandle] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
     def call(self, id: str, deadline: float, body: bytes, repeatable: bool) -> None:
-        """Make a call for a request; it ends in one `call_ended`, at the latest just after its deadline."""
+        """Make a call for a request. It ends in one `call_ended`, shortly after its deadline at the latest."""
         loop = asyncio.get_running_loop()
         self._timers[id] = loop.call_at(
             loop.time() + deadline + DEADLINE_GRACE_S - self._clock.now(), self._time_out, id
@@ -116,7 +116,7 @@
             self._write(connection, call)
 
     def move(self, address: Address | None) -> None:
-        """From now on calls go to this address; those in flight may end where they are."""
+        """Send further calls to this address; calls in flight may finish on the old connections."""
         if address == self._address:
             return
         self._address = address
@@ -125,9 +125,9 @@
         self.close_idle()
 
     def give_up(self, id: str) -> None:
-        """Give up a call that nobody needs any more.
+        """Abandon a call.
 
-        Its connection is closed, or the call is taken back where others share the connection."""
+        Its connection is closed, or the call is withdrawn by UNOP if other calls share the connection."""
         if (timer := self._timers.pop(id, None)) is not None:
             timer.cancel()
         for connection in self._connections:
@@ -142,33 +142,33 @@
                 connection.writer.transport.abort()
 
     def _time_out(self, id: str) -> None:
-        """Guards against a connection that has gone silent: it gets no further calls."""
+        """End a call as late and retire its connection, which may have stopped responding."""
         for connection in self._connections:
             connection.retired = connection.retired or id in connection.calls
         self.give_up(id)
         self._end(id, End.LATE)
 
     def _connection_for(self, call: Call) -> Connection | None:
-        """The idle connection that was used last, else a new one, else that with the fewest calls.
+        """Return the most recently used idle connection, else a new one, else the one with the fewest calls.
 
-        An idle one that does not take the call gives its place to a new one: else calls shared a connection, or ended
-        unreachable, while places were idle."""
+        At the connection limit, an idle connection that may not carry the call is closed in favour of a new one.
+        Otherwise calls would share a connection, or end as unreachable, while connections were idle."""
         now = self._clock.now()
-        fit = [connection for connection in self._connections if connection.can_carry(call, now)]
-        idle = [connection for connection in fit if not connection.calls]
+        usable = [connection for connection in self._connections if connection.can_carry(call, now)]
+        idle = [connection for connection in usable if not connection.calls]
         if idle:
             return idle[-1]
         if sum(not c.retired for c in self._connections) >= self._max_connections:
-            unfit = next((c for c in self._connections if not (c.calls or c.retired) and c.writer is not None), None)
-            if unfit is not None:
-                self._close(unfit)
+            unusable = next((c for c in self._connections if not (c.calls or c.retired) and c.writer is not None), None)
+            if unusable is not None:
+                self._close(unusable)
             else:
-                return min(fit, key=lambda connection: len(connection.calls), default=None)
+                return min(usable, key=lambda connection: len(connection.calls), default=None)
         if self._address is None:
             return None
-        if not self._descriptors.acquire(DESCRIPTOR_PART):  # shared, or ended unreachable: it has not run then
+        if not self._descriptors.acquire(DESCRIPTOR_PART):  # the call shares a connection or ends as unreachable
             self._counters.add("records.no_descriptor")
-            return min(fit, key=lambda connection: len(connection.calls), default=None)
+            return min(usable, key=lambda connection: len(connection.calls), default=None)
         connection = Connection(last_used_at=now)
         self._connections.append(connection)
         task = asyncio.get_running_loop().create_task(self._serve(connection, self._address))
@@ -187,7 +187,7 @@
             connection.writer.transport.abort()
 
     async def _serve(self, connection: Connection, address: Address) -> None:
-        connected = False  # until then no call can have run
+        connected = False  # calls have not run before the connection is established
         try:
             async with asyncio.timeout_at(asyncio.get_running_loop().time() + CONNECT_TIMEOUT_S):
                 reader, connection.writer = await asyncio.open_connection(address.host, address.port)
@@ -214,16 +214,16 @@
                 connection.writer.transport.abort()
         for call in connection.calls.values():
             if not call.connection_proven and call.repeatable:
-                # The service had forgotten the idle connection; and should the call have run, it may again.
+                # The service had closed the idle connection. Even if the call has run, it may be repeated.
                 self._counters.add("records.again")
                 self._assign(call)
-            else:  # what was never written has not run; of what was, nothing is proved
+            else:  # a call that was not written has not run; the outcome of a written one is unknown
                 self._end(call.id, End.BROKEN if call.written else End.UNREACHABLE)
 
     def _reply(self, connection: Connection, words: list[str], body: bytes) -> None:
         end = _ENDS.get(words[1]) if len(words) > 1 else None
         if end is None:
-            raise ProtocolError("unknown reply")
+            raise ProtocolError("unknown reply to a call")
         id = words[0]
         if connection.calls.pop(id, None) is None:
             self._counters.add("records.unasked")
@@ -244,7 +244,7 @@
         self.listener.call_ended(id, end, body)
 
     def close_idle(self) -> None:
-        """Close connections that carried nothing of late, before the service does, and retired ones."""
+        """Close retired connections without calls, and idle ones before the service closes them."""
         now = self._clock.now()
         for connection in list(self._connections):
             idle = not connection.calls and (connection.retired or now - connection.last_used_at > IDLE_TIMEOUT_S)
@@ -253,7 +253,9 @@
 
     @staticmethod
     def _close(connection: Connection) -> None:
-        """Close an idle one. It is in the list until the loop has its turn, and takes no call any more."""
+        """Close an idle connection.
+
+        It stays in the list until its task has run, and is retired so that it carries no further call."""
         if connection.writer is not None:
             connection.retired = True
-            connection.writer.transport.abort()  # what is unsent is wanted by no call; a close would wait for it
+            connection.writer.transport.abort()  # unsent bytes belong to no open call, and `close` would wait for them
--- a/chutepin/net/resp/__init__.py
+++ b/chutepin/net/resp/__init__.py
@@ -1,7 +1,7 @@
-"""The platform's wire to balancers: requests as RESP arrays of bulk strings.
+"""RESP connections with balancers: requests and answers as arrays of bulk strings.
 
-`parser` and `messages` are the codec, `connection` the protocol without a socket, `listener` accepts and ends
-connections. All rules about requests are the broker's."""
+`parser` and `messages` are the codec, `connection` the protocol without a socket, `listener` accepts, limits and
+closes connections. Decisions about requests are made by the broker."""
 
 from .connection import Connection
 from .listener import RespListener
--- a/chutepin/net/resp/connection.py
+++ b/chutepin/net/resp/connection.py
@@ -1,4 +1,4 @@
-"""One balancer's connection as a state machine without a socket: bytes in, messages and answers out."""
+"""The sans-I/O state machine of one balancer connection: bytes in, requests to the broker, answers out."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from .messages import BYE, format_answer
 from .parser import RespParser
 
-MESSAGE_TIMEOUT_S = 5.0  # in which a message that has begun must be complete, the first one apart
+MESSAGE_TIMEOUT_S = 5.0  # to complete a partly received message; the first message has its own limit
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the listener that owns it."""
+    """The listener, as its connections use it."""
 
     broker: Broker
     clock: Clock
@@ -29,40 +29,42 @@
     table: ConnectionTable
 
     def record(self, connection: Connection, sent: bool, data: bytes) -> None:
-        """Pass bytes to the recorder, if there is one."""
+        """Pass the bytes to the recorder, if one is set."""
 
     def handle_message(self, connection: Connection, items: list[bytes]) -> None:
-        """Handle one message. Raises ProtocolError."""
+        """Handle one parsed message. Raises ProtocolError."""
 
     def accept_proxied(self, connection: Connection, address: bytes) -> bool:
-        """Judge the address that a relay has sent; false if the connection must end."""
+        """Admit the client address that a relay sent; return False if the connection must close."""
 
     def update_deadline(self, connection: Connection) -> None:
-        """Look at the connection again when a time of it may be over."""
+        """Recompute when the connection must next be checked for a timeout."""
 
 
 @dataclass(slots=True)
 class Connection:
-    """One balancer's connection: the state of the protocol, and how to write. It knows no socket."""
+    """The protocol state of one balancer connection, without a socket; `write` sends bytes to the balancer."""
 
     listener: ConnectionOwner
     write: Callable[[bytes], None]
     parser: RespParser = field(default_factory=RespParser)
-    open: dict[bytes, str] = field(default_factory=dict)  # tag to request id
+    open_requests: dict[bytes, str] = field(default_factory=dict)  # tag to request id
     last_used_at: float = 0.0
     last_answer_at: float = 0.0
     carries_health_checks: bool = False
     bye_sent_at: float | None = None
-    closing: bool = False  # reads no more requests; closes once none is open
-    close_at: float = math.inf  # when it is closed, whatever its peer does, after the last answer
-    message_deadline: float = math.inf  # by which the awaited or partly received message must be complete
-    has_valid_message: bool = False  # a request that could be accepted, or a health check
-    time_shift_s: float = 0.0  # added to the times of its requests
-    key: int = 0  # in the listener's tables; 0 has no socket
-    proxy: ProxyHead | None = None  # what a relay sends first
+    closing: bool = False  # no more requests are read; the connection closes once no request is open
+    close_at: float = math.inf  # after the last answer: when the connection is closed even if the peer has not
+    message_deadline: float = math.inf  # for the first or a partly received message to be complete
+    has_valid_message: bool = False  # a well-formed request or a health check has been received
+    time_shift_s: float = 0.0  # added to the timestamps of the requests, for a replay
+    key: int = 0  # of this connection in the listener's tables; 0 for a replay, which has no socket
+    proxy: ProxyHead | None = None  # parser of the PROXY header, until a relay has sent it
 
     def received(self, data: bytes) -> None:
-        """Take in bytes. Malformed input ends the reading, and every open request is failed at once."""
+        """Process received bytes.
+
+        Malformed input stops all further reading from the connection and fails its open requests at once."""
         self.listener.record(self, False, data)
         if self.proxy is not None:
             try:
@@ -85,7 +87,7 @@
         except ProtocolError as error:
             self._reject_malformed(str(error))
         if complete or self.message_deadline == math.inf:
-            # Guards the table of connections against messages that begin and never end, however slowly they come.
+            # Keeps a peer that sends a message byte by byte from holding its place in the connection table.
             self.message_deadline = self.listener.clock.now() + MESSAGE_TIMEOUT_S if self.parser.partial else math.inf
         self.listener.update_deadline(self)
 
@@ -96,24 +98,24 @@
         self.abort()
 
     def abort(self) -> None:
-        """Fail every open request, ask the balancer to close, and read no more."""
+        """Fail every open request, send BYE and read no more requests."""
         self.closing = True
-        for tag, id in list(self.open.items()):
+        for tag, id in list(self.open_requests.items()):
             self.listener.broker.caller_disconnected(id)
             self.answer(tag, Answer(Verdict.FAILED, value=self.listener.broker.value))
         self.send_bye(self.listener.clock.now())
 
     def answer(self, tag: bytes, answer: Answer) -> None:
-        """Write the one answer to a tag, unless its caller has cancelled."""
-        if self.open.pop(tag, None) is not None:
+        """Write the answer of the open request with this tag; do nothing if the request was cancelled."""
+        if self.open_requests.pop(tag, None) is not None:
             self.write(format_answer(tag, answer))
             self.last_answer_at = self.listener.clock.now()
-            if not self.open:
+            if not self.open_requests:
                 self.listener.table.answered(self.key)
                 self.listener.update_deadline(self)
 
     def send_bye(self, now: float) -> None:
-        """Ask the balancer to send nothing more here and to close."""
+        """Send BYE, once: a request to the balancer to send nothing more here and to close the connection."""
         if self.bye_sent_at is None:
             self.bye_sent_at = now
             self.write(BYE)
@@ -122,7 +124,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Who gets a request's answer: a tag on a connection."""
+    """The destination of one request's answer: a tag on a connection."""
 
     connection: Connection
     tag: bytes
--- a/chutepin/net/resp/listener.py
+++ b/chutepin/net/resp/listener.py
@@ -1,4 +1,4 @@
-"""The listener for balancers: accepts their connections, bounds them, and ends them in order."""
+"""The listener for balancers: accepts connections, limits their number and resources, and closes them in order."""
 
 from __future__ import annotations
 
@@ -35,24 +35,24 @@
 from .timeouts import DRAIN_READ_S, Expired, expired, next_deadline
 from .unsent import UnsentLimit
 
-MAX_OPEN_REQUESTS = 64  # on one connection; balancers keep to 32
+MAX_OPEN_REQUESTS = 64  # on one connection; balancers limit themselves to 32
 READER_LIMIT_BYTES = 65536
-SWEEP_INTERVAL_S = 0.25  # between looks at idle connections
-FIRST_MESSAGE_TIMEOUT_S = 2.0  # in which a new connection must have sent a complete message
+SWEEP_INTERVAL_S = 0.25  # between checks for idle connections
+FIRST_MESSAGE_TIMEOUT_S = 2.0  # for a new connection to send its first complete message
 DESCRIPTOR_PART = "front"  # the listener's name in the descriptor budget
 
 
 class Recorder(Protocol):
-    """Records all bytes of the connections, each known by a number."""
+    """Records the bytes of connections; a connection is identified by a number."""
 
     def opened(self, key: int) -> None:
-        """A connection was opened."""
+        """Record that a connection was opened."""
 
     def passed(self, key: int, sent: bool, data: bytes) -> None:
-        """The node sent or received these bytes."""
+        """Record bytes that the node sent or received."""
 
     def closed(self, key: int) -> None:
-        """The connection was closed."""
+        """Record that a connection was closed."""
 
 
 class RespListener:
@@ -77,74 +77,74 @@
         self.connections: dict[int, Connection] = {}
         self._acceptor: Acceptor | None = None
         self._links: dict[int, SocketLink] = {}
-        self._making_room: set[int] = set()  # keys of connections that are being closed for newcomers
+        self._evicted: set[int] = set()  # evicted connections that still hold a descriptor
         self._keys = itertools.count(1)
         self._tasks: set[asyncio.Task[None]] = set()
         self._deadlines = Deadlines()
-        self._idle_after = math.inf  # the module's, when it was last looked at
+        self._swept_idle_timeout_s = math.inf  # idle timeout of the decision module at the last sweep
         self._unsent = UnsentLimit(self._unsent_bytes)
         self.recorder: Recorder | None = None
-        self._replays_ending: list[Connection] = []  # from a file that has no more for them
+        self._finished_replays: list[Connection] = []  # replayed connections whose input has ended
 
     def handle_message(self, connection: Connection, items: list[bytes]) -> None:
         """Handle one message from a balancer. Raises ProtocolError."""
         if len(items) < 2 or not items[1].isdigit() or len(items[1]) > 19:
-            raise ProtocolError("no tag")
+            raise ProtocolError("message has no valid tag")
         verb, tag = items[0], items[1]
         connection.last_used_at = self.clock.now()
         if verb == CALL:
-            if tag in connection.open or len(connection.open) >= MAX_OPEN_REQUESTS:
-                raise ProtocolError("a tag that is open, or too many")
+            if tag in connection.open_requests or len(connection.open_requests) >= MAX_OPEN_REQUESTS:
+                raise ProtocolError("tag is already open, or too many open requests")
             request = parse_call(items)
             connection.has_valid_message = True
             request.arrived += connection.time_shift_s
             request.due += connection.time_shift_s
-            connection.open[tag] = request.id
+            connection.open_requests[tag] = request.id
             self.table.message_received(connection.key, connection.last_used_at, ConnectionUsage.REQUESTS, True)
             self.broker.pick(request, Reply(connection, tag))
         elif verb == CANCEL:
             self.counters.add("cancels")
-            if (id := connection.open.pop(tag, None)) is not None:
+            if (id := connection.open_requests.pop(tag, None)) is not None:
                 self.broker.caller_disconnected(id)
-            self.table.message_received(connection.key, connection.last_used_at, None, bool(connection.open))
+            self.table.message_received(connection.key, connection.last_used_at, None, bool(connection.open_requests))
         elif verb == HEALTH:
             self.counters.add("checks")
             connection.carries_health_checks = connection.has_valid_message = True
             self.table.message_received(
-                connection.key, connection.last_used_at, ConnectionUsage.CHECKS, bool(connection.open)
+                connection.key, connection.last_used_at, ConnectionUsage.CHECKS, bool(connection.open_requests)
             )
             connection.write(format_health(tag, self.healthy, self.broker.value))
         else:
-            raise ProtocolError("an unknown verb")
+            raise ProtocolError("unknown verb")
 
     @property
     def healthy(self) -> bool:
-        """How health checks are answered: by the module's view and the process's state."""
+        """The answer to health checks: the decision module and the process both report healthy."""
         return self.broker.status.is_healthy and self._lifecycle.healthy
 
     def record(self, connection: Connection, sent: bool, data: bytes) -> None:
-        """Pass bytes to the recorder, if there is one."""
+        """Pass the bytes to the recorder, if one is set."""
         if self.recorder is not None:
             self.recorder.passed(id(connection), sent, data)
 
-    def replayed(self, shift: float) -> Connection:
-        """A connection that comes from a file: read and answered like any other, but without a socket."""
+    def open_replay(self, shift: float) -> Connection:
+        """Open a connection whose input is replayed from a file: served like any other, but without a socket."""
         connection = Connection(self, lambda data: self.record(connection, True, data), time_shift_s=shift)
         if self.recorder is not None:
             self.recorder.opened(id(connection))
         self.counters.add("replay.connections")
         return connection
 
-    def replay_ended(self, connection: Connection) -> None:
-        """Nothing more comes on it; what is open is still answered."""
+    def finish_replay(self, connection: Connection) -> None:
+        """Mark a replayed connection as finished; its open requests are still answered."""
         connection.closing = True
-        self._replays_ending.append(connection)
+        self._finished_replays.append(connection)
         self.close_replayed()
 
     def close_replayed(self) -> None:
-        """Close ended connections on which all is answered."""
-        for connection in [c for c in self._replays_ending if not c.open]:
-            self._replays_ending.remove(connection)
+        """Close finished replayed connections that have no open requests."""
+        for connection in [c for c in self._finished_replays if not c.open_requests]:
+            self._finished_replays.remove(connection)
             if self.recorder is not None:
                 self.recorder.closed(id(connection))
 
@@ -155,40 +155,41 @@
         self._acceptor = acceptor
 
     def adopt(self, sockets: list[socket.socket]) -> None:
-        """Accept balancers on sockets that another process of this node listened on."""
+        """Accept balancers on listening sockets inherited from another process of this node."""
         if self._acceptor is None:
             self._acceptor = Acceptor(self, BYE, self.counters, self.log, self._has_descriptor)
         self._acceptor.adopt(sockets)
 
     @property
     def listeners(self) -> list[socket.socket]:
-        """The sockets that are listened on."""
+        """The listening sockets."""
         return self._acceptor.sockets if self._acceptor is not None else []
 
     def yield_ownership(self) -> None:
-        """Another process accepts from now on: ask that nothing more be sent on the open connections."""
+        """Stop accepting, as another process of this node takes over, and send BYE on the open connections."""
         if self._acceptor is not None:
             self._acceptor.pause()
         for connection in self.connections.values():
             connection.send_bye(self.clock.now())
 
     def resume_ownership(self) -> None:
-        """Accept again."""
+        """Accept connections again."""
         if self._acceptor is not None:
             self._acceptor.resume()
 
     def _has_descriptor(self, dropped: int) -> bool:
-        """One is free, or few are about to be: connections that made room hold theirs for some turns of the loop.
+        """Return whether a descriptor is free, or few evicted connections still hold theirs.
 
-        Guards what others have reserved: under a flood the many that are being closed would take it, and a report, the
-        executor's link or a call that has to connect just then would find no descriptor."""
-        return self.descriptors.available(DESCRIPTOR_PART) > dropped or len(self._making_room) + dropped < MAX_CLOSING
+        An evicted connection keeps its descriptor for some iterations of the event loop. Under a flood the many
+        evicted connections would otherwise use up the descriptors that others have reserved, and a report, the
+        executor link or a call to the records service could not connect."""
+        return self.descriptors.available(DESCRIPTOR_PART) > dropped or len(self._evicted) + dropped < MAX_CLOSING
 
     def decide(self, address: bytes, short: bool) -> AcceptDecision:
-        """The table and the descriptors have room for a newcomer, or some is made.
+        """Decide whether a new connection fits the table and the descriptors, evicting another one if needed.
 
-        Who breaks a rule is told. Where the table is merely full the newcomer is dropped without a word: an honest
-        balancer may have a request on its way, which a close in order would lose."""
+        A peer that breaks a rule is sent BYE. If the table is merely full, the connection is dropped without an
+        answer: an honest balancer may have a request in flight, which an orderly close would lose."""
         now = self.clock.now()
         self.table.limit = max(
             1,
@@ -200,7 +201,7 @@
         verdict = self.table.admit(now, address)
         evict = verdict.evict
         if verdict.rejection is None and short and evict is None:
-            # The process has no descriptor left, whatever the table says: who is known may have that of another.
+            # The process has no free descriptor, although the table has room: a known address may evict a connection.
             evict = self.table.evictable_below(now, address)
             if evict is None:
                 self.table.rejections[RejectionReason.DESCRIPTORS] += 1
@@ -218,9 +219,10 @@
         return AcceptDecision.SERVE
 
     def _evict(self, key: int, now: float) -> bool:
-        """Close a connection to make room for another; false for one on which something has just come.
+        """Close a connection to make room for a new one; return False if the connection has unread input.
 
-        One that never sent anything sound gains nothing so: it would keep its place by trickling."""
+        Unread input does not protect a connection without a valid message, which could otherwise keep its place by
+        sending a byte at a time."""
         link = self._links.get(key)
         if link is not None and self.connections[key].has_valid_message and link.has_unread_input():
             return False
@@ -230,15 +232,15 @@
         self._links.pop(key, None)
         self._deadlines.cancel(key)
         connection.send_bye(now)
-        connection.closing = True  # what still comes is as unread: no answer could be written
+        connection.closing = True  # further input is discarded: its answers could not be written
         if link is not None:
             link.close()
-        if link is None or not link.transport.get_write_buffer_size():  # else its peer decides when it ends
-            self._making_room.add(key)
+        if link is None or not link.transport.get_write_buffer_size():  # otherwise the close waits for the peer to read
+            self._evicted.add(key)
         return True
 
     def serve(self, sock: socket.socket, address: bytes) -> None:
-        """Take over a connection that was admitted."""
+        """Serve a socket whose connection was admitted."""
         now, key = self.clock.now(), next(self._keys)
         relay = address in self.table.rules.relays
         connection = Connection(
@@ -267,7 +269,7 @@
         reader: CountingReader,
         protocol: asyncio.StreamReaderProtocol,
     ) -> None:
-        """A connection's life, from its socket to its end."""
+        """Run one connection from its accepted socket to the release of its resources."""
         transport: asyncio.Transport | None = None
         try:
             transport, _ = await asyncio.get_running_loop().connect_accepted_socket(lambda: protocol, sock)
@@ -277,60 +279,61 @@
             self.counters.add("balancers.reset")
         finally:
             if transport is not None:
-                # What its peer did not read in time is lost. Closed under a transport that still waits to write, the
-                # descriptor would stay known to the loop, and the next connection of that number would fail.
+                # Discards bytes that the peer did not read in time. If the socket were closed while its transport waits
+                # to write, the event loop would keep the descriptor registered, and the next connection with the same
+                # descriptor number would fail.
                 transport.abort()
             sock.close()
             self.table.closed(connection.key)
             self.connections.pop(connection.key, None)
             self._deadlines.cancel(connection.key)
-            self._making_room.discard(connection.key)
+            self._evicted.discard(connection.key)
             self.descriptors.release(DESCRIPTOR_PART)
             if self._acceptor is not None:
                 self._acceptor.descriptor_freed()
 
     async def _run_connection(self, connection: Connection, link: SocketLink, writer: asyncio.StreamWriter) -> None:
         transport, key = link.transport, connection.key
-        if key not in self.connections:  # it made room before it was begun
+        if key not in self.connections:  # the connection was evicted before this task ran
             writer.write(BYE)
             writer.close()
             return
         connection.write = lambda data: self._write(connection, transport, data)
         self._links[key] = link
-        if connection.bye_sent_at is not None:  # said before there was anything to write to
+        if connection.bye_sent_at is not None:  # BYE was sent before the transport existed
             connection.write(BYE)
         if self.recorder is not None:
             self.recorder.opened(id(connection))
         self.counters.add("balancers.connections")
         try:
             await self._read(connection, link)
-            # An end of what the balancer sends is no end of its waiting: what was read is still answered.
-            while connection.open and not transport.is_closing():
+            # A balancer that half-closed its side still reads: its open requests are answered.
+            while connection.open_requests and not transport.is_closing():
                 await asyncio.sleep(0.05)
             await self._flush(writer)
         finally:
             self._links.pop(key, None)
             self._unsent.forget(key)
-            for request in connection.open.values():
+            for request in connection.open_requests.values():
                 self.broker.caller_disconnected(request)
-            connection.open.clear()
+            connection.open_requests.clear()
             if self.recorder is not None:
                 self.recorder.closed(id(connection))
             writer.close()
 
     async def _read(self, connection: Connection, link: SocketLink) -> None:
-        """Take in what comes until the peer's end or ours."""
+        """Process input until the peer or the node ends the connection."""
         while data := await link.reader.read(READ_BYTES):
             if not connection.closing:
                 connection.received(data)
-                if connection.closing:  # it is not understood
+                if connection.closing:  # the input was malformed
                     self._finish_writing(connection, link)
-            if len(data) == READ_BYTES:  # more is there: a reader that never waits gives others no turn
+            if len(data) == READ_BYTES:  # more may be buffered: `read` would not yield to the event loop
                 await asyncio.sleep(0)
         connection.closing = True
 
     def accept_proxied(self, connection: Connection, address: bytes) -> bool:
-        """A relay told the true address: judge that one as a newcomer, in place of the relay's."""
+        """Admit the client address that a relay sent, in place of the relay's own; return False if rejected."""
         now, key = self.clock.now(), connection.key
         self.table.closed(key)
         verdict = self.table.admit(now, address)
@@ -344,31 +347,31 @@
         return True
 
     def metrics(self) -> dict[str, int]:
-        """What was refused and why, for an operator."""
+        """Return the number of rejected connections by reason."""
         return {f"admission.refused.{reason.value}": count for reason, count in self.table.rejections.items()}
 
     def apply(self, rules: Rules) -> None:
-        """Go by other rules from now on; open connections stay."""
+        """Apply new admission rules; open connections stay."""
         self.table.apply(rules)
 
     def _finish_writing(self, connection: Connection, link: SocketLink) -> None:
-        """Send no more, and for a while read and discard.
+        """Half-close the connection, then read and discard input for DRAIN_READ_S.
 
-        A close over unread input resets the connection and loses the last answers."""
+        Closing a socket with unread input resets the connection and loses the last answers."""
         connection.closing, connection.close_at = True, self.clock.now() + DRAIN_READ_S
         if not link.transport.is_closing():
             link.transport.write_eof()
         self.update_deadline(connection)
 
     async def _flush(self, writer: asyncio.StreamWriter) -> None:
-        """Close once what was written is out of the process's hands. Guards answers that a balancer reads slowly."""
+        """Close once all written bytes are sent or FLUSH_TIMEOUT_S is over, for balancers that read slowly."""
         writer.close()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout_at(asyncio.get_running_loop().time() + FLUSH_TIMEOUT_S):
                 await writer.wait_closed()
 
     def _write(self, connection: Connection, transport: asyncio.WriteTransport, data: bytes) -> None:
-        """Write, and drop a connection whose balancer leaves too much unread."""
+        """Write to a connection, and drop it if its balancer leaves too many bytes unread."""
         if transport.is_closing():
             return
         transport.write(data)
@@ -382,19 +385,19 @@
         return link.transport.get_write_buffer_size() if link is not None else 0
 
     def update_deadline(self, connection: Connection) -> None:
-        """Look at a connection again when it may have become slow or idle."""
+        """Schedule the next timeout check of a connection."""
         if connection.key and connection.key in self.connections:
             self._deadlines.set(connection.key, next_deadline(connection, self.broker.status.idle_timeout_s))
 
     def close_idle(self) -> None:
-        """Ask balancers to close connections that are idle, and close those that stay or whose message takes too long.
+        """Send BYE on idle connections; close those that outstay BYE or whose message is overdue.
 
-        A connection without a deadline costs nothing here."""
+        Only connections whose deadline is due are visited."""
         now = self.clock.now()
-        if self.broker.status.idle_timeout_s < self._idle_after:  # deadlines may have been set by a longer time
+        if self.broker.status.idle_timeout_s < self._swept_idle_timeout_s:  # deadlines were set by a longer timeout
             for connection in self.connections.values():
                 self.update_deadline(connection)
-        self._idle_after = self.broker.status.idle_timeout_s
+        self._swept_idle_timeout_s = self.broker.status.idle_timeout_s
         for key in self._deadlines.due(now):
             connection = self.connections[key]
             if not self._enforce_deadline(connection, self._links.get(key), now):
@@ -402,11 +405,11 @@
         self.table.forget(now)
 
     def _enforce_deadline(self, connection: Connection, link: SocketLink | None, now: float) -> bool:
-        """Act on a deadline that is over; false where the connection is to be looked at again."""
+        """Act on an expired timeout; return False if the deadline must be computed again."""
         match expired(connection, now, self.broker.status.idle_timeout_s):
             case Expired.CLOSE if link is not None:
                 link.close()
-            case Expired.MESSAGE if link is not None and self._has_sent_too_little(connection, link, now):
+            case Expired.MESSAGE if link is not None and self._is_message_overdue(connection, link, now):
                 self.counters.add("balancers.slow")
                 connection.abort()
                 self._finish_writing(connection, link)
@@ -421,12 +424,15 @@
         return True
 
     @staticmethod
-    def _has_sent_too_little(connection: Connection, link: SocketLink, now: float) -> bool:
-        """The rest of the message may lie unread; a peer that trickles gains no more than that time."""
+    def _is_message_overdue(connection: Connection, link: SocketLink, now: float) -> bool:
+        """Return whether the message is overdue and its rest is not waiting unread.
+
+        Unread input extends the message deadline by DRAIN_READ_S at most, so a peer that trickles bytes gains no
+        more."""
         return now > connection.message_deadline + DRAIN_READ_S or not link.has_unread_input()
 
     def leave(self) -> None:
-        """Take no new connections and ask that nothing more be sent on the open ones."""
+        """Stop accepting, after the backlog is accepted, and send BYE on the open connections."""
         if self._acceptor is not None:
             self._acceptor.accept_backlog()
             self._acceptor.close()
--- a/chutepin/net/resp/messages.py
+++ b/chutepin/net/resp/messages.py
@@ -1,6 +1,7 @@
-"""Requests and answers on the platform's wire; the only module that knows the names of their fields.
+"""Codec of requests, answers and health checks; the only module that knows the field names on the wire.
 
-`RPC.CALL tag class fields body` asks, `tag word fields body` answers; fields are comma-separated `name=value` pairs."""
+A request is `RPC.CALL tag class fields body`, an answer `tag word fields body`; `fields` are comma-separated
+`name=value` pairs."""
 
 from __future__ import annotations
 
@@ -16,42 +17,42 @@
 ID_CHARACTERS = 16  # hexadecimal digits
 MAX_NUMBER_CHARACTERS = 24
 CALL, CANCEL, HEALTH = b"RPC.CALL", b"RPC.CANCEL", b"RPC.HEALTH"
-BYE = array(b"0", b"BYE")  # asks the balancer to send nothing more on this connection and to close it
+BYE = array(b"0", b"BYE")  # asks the balancer to send no more requests on this connection and to close it
 _WORDS = {Verdict.SERVED: b"OK", Verdict.REJECTED: b"BUSY", Verdict.FAILED: b"FAILED"}
 
 
-def number(raw: str, most: float = 2.0**53) -> float:
-    """Parse a plain decimal number of 0 or more. Raises ProtocolError."""
+def number(raw: str, maximum: float = 2.0**53) -> float:
+    """Parse a non-negative decimal number up to `maximum`. Raises ProtocolError."""
     if (
         not raw.replace(".", "", 1).isdigit()
         or not raw.isascii()
         or len(raw) > MAX_NUMBER_CHARACTERS
-        or float(raw) > most
+        or float(raw) > maximum
     ):
-        raise ProtocolError("a field is no number")
+        raise ProtocolError("field is not a number in range")
     return float(raw)
 
 
 def parse_call(items: list[bytes]) -> Request:
-    """Read a request from the items of `RPC.CALL`. Raises ProtocolError."""
+    """Build a request from the items of an `RPC.CALL`. Raises ProtocolError."""
     if len(items) not in (4, 5):
-        raise ProtocolError("a call has five parts")
+        raise ProtocolError("RPC.CALL must have four or five items")
     try:
-        cls, head = items[2].decode(), items[3].decode()  # names are the settings', in whatever letters
+        cls, encoded_fields = items[2].decode(), items[3].decode()  # class names in the settings may use any script
     except UnicodeDecodeError:
-        raise ProtocolError("a call's head is not UTF-8") from None
-    fields = dict(part.partition("=")[::2] for part in head.split(","))
+        raise ProtocolError("class or fields of RPC.CALL are not UTF-8") from None
+    fields = dict(part.partition("=")[::2] for part in encoded_fields.split(","))
     id = fields.get("i", "")
     if len(id) != ID_CHARACTERS or not set(id) <= set("0123456789abcdef"):
-        raise ProtocolError("a call without a sound id")
+        raise ProtocolError("RPC.CALL has no valid request id")
     body = items[4] if len(items) == 5 else b""
     if len(body) > MAX_BODY_BYTES:
-        raise ProtocolError("a body is too long")
+        raise ProtocolError("body is too long")
     arrived = number(fields.get("s", "")) / 1000
-    wait = number(fields["d"]) / 1000 if "d" in fields else math.inf  # callers need not pass their deadline
+    wait = number(fields["d"]) / 1000 if "d" in fields else math.inf  # the deadline is optional
     key = fields.get("k")
     if key is not None and len(key) > MAX_KEY_CHARACTERS:
-        raise ProtocolError("a key is too long")
+        raise ProtocolError("key is too long")
     return Request(
         id=id,
         cls=cls,
@@ -69,7 +70,7 @@
 
 
 def format_answer(tag: bytes, answer: Answer) -> bytes:
-    """Encode the final answer to the request with this tag."""
+    """Encode the answer to the request with this tag."""
     fields = []
     if answer.value is not None:
         fields.append(f"v={answer.value:.6g}")
@@ -82,6 +83,6 @@
 
 
 def format_health(tag: bytes, healthy: bool, value: float | None) -> bytes:
-    """Encode the answer to a health check. `value`: the announced value, None where the site uses none."""
+    """Encode the answer to a health check. `value` is the announced load value, None if the site uses none."""
     fields = b"" if value is None else f"v={value:.6g}".encode()
     return array(tag, b"UP" if healthy else b"DOWN", fields)
--- a/chutepin/net/resp/parser.py
+++ b/chutepin/net/resp/parser.py
@@ -1,4 +1,4 @@
-"""RESP arrays of bulk strings: a sans-I/O parser with strict bounds, and the encoder."""
+"""RESP arrays of bulk strings: a sans-I/O parser with strict size limits, and the encoder."""
 
 from __future__ import annotations
 
@@ -6,39 +6,41 @@
 
 MAX_ITEMS = 8  # bulk strings in an array
 MAX_BULK_BYTES = 4096
-MAX_HEAD_BYTES = 10  # a type byte, the length's digits and the line's end
+MAX_HEADER_BYTES = 10  # type byte, digits of the length, CR LF
 
 
 class RespParser:
-    """Feed it bytes, take whole arrays. Sans-I/O; holds one bounded array and what was fed."""
+    """Incremental parser: `feed` adds bytes, `next` returns complete arrays.
+
+    Buffers at most one array of limited size in addition to the bytes of the last `feed`."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
         self._items: list[bytes] = []
-        self._missing = 0  # items of the present array that are yet to come
-        self._length = -1  # of the present item, once its head was read
+        self._remaining = 0  # items of the current array that are not yet received
+        self._length = -1  # of the current item; -1 until its header is parsed
 
     def feed(self, data: bytes) -> None:
-        """Add what was read."""
+        """Add received bytes to the buffer."""
         self._buffer += data
 
     @property
     def partial(self) -> bool:
-        """An array has begun and is not whole."""
-        return bool(self._buffer or self._missing)
+        """Whether an array is partly received."""
+        return bool(self._buffer or self._remaining)
 
     def next(self) -> list[bytes] | None:
-        """The next whole array, or None until more is fed."""
+        """Return the next complete array, or None until more bytes are fed. Raises ProtocolError."""
         while True:
-            if not self._missing:
-                count = self._head(b"*", MAX_ITEMS)
+            if not self._remaining:
+                count = self._read_header(b"*", MAX_ITEMS)
                 if count is None:
                     return None
                 if count == 0:
-                    raise ProtocolError("an empty array")
-                self._missing, self._items = count, []
+                    raise ProtocolError("array without items")
+                self._remaining, self._items = count, []
             if self._length < 0:
-                length = self._head(b"$", MAX_BULK_BYTES)
+                length = self._read_header(b"$", MAX_BULK_BYTES)
                 if length is None:
                     return None
                 self._length = length
@@ -47,24 +49,24 @@
             item = bytes(self._buffer[: self._length + 2])
             del self._buffer[: self._length + 2]
             if not item.endswith(b"\r\n"):
-                raise ProtocolError("a bulk string does not end where its length says")
+                raise ProtocolError("bulk string is not terminated by CR LF at its declared length")
             self._items.append(item[:-2])
             self._length = -1
-            self._missing -= 1
-            if not self._missing:
+            self._remaining -= 1
+            if not self._remaining:
                 return self._items
 
-    def _head(self, mark: bytes, most: int) -> int | None:
-        if self._buffer and self._buffer[:1] != mark:
-            raise ProtocolError("not an array of bulk strings")
-        end = self._buffer.find(b"\r\n", 0, MAX_HEAD_BYTES)
+    def _read_header(self, type_byte: bytes, maximum: int) -> int | None:
+        if self._buffer and self._buffer[:1] != type_byte:
+            raise ProtocolError("expected an array of bulk strings")
+        end = self._buffer.find(b"\r\n", 0, MAX_HEADER_BYTES)
         if end < 0:
-            if len(self._buffer) >= MAX_HEAD_BYTES:
-                raise ProtocolError("a length is too long")
+            if len(self._buffer) >= MAX_HEADER_BYTES:
+                raise ProtocolError("length header is too long")
             return None
         digits = bytes(self._buffer[1:end])
-        if not digits.isdigit() or int(digits) > most:
-            raise ProtocolError("a length is no number or too large")
+        if not digits.isdigit() or int(digits) > maximum:
+            raise ProtocolError("length is not a number or exceeds the limit")
         del self._buffer[: end + 2]
         return int(digits)
 
--- a/chutepin/net/resp/sockets.py
+++ b/chutepin/net/resp/sockets.py
@@ -1,4 +1,4 @@
-"""The socket side of a balancer's connection: what was received and not yet read, and closing in order."""
+"""Socket handling of a balancer connection: unread input, and closing without losing written answers."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from dataclasses import dataclass
 from typing import Any
 
-FLUSH_TIMEOUT_S = 5.0  # in which a balancer that sends no more must have read its last answers
-READ_BYTES = 4096  # taken in from one connection before others have their turn
+FLUSH_TIMEOUT_S = 5.0  # for a balancer to read the last answers before its connection is closed
+READ_BYTES = 4096  # read from one connection before the event loop serves others
 
 
 class CountingReader(asyncio.StreamReader):
-    """A stream reader that counts the bytes which were received and not yet read."""
+    """A stream reader that counts the bytes received from the transport and not yet read."""
 
     unread_bytes = 0
 
     def feed_data(self, data: Any) -> None:
-        """Take in bytes from the transport."""
+        """Add bytes from the transport."""
         self.unread_bytes += len(data)
         super().feed_data(data)
 
@@ -31,27 +31,27 @@
 
 @dataclass(slots=True)
 class SocketLink:
-    """One connection's socket, transport and reader."""
+    """The socket, transport and reader of one connection."""
 
     sock: socket.socket
     transport: asyncio.WriteTransport
     reader: CountingReader
 
     def has_unread_input(self) -> bool:
-        """Whether something was received that nobody has read; takes in what the system has buffered.
+        """Return whether received bytes are waiting to be read, after fetching what the kernel has buffered.
 
-        Guards a request that came before its connection was closed: a close over it would reset the connection, and
-        after a turn of the loop that took long its balancer would not send it again."""
+        Protects a request that arrived before its connection was closed: closing a socket with unread input resets
+        the connection, and if the event loop was busy for long, the balancer would not send the request again."""
         if not self.reader.unread_bytes and not self.transport.is_closing():
-            with contextlib.suppress(OSError):  # nothing lies there, or the peer has reset
+            with contextlib.suppress(OSError):  # no input is buffered, or the peer has reset the connection
                 if data := self.sock.recv(READ_BYTES):
                     self.reader.feed_data(data)
         return self.reader.unread_bytes > 0
 
     def close(self) -> None:
-        """Close once all written bytes have left the process, or the peer has had its time to read them.
+        """Close once all written bytes are sent, or after FLUSH_TIMEOUT_S at the latest.
 
-        Guards descriptors against a peer that never reads."""
+        The limit keeps a peer that never reads from holding the descriptor."""
         self.transport.close()
         if self.transport.get_write_buffer_size():
             loop = asyncio.get_running_loop()
--- a/chutepin/net/resp/timeouts.py
+++ b/chutepin/net/resp/timeouts.py
@@ -1,4 +1,4 @@
-"""When a connection has to be looked at again, and what is due then. Pure: times are arguments."""
+"""Timeouts of a balancer connection: the next check and the expired timeout. Pure; time is an argument."""
 
 from __future__ import annotations
 
@@ -6,56 +6,56 @@
 
 from .connection import Connection
 
-BYE_GRACE_S = 2.0  # that a balancer has to close an idle connection once asked to
-DRAIN_READ_S = 1.0  # for which input is read and discarded after the last answer
-HEALTH_CHECK_IDLE_S = 60.0  # that a connection for health checks may be silent
-MIN_IDLE_S = 0.25  # the shortest idle time that is enforced: that between two sweeps
+BYE_GRACE_S = 2.0  # for a balancer to close an idle connection after BYE
+DRAIN_READ_S = 1.0  # during which input is read and discarded after the last answer
+HEALTH_CHECK_IDLE_S = 60.0  # idle limit of a connection that carries health checks
+MIN_IDLE_S = 0.25  # shortest idle limit that is enforced: the interval between two sweeps
 
 
 class Expired(Enum):
-    """Which time of a connection is over."""
+    """The timeout of a connection that has expired."""
 
     NONE = "none"
-    CLOSE = "close"  # its peer has had the time to close
+    CLOSE = "close"  # the peer has not closed after the last answer
     MESSAGE = "message"  # the awaited message is not complete
-    BYE = "bye"  # it was asked to close and stays
-    IDLE = "idle"
+    BYE = "bye"  # the balancer has not closed after BYE
+    IDLE = "idle"  # no message for the idle limit
 
 
-def idle_timeout_s(connection: Connection, idle_after: float) -> float:
-    """How long a connection may be silent. `idle_after`: as the decision module has announced it."""
-    return HEALTH_CHECK_IDLE_S if connection.carries_health_checks else max(idle_after, MIN_IDLE_S)
+def idle_timeout_s(connection: Connection, idle_after_s: float) -> float:
+    """Return how long a connection may be idle; `idle_after_s` is the limit that the decision module announced."""
+    return HEALTH_CHECK_IDLE_S if connection.carries_health_checks else max(idle_after_s, MIN_IDLE_S)
 
 
 def bye_deadline(connection: Connection) -> float:
-    """When a connection is closed whose balancer was asked to close it and has not.
+    """Return when a connection is closed whose balancer has not closed it after BYE.
 
-    Not in the middle of a message, nor while its last answer may be on its way: a reset would lose it."""
+    The deadline does not fall inside a message, nor while the last answer may be in flight: a reset would lose it."""
     if connection.parser.partial:
         return connection.message_deadline
     return max(connection.bye_sent_at or 0.0, connection.last_answer_at) + BYE_GRACE_S
 
 
-def next_deadline(connection: Connection, idle_after: float) -> float:
-    """When to look at a connection again: the earliest time that may be over then."""
+def next_deadline(connection: Connection, idle_after_s: float) -> float:
+    """Return the earliest time at which a timeout of the connection can expire."""
     if connection.closing:
         return connection.close_at
-    if connection.open:
+    if connection.open_requests:
         return connection.message_deadline
     if connection.bye_sent_at is not None:
         return min(connection.message_deadline, bye_deadline(connection))
-    return min(connection.message_deadline, connection.last_used_at + idle_timeout_s(connection, idle_after))
+    return min(connection.message_deadline, connection.last_used_at + idle_timeout_s(connection, idle_after_s))
 
 
-def expired(connection: Connection, now: float, idle_after: float) -> Expired:
-    """Which time of a connection is over now; the first that applies, in the order of the conditions."""
+def expired(connection: Connection, now: float, idle_after_s: float) -> Expired:
+    """Return the timeout that has expired by `now`; the first one that applies, in the order of the conditions."""
     if connection.closing:
         return Expired.CLOSE if now > connection.close_at else Expired.NONE
     if now > connection.message_deadline:
         return Expired.MESSAGE
-    if connection.open:
+    if connection.open_requests:
         return Expired.NONE
     if connection.bye_sent_at is not None:
         return Expired.BYE if now > bye_deadline(connection) else Expired.NONE
     idle_s = now - connection.last_used_at
-    return Expired.IDLE if idle_s > idle_timeout_s(connection, idle_after) else Expired.NONE
+    return Expired.IDLE if idle_s > idle_timeout_s(connection, idle_after_s) else Expired.NONE
--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -1,4 +1,4 @@
-"""The AMQP front against a stand-in broker that redelivers at random, and against literal bytes."""
+"""The AMQP consumer against a stand-in broker that redelivers at random, and against literal bytes."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 ORDERS, STATUS = "depot.work-orders", "depot.status"
 
 
-def on_sockets(
+def run_with_broker(
     test: Callable[[Standins, StandinBroker], Awaitable[None]],
     broker: StandinBroker,
     prefetch: int = 32,
     stop_ms: int = 1500,
 ) -> None:
-    """Run a test with the real program between the stand-ins, its AMQP front on."""
+    """Run a test with the real program between the stand-ins, consuming from the stand-in broker."""
 
     async def show_broker(_: object, error: BaseException | None, trace: object) -> None:
         if error is not None:
@@ -59,54 +59,54 @@
     asyncio.run(run())
 
 
-def test_no_write_ran_twice_though_the_broker_redelivers_at_random() -> None:
+def test_no_write_runs_twice_under_random_redelivery() -> None:
     async def test(world: Standins, broker: StandinBroker) -> None:
         orders = [broker.put(ORDERS, b"order %d" % n, message_id=f"order-{n}", reply_to="depot") for n in range(60)]
         reads = [broker.put(STATUS, b"read %d" % n) for n in range(20)]
         await eventually(lambda: all(message.settled for message in orders + reads))
         assert {message.settled for message in orders} == {"ack"}
         written = [data for _, cls, data in world.runs if cls == "work-order"]
-        again = sum(message.deliveries > 1 for message in orders)
-        assert again >= 5 and broker.links >= 5, "the stand-in redelivered too little to show anything"
-        assert sorted(written) == sorted({message.data for message in orders}), "a write ran twice or never"
+        redelivered = sum(message.deliveries > 1 for message in orders)
+        assert redelivered >= 5 and broker.links >= 5, "too few redeliveries for a meaningful test"
+        assert sorted(written) == sorted({message.data for message in orders}), "a write ran twice or not at all"
         answered = {(p.correlation_id, data) for _, p, data in broker.replies}
-        assert len(answered) == 60, "a repeat was answered with another result"
+        assert len(answered) == 60, "a redelivery was answered with another result"
         await world.leave()
 
-    on_sockets(test, StandinBroker(seed=3, cuts=0.1, lost_acks=0.15))
+    run_with_broker(test, StandinBroker(seed=3, cuts=0.1, lost_acks=0.15))
 
 
-def test_a_redelivery_after_the_notice_to_leave_is_answered_and_not_run() -> None:
+def test_redelivery_during_drain_is_answered_and_not_run() -> None:
     async def test(world: Standins, broker: StandinBroker) -> None:
-        world.hold = {b"long"}  # keeps the node from going before its stop
+        world.hold = {b"long"}  # keeps the node running until its stop
         order = broker.put(ORDERS, b"pump", message_id="1")
         broker.put(ORDERS, b"long", message_id="0")
         await eventually(lambda: order.settled and len(world.runs) == 2)
         log = asyncio.ensure_future(world.leave())
         await eventually(lambda: "q0" in broker.cancelled)
-        order.settled, order.redelivered = "", True  # the ack got lost, the redelivery is on its way
+        order.settled, order.redelivered = "", True  # the ack was lost and the message is redelivered
         broker.deliver(order)
         await eventually(lambda: order.settled)
-        await asyncio.sleep(0.6)  # past the grace of half a second
-        fresh = broker.put(ORDERS, b"brake", message_id="2")
-        broker.deliver(fresh)
+        await asyncio.sleep(0.6)  # beyond the drain grace of 0.5 s
+        late_order = broker.put(ORDERS, b"brake", message_id="2")
+        broker.deliver(late_order)
         text = await log
         assert order.settled == "ack" and len(world.runs) == 2
-        assert "amqp.nack=1" in text and not fresh.settled and fresh.redelivered
+        assert "amqp.nack=1" in text and not late_order.settled and late_order.redelivered
 
-    on_sockets(test, StandinBroker(), stop_ms=5000)
+    run_with_broker(test, StandinBroker(), stop_ms=5000)
 
 
-def test_a_broker_that_falls_silent_is_left() -> None:
+def test_link_without_heartbeats_is_closed() -> None:
     async def test(world: Standins, broker: StandinBroker) -> None:
         await eventually(lambda: broker.beats)
         await eventually(lambda: broker.links == 2)
         assert "no heartbeat from the broker" in await world.leave()
 
-    on_sockets(test, StandinBroker(heartbeat=1))
+    run_with_broker(test, StandinBroker(heartbeat=1))
 
 
-def test_unsettled_deliveries_of_a_lost_link_run_once_and_are_settled_on_the_next() -> None:
+def test_unsettled_delivery_of_lost_link_runs_once_and_is_settled_on_the_next_link() -> None:
     async def test(world: Standins, broker: StandinBroker) -> None:
         world.hold = {b"long"}
         order = broker.put(ORDERS, b"long", message_id="1")
@@ -118,34 +118,34 @@
         assert order.settled == "ack" and len(world.runs) == 1
         assert "amqp.settled_too_late=1" in await world.leave()
 
-    on_sockets(test, StandinBroker())
+    run_with_broker(test, StandinBroker())
 
 
-def test_malformed_messages_are_rejected_once_and_the_link_goes_on() -> None:
+def test_malformed_messages_are_rejected_once_and_the_link_stays_open() -> None:
     async def test(world: Standins, broker: StandinBroker) -> None:
-        bad = [
+        malformed = [
             broker.put(ORDERS, b"no id"),
             broker.put(ORDERS, b"x" * 2049, message_id="1"),
             broker.put(ORDERS, b"a", message_id="2", headers={"x-due-ms": "soon"}),
             broker.put(STATUS, b"b", expiration="later"),
             broker.put(STATUS, b"c", headers={"x-due-ms": 1}),
         ]
-        garbled = Message(
+        undecodable = Message(
             STATUS, Properties(), b"d", raw_header=struct.pack(">BHIHHQH", 2, 1, 16, 60, 0, 1, 0x2000) + b"\xff\xff\xce"
-        )  # a table longer than its frame
-        broker.messages.append(garbled)
-        good = broker.put(STATUS, b"sound")
-        await eventually(lambda: good.settled)
-        await eventually(lambda: all(message.settled for message in bad))
-        assert {message.settled for message in [*bad, garbled]} == {"reject"} and good.settled == "ack"
-        assert {message.deliveries for message in bad} == {1} and broker.links == 1
+        )  # a field table longer than its frame
+        broker.messages.append(undecodable)
+        valid = broker.put(STATUS, b"sound")
+        await eventually(lambda: valid.settled)
+        await eventually(lambda: all(message.settled for message in malformed))
+        assert {message.settled for message in [*malformed, undecodable]} == {"reject"} and valid.settled == "ack"
+        assert {message.deliveries for message in malformed} == {1} and broker.links == 1
         log = await world.leave()
         assert "amqp.malformed=5" in log and "amqp.expired=1" in log
 
-    on_sockets(test, StandinBroker())
+    run_with_broker(test, StandinBroker())
 
 
-def test_a_broker_that_stops_reading_is_left_and_memory_stays_bounded() -> None:
+def test_link_to_broker_that_stops_reading_is_closed_and_memory_stays_bounded() -> None:
     async def test(world: Standins, broker: StandinBroker) -> None:
         world.calling = False
         await eventually(lambda: broker.links == 1)
@@ -153,12 +153,12 @@
         await eventually(lambda: first.settled)
         broker.deaf = True
         sent = 1
-        while not broker.lost and sent < 20_000:  # far more replies than the bound and the sockets hold
+        while not broker.lost and sent < 20_000:  # far more replies than the limit and the socket buffers hold
             for _ in range(16):
                 broker.deliver(Message(STATUS, Properties(reply_to="depot"), b"r" * 2000))
             sent += 16
             await asyncio.sleep(0.005)
-        await eventually(lambda: broker.lost)  # on a busy machine the node is behind with what was sent
+        await eventually(lambda: broker.lost)  # on a busy machine the node has yet to process what was sent
         broker.deaf = False
         await eventually(lambda: broker.links >= 2)
         last = broker.put(STATUS, b"last")
@@ -168,19 +168,19 @@
         assert int(status.split("VmRSS:")[1].split()[0]) < 96 * 1024
         assert "amqp.stuck=1" in await world.leave()
 
-    on_sockets(test, StandinBroker(), prefetch=1024)
+    run_with_broker(test, StandinBroker(), prefetch=1024)
 
 
-def test_a_node_that_leaves_waits_for_acknowledgements_that_its_broker_has_yet_to_read() -> None:
-    """Settled, as it seemed, it went with the acknowledgements in its hands, and what was served came again."""
+def test_leaving_consumer_waits_for_unsent_acknowledgements() -> None:
+    """The node exited with unsent acknowledgements, and the broker redelivered messages that had been served."""
 
     async def test() -> None:
         async with asyncio.timeout_at(asyncio.get_running_loop().time() + 30), AsyncExitStack() as stack:
             core, broker = Core(), StandinBroker()
             await broker.start(stack)
             config = load_amqp(str(ROOT / "deploy" / "amqp.toml"), wire.parse_settings(ENV), SECRET)
-            there = replace(config, address=Address("127.0.0.1", broker.port))
-            consumer = Consumer(there, core.broker, core.hand.clock, core.counters, Log(core.hand.clock), 1)
+            local_config = replace(config, address=Address("127.0.0.1", broker.port))
+            consumer = Consumer(local_config, core.broker, core.hand.clock, core.counters, Log(core.hand.clock), 1)
             running = asyncio.ensure_future(consumer.run())
             await eventually(lambda: broker.links)
             messages = [broker.put(STATUS, b"%d" % n, reply_to="depot") for n in range(3)]
@@ -203,14 +203,14 @@
 
 
 def quiet_session(sent: list[bytes], core: Core) -> tuple[Consumer, Session]:
-    """A consumer over a core, and a session of it that writes to a list."""
+    """Return a consumer over a core, and a session of it that writes to a list."""
     config = load_amqp(str(ROOT / "deploy" / "amqp.toml"), wire.parse_settings(ENV), SECRET)
     consumer = Consumer(config, core.broker, core.hand.clock, core.counters, Log(core.hand.clock), 1)
     return consumer, Session(config, sent.append, consumer.delivered, core.counters)
 
 
-def test_bytes_of_the_published_grammar() -> None:
-    """The stand-in shares the codec with the client; these bytes were written by hand from the grammar."""
+def test_session_bytes_match_the_published_grammar() -> None:
+    """The stand-in shares the codec with the client; these bytes were written by hand from the published grammar."""
     sent: list[bytes] = []
     consumer, session = quiet_session(sent, core := Core())
     session.start()
@@ -221,7 +221,7 @@
     assert sent[2] == b"\x01\0\0\0\0\0\x0c\0\x0a\0\x1f\0\x01\0\0\x20\0\0\x05\xce"
     assert sent[3] == b"\x01\0\0\0\0\0\x08\0\x0a\0\x28\x01/\0\0\xce"
     session.received(b"\x01\0\0\0\0\0\x05\0\x0a\0\x29\0\xce")  # open-ok
-    # The grammar reserves the last field of channel.open, which a peer ignores; the codec writes "0" there.
+    # The grammar reserves the last field of channel.open, and peers ignore it; the codec writes "0".
     assert sent[4] == b"\x01\0\x01\0\0\0\x06\0\x14\0\x0a\x010\xce"
     session.received(b"\x01\0\x01\0\0\0\x08\0\x14\0\x0b\0\0\0\0\xce")  # channel open-ok
     assert sent[5] == b"\x01\0\x01\0\0\0\x0b\0\x3c\0\x0a\0\0\0\0\0\x20\x01\xce"  # qos 32, global
@@ -243,8 +243,10 @@
     assert sent[-1] == b"\x01\0\x01\0\0\0\x0d\0\x3c\0\x50\0\0\0\0\0\0\0\x07\0\xce"  # ack 7
 
 
-def test_a_link_that_the_system_timed_out_is_left() -> None:
-    """The error has the type of our own look at the clock; taken for that it came again without a pause."""
+def test_socket_timeout_closes_the_link() -> None:
+    """A timeout of the socket has the same type as the timeout of the periodic check.
+
+    Handled as the latter, it was raised again at once by every read."""
     consumer, session = quiet_session([], Core())
 
     async def run() -> None:
@@ -256,7 +258,7 @@
         asyncio.run(run())
 
 
-def test_a_frame_over_the_bound_or_without_its_end_ends_the_link() -> None:
+def test_oversized_frame_or_missing_frame_end_is_a_protocol_error() -> None:
     for raw in (b"\x01\0\0\xff\xff\xff\xff", b"\x08\0\0\0\0\0\0\x00", b"HTTP/1.1 400"):
         parser = FrameParser()
         parser.feed(raw)
@@ -275,7 +277,7 @@
         ("[broker]", "[", "amqp"),
     ],
 )
-def test_a_bad_operator_file_names_the_field(old: str, new: str, field: str, tmp_path: Path) -> None:
+def test_error_in_amqp_file_names_the_field(old: str, new: str, field: str, tmp_path: Path) -> None:
     path = tmp_path / "amqp.toml"
     path.write_text((ROOT / "deploy" / "amqp.toml").read_text().replace(old, new, 1))
     with pytest.raises(ConfigError, match=f"^{field}: "):
@@ -283,27 +285,27 @@
 
 
 class Links(RuleBasedStateMachine):
-    """A model of what is unsettled on the present link: against it, deliveries, ends, losses and time."""
+    """Model of the unsettled deliveries of the current link: deliveries, ends of runs, lost links and time."""
 
     @initialize()
-    def begin(self) -> None:
+    def set_up(self) -> None:
         self.core, self.sent = Core(), list[bytes]()
         self.consumer, self.session = quiet_session(self.sent, self.core)
         self.tag, self.open, self.settled = 0, set[int](), set[int]()
         self.keys: dict[str, int] = {}
-        self.link()
+        self.open_link()
 
-    def link(self) -> None:
+    def open_link(self) -> None:
         self.session.state, self.tag, self.open, self.settled = State.READY, 0, set(), set()
         self.sent.clear()
 
-    @rule(key=st.integers(0, 4), queue=st.integers(0, 1), redelivered=st.booleans(), wait=st.integers(-1, 9000))
-    def deliver(self, key: int, queue: int, redelivered: bool, wait: int) -> None:
+    @rule(key=st.integers(0, 4), queue=st.integers(0, 1), redelivered=st.booleans(), wait_ms=st.integers(-1, 9000))
+    def deliver(self, key: int, queue: int, redelivered: bool, wait_ms: int) -> None:
         if len(self.open) >= 32:
             return
         self.tag += 1
         self.open.add(self.tag)
-        due = int(self.core.hand.time * 1000) + wait
+        due = int(self.core.hand.time * 1000) + wait_ms
         data = b"k%d" % key if queue == 0 else b"read"
         self.session.unsettled.add(self.tag)
         self.consumer.delivered(
@@ -322,31 +324,31 @@
         self.core.end_some(data, end)
 
     @rule(seconds=st.floats(0.01, 3.0))
-    def time_passes(self, seconds: float) -> None:
+    def advance_time(self, seconds: float) -> None:
         self.core.pass_time(seconds)
         self.consumer.update_consumption(self.session)
 
     @rule()
-    def link_lost(self) -> None:
+    def lose_link(self) -> None:
         self.consumer.lost(self.session)
         self.session = Session(self.consumer.config, self.sent.append, self.consumer.delivered, self.core.counters)
-        self.link()
+        self.open_link()
 
     @invariant()
-    def one_outcome_each(self) -> None:
+    def each_delivery_is_settled_once(self) -> None:
         if not hasattr(self, "core"):
             return
         for raw in self.sent:
             value = decode(raw)
             if isinstance(value, commands.Basic.Ack | commands.Basic.Nack | commands.Basic.Reject):
                 tag = int(value.delivery_tag or 0)
-                assert tag in self.open and tag not in self.settled, "a second outcome, or none owed"
+                assert tag in self.open and tag not in self.settled, "second settlement, or unknown delivery"
                 self.settled.add(tag)
                 self.open.discard(tag)
         self.sent.clear()
         assert self.open == self.session.unsettled
-        ran = [entry[3] for entry in self.core.ports.done if entry[0] == "exec" and entry[2] == "work-order"]
-        assert len(ran) == len(set(ran)), "a work order ran twice"
+        executed = [entry[3] for entry in self.core.ports.done if entry[0] == "exec" and entry[2] == "work-order"]
+        assert len(executed) == len(set(executed)), "work order ran twice"
 
 
 TestLinks = Links.TestCase
--- a/tests/test_amqp_liveness.py
+++ b/tests/test_amqp_liveness.py
@@ -1,6 +1,6 @@
-"""Consumer, session and core against the stand-in broker without sockets: whatever is lost, every message is settled.
+"""Liveness of consumer, session and core without sockets: whatever is lost, every message is settled.
 
-Time is the core's; the link loses what is on its way between any two frames, and runs hang."""
+Time is the core's. Between any two frames the link may lose those in flight, and runs may hang."""
 
 from __future__ import annotations
 
@@ -22,39 +22,39 @@
 
 SEEDS = range(120)
 STEPS = 160
-SETTLE_S = 30.0  # in which all is settled once nothing is lost and nothing hangs any more
-RUN_S = 0.05  # that a run takes unless runs hang
+SETTLE_S = 30.0  # in which all messages must be settled once faults have stopped
+RUN_S = 0.05  # duration of a run that does not hang
 
 
 class Pipe:
-    """One direction's end of a link: frames that were written and have not been received."""
+    """One direction of a link: frames that were written and not yet received."""
 
     def __init__(self) -> None:
         self.frames: deque[bytes] = deque()
         self.is_closed = False
 
     def write(self, data: bytes) -> None:
-        """Take bytes, unless the link is closed."""
+        """Add bytes, unless the link is closed."""
         if not self.is_closed:
             self.frames.append(data)
 
     def abort(self) -> None:
-        """Close the link and lose what is on its way."""
+        """Close the link and discard the frames in flight."""
         self.is_closed = True
         self.frames.clear()
 
     def is_closing(self) -> bool:
-        """Whether the link is closed."""
+        """Return whether the link is closed."""
         return self.is_closed
 
     @property
     def transport(self) -> Pipe:
-        """As a stream's writer has it."""
+        """The transport, as a stream writer provides it."""
         return self
 
 
 class World:
-    """One seed's life: a node's core and consumer, the broker, and the link between them."""
+    """The state of one seed: a node's core and consumer, the broker, and the link between them."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
@@ -67,10 +67,10 @@
         self.broker = StandinBroker(seed)
         self.messages: list[Message] = []
         self.hung_until = 0.0
-        self.started: dict[str, float] = {}  # when each run was first seen
-        self.link()
+        self.started: dict[str, float] = {}  # by run: when it was first seen
+        self.open_link()
 
-    def link(self) -> None:
+    def open_link(self) -> None:
         """Open a new link."""
         self.to_node, self.to_broker = Pipe(), Pipe()
         self.session = Session(self.consumer.config, self.to_broker.write, self.consumer.delivered, self.core.counters)
@@ -80,36 +80,36 @@
         self.to_broker.frames.popleft()  # the protocol header
 
     def lose_link(self) -> None:
-        """Lose the link with what is on its way, in both directions, and open the next one."""
+        """Lose the link with the frames in flight in both directions, and open the next one."""
         self.to_node.abort()
         self.to_broker.abort()
         self.consumer.lost(self.session)
-        self.link()
+        self.open_link()
 
     def pass_frames(self, count: int) -> None:
-        """Let each side receive some of what the other wrote."""
+        """Let each side receive up to `count` frames of the other."""
         for _ in range(count):
             if self.to_node.frames:
                 self.session.received(self.to_node.frames.popleft())
             if self.to_broker.frames:
                 self.parser.feed(self.to_broker.frames.popleft())
                 self.broker.receive(self.parser, cast("LinkWriter", self.to_node))
-        if self.to_node.is_closed:  # the broker has cut the link
+        if self.to_node.is_closed:  # the broker has closed the link
             self.lose_link()
 
     def pass_time(self, seconds: float) -> None:
-        """Let time pass: runs end unless they hang, the consumer looks at its window."""
+        """Advance the clock: runs end unless they hang, and the consumer updates its window."""
         now = self.core.hand.time
         for id in self.core.running():
-            begun = self.started.setdefault(id, now)
-            if now >= max(self.hung_until, begun + RUN_S):
+            started_at = self.started.setdefault(id, now)
+            if now >= max(self.hung_until, started_at + RUN_S):
                 self.core.ports.done.append(("ended", id))
                 self.core.end(id)
         self.core.pass_time(seconds)
         self.consumer.update_consumption(self.session)
 
     def step(self) -> None:
-        """One random step."""
+        """Perform one random step."""
         choice = self.random.random()
         if choice < 0.3:
             queue = self.random.choice([ORDERS, STATUS])
@@ -125,16 +125,16 @@
             self.lose_link()
 
     def settle(self) -> None:
-        """Let all go on undisturbed."""
+        """Run without faults until every message is settled or SETTLE_S is over."""
         self.hung_until = 0.0
-        until = self.core.hand.time + SETTLE_S
-        while self.core.hand.time < until and not all(message.settled for message in self.messages):
+        deadline = self.core.hand.time + SETTLE_S
+        while self.core.hand.time < deadline and not all(message.settled for message in self.messages):
             for _ in range(20):
                 self.pass_frames(20)
                 self.pass_time(CHECK_INTERVAL_S / 20)
 
     def report(self) -> str:
-        """What a failure needs to be understood."""
+        """Return the state that explains a failure."""
         unsettled = [message for message in self.messages if not message.settled]
         return (
             f"{len(unsettled)} of {len(self.messages)} not settled; window {self.core.broker.value}, "
@@ -144,9 +144,9 @@
         )
 
 
-# Guards against a message that is never settled: a window that stays closed, a queue that is never consumed again.
+# Guards against messages that are never settled, as a window stays closed or a queue is never consumed again.
 @pytest.mark.parametrize("seed", SEEDS)
-def test_every_message_is_settled_once_links_and_runs_go_on(seed: int) -> None:
+def test_every_message_is_settled_once_faults_stop(seed: int) -> None:
     world = World(seed)
     for _ in range(STEPS):
         world.step()
--- a/tests/test_amqp_reconnect.py
+++ b/tests/test_amqp_reconnect.py
@@ -1,4 +1,4 @@
-"""How soon the AMQP consumer connects again after a link is lost."""
+"""Reconnect delay of the AMQP consumer after a lost link."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from chutepin.decision import simulator_protocol as wire
 from chutepin.logs import Log
 from chutepin.net.amqp import Consumer, reconnect
-from chutepin.net.amqp.reconnect import MAX_RECONNECT_DELAY_S, MIN_RECONNECT_DELAY_S, STEADY_LINK_S, ReconnectDelay
+from chutepin.net.amqp.reconnect import MAX_RECONNECT_DELAY_S, MIN_RECONNECT_DELAY_S, STABLE_LINK_S, ReconnectDelay
 from chutepin.testbench.standins.amqp_broker import StandinBroker
 from chutepin.testbench.standins.platform import eventually
 
@@ -22,46 +22,46 @@
 from .test_amqp import SECRET
 
 LOSSES = 6
-STOOD_S = 0.3  # each link, in the test on sockets
-LEAST_DOUBLED_S = MIN_RECONNECT_DELAY_S * 2 ** (LOSSES - 1) / 2  # the last wait, were each twice the one before
-LONGEST_FIRST_S = 1.5 * MIN_RECONNECT_DELAY_S
+LINK_LIFETIME_S = 0.3  # of each link in the test on sockets
+MIN_DOUBLED_DELAY_S = MIN_RECONNECT_DELAY_S * 2 ** (LOSSES - 1) / 2  # the last delay, if each one were doubled
+MAX_FIRST_DELAY_S = 1.5 * MIN_RECONNECT_DELAY_S
 
 
-def delay_after(losses: int, settlements: int, stood_s: float) -> float:
-    """The wait after so many lost links of one kind."""
+def delay_after(losses: int, settlements: int, lifetime_s: float) -> float:
+    """Return the delay after `losses` lost links of one kind."""
     delay = ReconnectDelay(random.Random(1))
-    waited = 0.0
+    last_delay = 0.0
     for _ in range(losses):
-        delay.link_ended(settlements, stood_s)
-        waited = delay.next()
-    return waited
+        delay.link_ended(settlements, lifetime_s)
+        last_delay = delay.next()
+    return last_delay
 
 
-# Guards against waits of up to 45 s, with messages in the queue, after links that stood for days and had nothing to do.
-def test_links_that_stood_long_without_a_message_do_not_lengthen_the_wait() -> None:
-    assert delay_after(20, settlements=0, stood_s=STEADY_LINK_S) <= LONGEST_FIRST_S
+# Guards against delays of up to 45 s, with messages in the queue, after idle links that had lasted for days.
+def test_stable_links_without_deliveries_do_not_increase_the_delay() -> None:
+    assert delay_after(20, settlements=0, lifetime_s=STABLE_LINK_S) <= MAX_FIRST_DELAY_S
 
 
-def test_links_that_settled_something_do_not_lengthen_the_wait() -> None:
-    assert delay_after(20, settlements=1, stood_s=0.01) <= LONGEST_FIRST_S
+def test_links_with_settlements_do_not_increase_the_delay() -> None:
+    assert delay_after(20, settlements=1, lifetime_s=0.01) <= MAX_FIRST_DELAY_S
 
 
-def test_links_that_break_at_once_are_met_ever_later_up_to_a_bound() -> None:
-    waits = [delay_after(losses, settlements=0, stood_s=STEADY_LINK_S - 0.1) for losses in (1, 4, 8, 20)]
-    assert waits[0] <= LONGEST_FIRST_S < waits[1] < waits[2]
-    assert MAX_RECONNECT_DELAY_S / 2 <= waits[3] <= 1.5 * MAX_RECONNECT_DELAY_S
+def test_links_that_break_at_once_increase_the_delay_up_to_a_limit() -> None:
+    delays = [delay_after(losses, settlements=0, lifetime_s=STABLE_LINK_S - 0.1) for losses in (1, 4, 8, 20)]
+    assert delays[0] <= MAX_FIRST_DELAY_S < delays[1] < delays[2]
+    assert MAX_RECONNECT_DELAY_S / 2 <= delays[3] <= 1.5 * MAX_RECONNECT_DELAY_S
 
 
-def test_a_link_that_stood_long_forgets_those_that_broke_before() -> None:
+def test_stable_link_resets_the_delay() -> None:
     delay = ReconnectDelay(random.Random(1))
     for _ in range(10):
         delay.next()
-    delay.link_ended(0, STEADY_LINK_S)
-    assert delay.next() <= LONGEST_FIRST_S
+    delay.link_ended(0, STABLE_LINK_S)
+    assert delay.next() <= MAX_FIRST_DELAY_S
 
 
-def with_consumer(test: Callable[[StandinBroker], Awaitable[None]]) -> None:
-    """Run a test with a consumer in this process that is linked to a stand-in broker."""
+def run_with_consumer(test: Callable[[StandinBroker], Awaitable[None]]) -> None:
+    """Run a test with a consumer in this process that is connected to a stand-in broker."""
 
     async def run() -> None:
         async with AsyncExitStack() as stack:
@@ -84,22 +84,22 @@
 
 
 async def seconds_to_link(broker: StandinBroker, number: int) -> float:
-    """Wait for the link of this number."""
+    """Wait for the link with this number and return how long that took."""
     loop = asyncio.get_running_loop()
-    begun_at = loop.time()
+    started_at = loop.time()
     await eventually(lambda: broker.links == number)
-    return loop.time() - begun_at
+    return loop.time() - started_at
 
 
-def test_an_idle_broker_that_is_lost_again_and_again_is_met_again_soon(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(reconnect, "STEADY_LINK_S", STOOD_S)
+def test_repeated_loss_of_idle_links_does_not_increase_the_delay(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(reconnect, "STABLE_LINK_S", LINK_LIFETIME_S)
 
     async def test(broker: StandinBroker) -> None:
-        waits = []
+        delays = []
         for number in range(LOSSES + 1):
-            waits.append(await seconds_to_link(broker, number + 1))
-            await asyncio.sleep(STOOD_S + 0.1)
+            delays.append(await seconds_to_link(broker, number + 1))
+            await asyncio.sleep(LINK_LIFETIME_S + 0.1)
             broker.cut()
-        assert max(waits) < LEAST_DOUBLED_S, waits
+        assert max(delays) < MIN_DOUBLED_DELAY_S, delays
 
-    with_consumer(test)
+    run_with_consumer(test)
--- a/tests/test_amqp_window.py
+++ b/tests/test_amqp_window.py
@@ -1,4 +1,4 @@
-"""How many deliveries the AMQP consumer takes in hand by what the node announces."""
+"""Consumption window of the AMQP consumer for the announced load value."""
 
 from __future__ import annotations
 
@@ -36,15 +36,13 @@
         (LoadSignal.CREDIT, None, PREFETCH),
     ],
 )
-def test_window_follows_the_announced_value_as_callers_read_it(
-    signal: LoadSignal, value: float | None, window: int
-) -> None:
+def test_window_follows_the_announced_load_value(signal: LoadSignal, value: float | None, window: int) -> None:
     assert consumption_window(signal, value, PREFETCH) == window
 
 
-# Guards against queues that are never consumed: where the site's signal is a level, an idle node announces 0.
+# Guards against queues that are never consumed: with a level as the load signal, an idle node announces 0.
 @pytest.mark.parametrize("signal", ["none", "threshold", "window", "share_of"])
-def test_idle_node_consumes_its_queues_whatever_the_signal(signal: str) -> None:
+def test_idle_node_consumes_its_queues_with_every_load_signal(signal: str) -> None:
     env: dict[str, Any] = json.loads(json.dumps(ENV))
     env["familyInfo"]["signal"] = signal
     core = Core(env)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,4 @@
-"""The platform's wires as models of a connection's states, checked by random steps."""
+"""Connection state models of the RESP, executor and records protocols, checked by random steps."""
 
 from __future__ import annotations
 
@@ -28,23 +28,23 @@
 
 
 class Balancers(RuleBasedStateMachine):
-    """One balancer's connection: what is open on it, against what the node writes."""
+    """Model of one balancer connection: open requests against what the node writes."""
 
     @initialize()
-    def begin(self) -> None:
+    def set_up(self) -> None:
         self.core, self.written = Core(), bytearray()
         clock = self.core.hand.clock
         self.front = RespListener(self.core.broker, clock, self.core.counters, Log(clock), 1024)
         self.connection = Connection(self.front, self.written.extend)
         self.parser, self.tag = RespParser(), 0
-        self.open, self.given_up = set[int](), set[int]()
-        self.checks: dict[int, bytes] = {}  # and what is due: DOWN while the module sees a hang
+        self.open, self.cancelled = set[int](), set[int]()
+        self.health_checks: dict[int, bytes] = {}  # expected answers by tag
         self.answered: list[int] = []
-        self.failed_at_once = set[int]()
+        self.failed_on_close = set[int]()
 
     def feed(self, data: bytes, size: int) -> None:
-        for at in range(0, len(data), size):
-            self.connection.received(data[at : at + size])
+        for offset in range(0, len(data), size):
+            self.connection.received(data[offset : offset + size])
 
     @precondition(lambda self: not self.connection.closing)
     @rule(
@@ -67,34 +67,34 @@
         self.feed(array(b"RPC.CANCEL", b"%d" % tag), 7)
         if tag in self.open:
             self.open.discard(tag)
-            self.given_up.add(tag)
+            self.cancelled.add(tag)
 
     @precondition(lambda self: not self.connection.closing)
     @rule()
     def check(self) -> None:
         self.tag += 1
-        self.checks[self.tag] = b"UP" if self.core.broker.status.is_healthy else b"DOWN"
+        self.health_checks[self.tag] = b"UP" if self.core.broker.status.is_healthy else b"DOWN"
         self.feed(array(b"RPC.HEALTH", b"%d" % self.tag, b""), 5)
 
     @precondition(lambda self: self.tag > 6)
-    @rule(junk=st.sampled_from([b"$1\r\n", b"*9999\r\n", b"*1\r\n$-1\r\n", array(b"RPC.CALL"), b"*2\r\n$9\r\nx"]))
-    def break_off(self, junk: bytes) -> None:
-        self.connection.received(junk + b"\r\n" * 20)
-        assert self.connection.closing and not self.connection.open
-        self.given_up |= self.open  # all failed at once
-        self.failed_at_once |= self.open
-        self.connection.received(array(b"RPC.HEALTH", b"1", b""))  # no longer read
+    @rule(malformed=st.sampled_from([b"$1\r\n", b"*9999\r\n", b"*1\r\n$-1\r\n", array(b"RPC.CALL"), b"*2\r\n$9\r\nx"]))
+    def send_malformed(self, malformed: bytes) -> None:
+        self.connection.received(malformed + b"\r\n" * 20)
+        assert self.connection.closing and not self.connection.open_requests
+        self.cancelled |= self.open  # all fail at once
+        self.failed_on_close |= self.open
+        self.connection.received(array(b"RPC.HEALTH", b"1", b""))  # not read any more
 
     @rule(data=st.data(), end=st.sampled_from([End.OK, End.ERROR]))
     def run_ends(self, data: st.DataObject, end: End) -> None:
         self.core.end_some(data, end)
 
     @rule(seconds=st.floats(0.01, 4.0))
-    def time_passes(self, seconds: float) -> None:
+    def advance_time(self, seconds: float) -> None:
         self.core.pass_time(seconds)
 
     @invariant()
-    def answers_match(self) -> None:
+    def answers_match_requests(self) -> None:
         if not hasattr(self, "core"):
             return
         self.parser.feed(bytes(self.written))
@@ -103,96 +103,96 @@
             tag = int(items[0])
             if items == [b"0", b"BYE"]:
                 assert self.connection.closing
-            elif tag in self.checks:
-                assert items[1] == self.checks.pop(tag)
+            elif tag in self.health_checks:
+                assert items[1] == self.health_checks.pop(tag)
             else:
-                assert tag in self.open, "a second answer, or one to nobody"
+                assert tag in self.open, "second answer, or answer to an unknown tag"
                 self.open.discard(tag)
                 self.answered.append(tag)
-        assert not self.checks and {int(tag) for tag in self.connection.open} == self.open
-        assert self.core.counters.counts["callers.gone"] == len(self.given_up)
+        assert not self.health_checks and {int(tag) for tag in self.connection.open_requests} == self.open
+        assert self.core.counters.counts["callers.gone"] == len(self.cancelled)
         assert len(self.answered) == len(set(self.answered))
-        assert self.given_up & set(self.answered) == self.failed_at_once
+        assert self.cancelled & set(self.answered) == self.failed_on_close
 
 
 class Links(RuleBasedStateMachine):
-    """The executor's link: an executor that reads as much as it likes, against lost links."""
+    """Model of the executor link: an executor that reads partially, and links that are lost."""
 
-    @initialize(pauses=st.booleans())
-    def begin(self, pauses: bool) -> None:
+    @initialize(can_pause=st.booleans())
+    def set_up(self, can_pause: bool) -> None:
         hand = Hand()
-        self.pauses, self.resting = pauses, set[str]()
+        self.can_pause, self.paused = can_pause, set[str]()
         counters = Counters()
-        self.session = Session(hand.clock, counters, Log(hand.clock), pauses)
+        self.session = Session(hand.clock, counters, Log(hand.clock), can_pause)
         self.session.notices = self
         self.link = ExecutorLink(Address("", 1), self.session, counters, Log(hand.clock))
-        self.serial, self.heard = 0, list[str]()
-        self.begun: dict[str, int] = {}  # run: how often it was begun
-        self.running, self.asked, self.over = set[str](), list[str](), set[str]()
+        self.serial, self.received_ends = 0, list[str]()
+        self.start_counts: dict[str, int] = {}  # by run: how often it was started
+        self.running, self.requested, self.ended_requests = set[str](), list[str](), set[str]()
         self.notices: list[bytes] = []
         self.to_executor, self.to_node = bytearray(), bytearray()
-        self.up, self.joined, self.doubted = False, False, set[str]()
+        self.is_connected, self.is_joined, self.in_doubt = False, False, set[str]()
         self.connect()
         for _ in range(3):
             self.executor_reads(10**6)
             self.node_reads(10**6)
 
-    # What the node hears.
+    # Notices received by the node.
 
     def executor_started(self, cold: bool, born: float) -> None: ...
     def gauges_received(self, values: tuple[float, ...]) -> None: ...
 
     def run_ended(self, id: str, end: End, elapsed: float, result: bytes) -> None:
         assert result == id.encode() and end is End.OK
-        self.heard.append(id)
+        self.received_ends.append(id)
 
     def call_wanted(self, id: str, notice: int, body: bytes) -> None:
-        raise AssertionError("no run of this model calls")
+        raise AssertionError("runs of this model make no calls")
 
     def command_not_carried_out(self, command: str, id: str) -> None:
-        raise AssertionError("a command that the executor does not know")
+        raise AssertionError("command rejected by the executor")
 
-    # What happens.
+    # Steps of the model.
 
     @rule()
     def connect(self) -> None:
-        if not self.up:
-            self.up, self.parser = True, LineParser(lambda words: words[0] == "EXEC", 4096)
+        if not self.is_connected:
+            self.is_connected, self.parser = True, LineParser(lambda words: words[0] == "EXEC", 4096)
             self.to_executor.clear()
             self.to_node.clear()
             self.session.connected(self.to_executor.extend)
 
     @rule()
-    def cut(self) -> None:
-        if self.up:
-            self.up = self.joined = False
+    def lose_link(self) -> None:
+        if self.is_connected:
+            self.is_connected = self.is_joined = False
             self.session.lost()
-            self.doubted |= set(self.asked) - set(self.begun)
+            self.in_doubt |= set(self.requested) - set(self.start_counts)
 
     @rule()
-    def leave(self) -> None:
-        """A link that is left once all that it carried is read leaves nothing in doubt."""
-        if self.up:
-            left = list[bool]()
-            self.session.on_quiesced = lambda: left.append(True)
+    def quiesce_and_reconnect(self) -> None:
+        """A link that is closed after all its commands are read leaves no run in doubt."""
+        if self.is_connected:
+            quiesced = list[bool]()
+            self.session.on_quiesced = lambda: quiesced.append(True)
             self.session.quiesce()
             self.execute(True)
             for _ in range(2):
                 self.executor_reads(10**6)
                 self.node_reads(10**6)
-            assert left
-            self.cut()
+            assert quiesced
+            self.lose_link()
             self.connect()
             for _ in range(3):
                 self.executor_reads(10**6)
                 self.node_reads(10**6)
-            assert set(self.asked) <= set(self.begun) | self.doubted | self.over
+            assert set(self.requested) <= set(self.start_counts) | self.in_doubt | self.ended_requests
 
     @rule(keyed=st.booleans())
     def execute(self, keyed: bool) -> None:
         self.serial += 1
         id = f"{'key' if keyed else 'safe'}{self.serial}"
-        self.asked.append(id)
+        self.requested.append(id)
         self.link.exec(id, "c", b"\r\nEXEC", not keyed)
 
     @rule()
@@ -201,84 +201,84 @@
 
     @rule(size=st.sampled_from([3, 60, 10**6]))
     def executor_reads(self, size: int) -> None:
-        if not self.up:
+        if not self.is_connected:
             return
         self.parser.feed(bytes(self.to_executor[:size]))
         del self.to_executor[:size]
         while (message := self.parser.next()) is not None:
             words, body = message
             if words[0] == "JOIN":
-                self.joined = True
+                self.is_joined = True
                 self.to_node += line("WELCOME", "hot", 1) + b"".join(self.notices[int(words[1]) :])
             elif words[0] == "METER":
                 self.to_node += line("METERS", words[1], 1)
             elif words[0] == "KILL":
                 if words[1] in self.running:
                     self.running.discard(words[1])
-                    self.resting.add(words[1])
-                    self.note("EXIT", words[1], "cancelled")
+                    self.paused.add(words[1])
+                    self.add_notice("EXIT", words[1], "cancelled")
             elif words[0] == "WAKE":
-                if words[1] in self.resting:
-                    self.resting.discard(words[1])
+                if words[1] in self.paused:
+                    self.paused.discard(words[1])
                     self.running.add(words[1])
-            elif words[1] not in self.running | self.resting | self.over:
+            elif words[1] not in self.running | self.paused | self.ended_requests:
                 assert words[0] == "EXEC" and body == b"\r\nEXEC"
                 self.running.add(words[1])
-                self.begun[words[1]] = self.begun.get(words[1], 0) + 1
+                self.start_counts[words[1]] = self.start_counts.get(words[1], 0) + 1
 
     @rule(data=st.data())
     def run_ends(self, data: st.DataObject) -> None:
         if self.running:
             id = data.draw(st.sampled_from(sorted(self.running)))
             self.running.discard(id)
-            self.note("EXIT", id, "complete")
+            self.add_notice("EXIT", id, "complete")
 
-    def note(self, word: str, id: str, end: str) -> None:
+    def add_notice(self, word: str, id: str, end: str) -> None:
         notice = line(word, len(self.notices) + 1, id, end, 5, body=id.encode())
         self.notices.append(notice)
-        self.to_node += notice if self.joined else b""
+        self.to_node += notice if self.is_joined else b""
 
     @rule(size=st.sampled_from([3, 60, 10**6]))
     def node_reads(self, size: int) -> None:
-        if self.up:
+        if self.is_connected:
             data = bytes(self.to_node[:size])
             del self.to_node[:size]
             self.session.received(data)
 
     @rule()
-    def a_request_in_doubt_is_over(self) -> None:
-        for id in self.asked:
+    def end_keyed_requests(self) -> None:
+        for id in self.requested:
             if id.startswith("key"):
-                self.over.add(id)
+                self.ended_requests.add(id)
                 self.link.resolve(id)
 
     @invariant()
-    def once_each(self) -> None:
-        if hasattr(self, "heard"):
+    def notices_and_keyed_runs_once(self) -> None:
+        if hasattr(self, "received_ends"):
             ends = [notice.split()[2].decode() for notice in self.notices if b"complete" in notice]
-            assert self.heard == ends[: len(self.heard)], "a notice was lost or taken twice"
-            assert all(count == 1 for id, count in self.begun.items() if id.startswith("key"))
+            assert self.received_ends == ends[: len(self.received_ends)], "notice lost or handled twice"
+            assert all(count == 1 for id, count in self.start_counts.items() if id.startswith("key"))
 
     def teardown(self) -> None:
-        """Whatever happened: with a link that stays up all is heard and all that may be repeated was run."""
-        if not hasattr(self, "heard"):
+        """On a link that stays up, every notice is received and every repeatable run is started."""
+        if not hasattr(self, "received_ends"):
             return
-        self.cut()
+        self.lose_link()
         self.connect()
         for _ in range(9):
             self.executor_reads(10**6)
             self.node_reads(10**6)
-        assert not self.resting, "a run was paused for good"
+        assert not self.paused, "run was never resumed"
         while self.running:
-            self.note("EXIT", self.running.pop(), "complete")
+            self.add_notice("EXIT", self.running.pop(), "complete")
         self.node_reads(10**6)
-        assert len(self.heard) == sum(b"complete" in notice for notice in self.notices)
-        if self.pauses:  # no doubt remains: all was begun
-            assert set(self.asked) <= set(self.begun) | self.over
-        assert {id for id in self.asked if id.startswith("safe")} <= set(self.begun)
+        assert len(self.received_ends) == sum(b"complete" in notice for notice in self.notices)
+        if self.can_pause:  # probes resolve every doubt, so each run is started
+            assert set(self.requested) <= set(self.start_counts) | self.ended_requests
+        assert {id for id in self.requested if id.startswith("safe")} <= set(self.start_counts)
 
 
-class Wire:
+class FakeConnection:
     """A connection to the records service without a socket."""
 
     def __init__(self) -> None:
@@ -298,46 +298,46 @@
 
 
 class Calls(RuleBasedStateMachine):
-    """The records connections: each call ends once, with the reply to itself and to no earlier one."""
+    """Model of the records connections: each call ends once, with its own reply and not an earlier call's."""
 
     @initialize()
-    def begin(self) -> None:
+    def set_up(self) -> None:
         self.loop, hand = asyncio.new_event_loop(), Hand()
         self.service = RecordsService(Address("h", 1), hand.clock, Counters(), Log(hand.clock), max_connections=3)
         self.service.listener = self
-        self.hand, self.wires, self.refuse = hand, list[Wire](), False
+        self.hand, self.connections_made, self.refuse = hand, list[FakeConnection](), False
         self.serial = 0
-        self.open: dict[str, int] = {}  # request: the number of its present call
-        self.late: list[tuple[Wire, str, int]] = []
-        self.on_wire: list[tuple[Wire, str, int]] = []  # calls that the service has and may answer
+        self.open: dict[str, int] = {}  # by request: the number of its current call
+        self.stale: list[tuple[FakeConnection, str, int]] = []
+        self.in_flight: list[tuple[FakeConnection, str, int]] = []  # calls that the service has received and may answer
 
     async def connect(self, host: str, port: int) -> tuple[Any, Any]:
         if self.refuse:
             raise ConnectionRefusedError
-        self.wires.append(Wire())
-        return self.wires[-1].reader, self.wires[-1]
+        self.connections_made.append(FakeConnection())
+        return self.connections_made[-1].reader, self.connections_made[-1]
 
     def call_ended(self, id: str, end: End, reply: bytes) -> None:
-        number = self.open.pop(id)  # a second end would be a KeyError
+        number = self.open.pop(id)  # KeyError if a call ends twice
         if end is End.OK:
-            assert reply == b"%d" % number, "the reply to an earlier call"
+            assert reply == b"%d" % number, "reply to an earlier call"
 
-    def settle(self, step: Coroutine[Any, Any, None] | None = None) -> None:
+    def run_loop(self, step: Coroutine[Any, Any, None] | None = None) -> None:
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(records.asyncio, "open_connection", self.connect)  # type: ignore[attr-defined]
             if step is not None:
                 self.loop.run_until_complete(step)
             for _ in range(6):
                 self.loop.run_until_complete(asyncio.sleep(0))
-        for wire in self.wires:
+        for connection in self.connections_made:
             parser = LineParser(lambda words: words[0] == "OP", 4096)
-            parser.feed(bytes(wire.sent))
-            wire.sent.clear()
+            parser.feed(bytes(connection.sent))
+            connection.sent.clear()
             while (message := parser.next()) is not None:
                 words, body = message
-                self.on_wire = [c for c in self.on_wire if words[0] == "OP" or c[:2] != (wire, words[1])]
+                self.in_flight = [c for c in self.in_flight if words[0] == "OP" or c[:2] != (connection, words[1])]
                 if words[0] == "OP":
-                    self.on_wire.append((wire, words[1], int(body)))
+                    self.in_flight.append((connection, words[1], int(body)))
 
     @rule(id=st.sampled_from("abcde"), refuse=st.booleans(), pause=st.sampled_from([0.0, 1.0]))
     def call(self, id: str, refuse: bool, pause: float) -> None:
@@ -350,64 +350,64 @@
         async def start() -> None:
             self.service.call(id, self.hand.time + 1000, b"%d" % self.serial, False)
 
-        self.settle(start())
-        wires = [on for on, at, _ in self.on_wire if at == id]
-        others = {on for on, at, _ in self.on_wire if at != id}
+        self.run_loop(start())
+        carriers = [carrier for carrier, request, _ in self.in_flight if request == id]
+        others = {carrier for carrier, request, _ in self.in_flight if request != id}
         # A call shares a connection only while there are more calls than connections.
-        assert not wires or wires[0] not in others or len(others) == 3
+        assert not carriers or carriers[0] not in others or len(others) == 3
 
     @rule(id=st.sampled_from("abcde"))
     def give_up(self, id: str) -> None:
         if self.open.pop(id, None) is not None:
             self.service.give_up(id)
-            # The reply may be on its way already, and come after the next call for the same request.
-            self.late += [entry for entry in self.on_wire if entry[1] == id]
-            self.on_wire = [entry for entry in self.on_wire if entry[1] != id]
-            self.settle()
+            # The reply may be in flight and arrive after the next call for the same request.
+            self.stale += [entry for entry in self.in_flight if entry[1] == id]
+            self.in_flight = [entry for entry in self.in_flight if entry[1] != id]
+            self.run_loop()
 
     @rule()
-    def late_replies(self) -> None:
-        for wire, id, number in self.late:
-            if not wire.aborted:
-                wire.reader.feed_data(line(id, "DONE", body=b"%d" % number))
-        self.late.clear()
-        self.settle()
+    def deliver_stale_replies(self) -> None:
+        for connection, id, number in self.stale:
+            if not connection.aborted:
+                connection.reader.feed_data(line(id, "DONE", body=b"%d" % number))
+        self.stale.clear()
+        self.run_loop()
 
     @rule(data=st.data(), word=st.sampled_from(["DONE", "WAIT", "ERROR", "PAST", "EMPTY"]))
     def reply(self, data: st.DataObject, word: str) -> None:
-        if live := [entry for entry in self.on_wire if not entry[0].aborted]:
+        if live := [entry for entry in self.in_flight if not entry[0].aborted]:
             entry = data.draw(st.sampled_from(live))
-            self.on_wire.remove(entry)
-            wire, id, number = entry
-            wire.reader.feed_data(line(id, word, body=b"%d" % number if word == "DONE" else None))
-            self.settle()
-            assert self.open.get(id) != number, "a call whose reply came did not end"
-            self.late.append(entry)  # it may come a second time
-
-    @precondition(lambda self: self.on_wire)
-    @rule(data=st.data(), junk=st.sampled_from([b"", b"what\r\n", b"x" * 600, b"zz DONE 99999999\r\n"]))
-    def reply_is_spoilt(self, data: st.DataObject, junk: bytes) -> None:
-        """It costs the calls on its connection and no other."""
-        wire = data.draw(st.sampled_from([wire for wire, _, _ in self.on_wire]))
-        wire.reader.feed_data(b"stranger DONE 1\r\nx\r\n" + junk)
-        wire.abort()
-        before, lost = set(self.open), {id for on, id, _ in self.on_wire if on is wire}
-        self.late = [entry for entry in self.late if entry[0] is not wire]
-        self.on_wire = [entry for entry in self.on_wire if entry[0] is not wire]
-        self.settle()
+            self.in_flight.remove(entry)
+            connection, id, number = entry
+            connection.reader.feed_data(line(id, word, body=b"%d" % number if word == "DONE" else None))
+            self.run_loop()
+            assert self.open.get(id) != number, "call did not end at its reply"
+            self.stale.append(entry)  # the reply may arrive a second time
+
+    @precondition(lambda self: self.in_flight)
+    @rule(data=st.data(), malformed=st.sampled_from([b"", b"what\r\n", b"x" * 600, b"zz DONE 99999999\r\n"]))
+    def malformed_reply(self, data: st.DataObject, malformed: bytes) -> None:
+        """A malformed reply fails only the calls on its connection."""
+        connection = data.draw(st.sampled_from([connection for connection, _, _ in self.in_flight]))
+        connection.reader.feed_data(b"stranger DONE 1\r\nx\r\n" + malformed)
+        connection.abort()
+        before, lost = set(self.open), {id for carrier, id, _ in self.in_flight if carrier is connection}
+        self.stale = [entry for entry in self.stale if entry[0] is not connection]
+        self.in_flight = [entry for entry in self.in_flight if entry[0] is not connection]
+        self.run_loop()
         assert before - set(self.open) == lost
 
     @precondition(lambda self: len(self.open) == 2)
-    @rule(junk=st.sampled_from([b"", b"what\r\n", b"x" * 600, b"a DONE 99999999\r\n"]))
-    def connection_ends(self, junk: bytes) -> None:
-        for wire in self.wires:
-            if not wire.aborted:
-                wire.reader.feed_data(junk)
-                wire.abort()
-                self.late = [entry for entry in self.late if entry[0] is not wire]
-                self.on_wire = [entry for entry in self.on_wire if entry[0] is not wire]
-        self.settle()
-        assert not self.open, "a call outlived its connection"
+    @rule(malformed=st.sampled_from([b"", b"what\r\n", b"x" * 600, b"a DONE 99999999\r\n"]))
+    def connection_ends(self, malformed: bytes) -> None:
+        for connection in self.connections_made:
+            if not connection.aborted:
+                connection.reader.feed_data(malformed)
+                connection.abort()
+                self.stale = [entry for entry in self.stale if entry[0] is not connection]
+                self.in_flight = [entry for entry in self.in_flight if entry[0] is not connection]
+        self.run_loop()
+        assert not self.open, "call outlived its connection"
 
     def teardown(self) -> None:
         if hasattr(self, "loop"):
@@ -417,20 +417,22 @@
 
 
 @pytest.mark.parametrize("idle", [2, 3])
-def test_connections_that_stand_idle_leave_their_places_to_calls_that_they_may_not_take(idle: int) -> None:
-    """A call that may not be repeated goes on a fresh connection. With all places taken by old ones it shared one with
-    another call, or ended unreachable, for as long as those stood idle."""
+def test_idle_connection_is_replaced_for_call_that_it_may_not_carry(idle: int) -> None:
+    """A call that is not repeatable needs a new connection.
+
+    With all places taken by idle connections, the call shared one with another call, or ended as unreachable, for as
+    long as those connections stayed idle."""
     calls = Calls()
-    calls.begin()
+    calls.set_up()
     for id in "cde"[:idle]:
         calls.call(id, refuse=False, pause=0.0)
-    for wire, id, number in list(calls.on_wire):
-        wire.reader.feed_data(line(id, "DONE", body=b"%d" % number))
-    calls.settle()
-    calls.on_wire.clear()
+    for connection, id, number in list(calls.in_flight):
+        connection.reader.feed_data(line(id, "DONE", body=b"%d" % number))
+    calls.run_loop()
+    calls.in_flight.clear()
     for id, pause in (("a", 1.0), ("b", 0.0)):
         calls.call(id, refuse=False, pause=pause)
-    assert len({wire for wire, _, _ in calls.on_wire}) == 2
+    assert len({connection for connection, _, _ in calls.in_flight}) == 2
     calls.connection_ends(b"")
     calls.loop.close()
 
@@ -439,27 +441,27 @@
 TestBalancers.settings = TestLinks.settings = TestCalls.settings = STEPS
 
 
-def test_a_keyed_run_that_ends_while_the_next_link_catches_up_is_not_run_again() -> None:
+def test_keyed_run_that_ends_during_link_synchronization_is_not_repeated() -> None:
     links = Links()
-    links.begin(pauses=False)
+    links.set_up(can_pause=False)
     links.execute(keyed=True)
     links.executor_reads(10**6)
-    links.cut()
+    links.lose_link()
     links.connect()
     links.executor_reads(10**6)
-    links.node_reads(10**6)  # WELCOME; the node asks whether it has caught up
+    links.node_reads(10**6)  # WELCOME; the node sends the METER that ends the synchronization
     links.executor_reads(10**6)
-    caught_up = len(links.to_node)
+    sync_bytes = len(links.to_node)
     links.running.discard("key1")
     links.notices.append(line("EXIT", 1, "key1", "complete", 5, body=b"key1"))
     links.to_node += links.notices[0]
-    links.node_reads(caught_up)
+    links.node_reads(sync_bytes)
     links.executor_reads(10**6)
     links.node_reads(10**6)
-    assert links.begun == {"key1": 1} and links.heard == ["key1"]
+    assert links.start_counts == {"key1": 1} and links.received_ends == ["key1"]
 
 
-def test_room_is_made_by_what_is_of_least_use_and_never_by_what_came_just_now() -> None:
+def test_least_useful_connection_is_evicted_and_newest_is_kept() -> None:
     core = Core()
     clock = core.hand.clock
     front = RespListener(core.broker, clock, core.counters, Log(clock), 16)
@@ -488,7 +490,7 @@
     assert set(front.connections) == {keys["busy"], keys["new"]}
 
 
-def test_a_connection_that_made_room_leaves_no_deadline_behind() -> None:
+def test_evicted_connection_leaves_no_deadline() -> None:
     core = Core()
     now = core.hand.time
     front = RespListener(core.broker, core.hand.clock, core.counters, Log(core.hand.clock), 16)
@@ -498,17 +500,17 @@
     front.update_deadline(front.connections[1])
     assert front.decide(b"\x7f\0\0\1", short=False) is AcceptDecision.SERVE and not front.connections
     core.hand.time += 5
-    front.close_idle()  # it would look for a connection that is gone, and end the sweep of all others
+    front.close_idle()  # a deadline of the evicted connection would raise KeyError and end the sweep
 
 
-def test_an_answer_tells_when_to_come_back() -> None:
-    refusal = Answer(Verdict.REJECTED, b"", 0.25, True, 3.5)
-    assert format_answer(b"7", refusal) == array(b"7", b"BUSY", b"v=3.5,w=250,l=1", b"")
+def test_rejected_answer_carries_retry_delay() -> None:
+    rejected = Answer(Verdict.REJECTED, b"", 0.25, True, 3.5)
+    assert format_answer(b"7", rejected) == array(b"7", b"BUSY", b"v=3.5,w=250,l=1", b"")
     assert format_answer(b"7", Answer(Verdict.SERVED, b"x")) == array(b"7", b"OK", b"", b"x")
     assert format_answer(b"7", Answer(Verdict.FAILED, retry_after=1.0)) == array(b"7", b"FAILED", b"", b"")
 
 
-def test_the_fields_of_a_call() -> None:
+def test_call_fields_are_parsed() -> None:
     request = parse_call(
         [
             b"RPC.CALL",
@@ -531,7 +533,7 @@
 
 
 @pytest.mark.parametrize("raw", [b"x" * 600, b"\r\n", b"EXIT 1 a complete 1 x\r\n", b"EXIT 1 a complete 1 2\r\nabcd"])
-def test_malformed_lines(raw: bytes) -> None:
+def test_malformed_lines_raise_protocol_error(raw: bytes) -> None:
     parser = LineParser(lambda words: words[0] == "EXIT", 100)
     parser.feed(raw)
     with pytest.raises(ProtocolError):
@@ -540,7 +542,7 @@
 
 
 @pytest.mark.parametrize(("repeatable", "end"), [(True, End.OK), (False, End.BROKEN)])
-def test_a_call_on_a_connection_that_was_forgotten_goes_out_again_where_it_may(repeatable: bool, end: End) -> None:
+def test_only_repeatable_call_is_retried_after_reset_of_idle_connection(repeatable: bool, end: End) -> None:
     ends: list[tuple[str, End]] = []
     served: list[str] = []
 
@@ -562,8 +564,8 @@
     async def run() -> None:
         clock = Clock()
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        at = Address("127.0.0.1", server.sockets[0].getsockname()[1])
-        service = RecordsService(at, clock, Counters(), Log(clock), max_connections=3)
+        address = Address("127.0.0.1", server.sockets[0].getsockname()[1])
+        service = RecordsService(address, clock, Counters(), Log(clock), max_connections=3)
         service.listener = cast(Any, Listener())
         for id in "ab":
             service.call(id, clock.now() + 30, b"body", repeatable)
@@ -574,7 +576,7 @@
     assert ends == [("a", End.OK), ("b", end)] and served == ["a", "reset"] + ["b"] * repeatable
 
 
-def test_the_last_tier_has_nobody_to_call() -> None:
+def test_call_without_records_address_ends_unreachable() -> None:
     ends: list[tuple[str, End]] = []
     hand = Hand()
 
--- a/tests/test_platform_bytes.py
+++ b/tests/test_platform_bytes.py
@@ -1,4 +1,4 @@
-"""What the program writes to the platform is what the kept version wrote, but for what depends on the time."""
+"""Bytes written to the platform equal those of the kept version, except for values that depend on the time."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from .data import make_platform_bytes
 from .data.make_platform_bytes import KEPT, errors, until, wire
 
-STALL_S = 0.4  # longer than the node takes between two METERs
-KNOWN: dict[str, Any] = json.loads(KEPT.read_text())
+STALL_S = 0.4  # longer than the interval between two METERs
+KEPT_RESULTS: dict[str, Any] = json.loads(KEPT.read_text())
 
 
 @pytest.fixture(scope="module")
@@ -21,27 +21,27 @@
     return wire()
 
 
-@pytest.mark.parametrize("part", list(KNOWN["wire"]))
-def test_the_bytes_on_the_wires_are_those_kept(part: str, written: dict[str, Any]) -> None:
-    assert written[part] == KNOWN["wire"][part]
+@pytest.mark.parametrize("part", list(KEPT_RESULTS["wire"]))
+def test_wire_bytes_equal_the_kept_ones(part: str, written: dict[str, Any]) -> None:
+    assert written[part] == KEPT_RESULTS["wire"][part]
 
 
-def test_there_is_nothing_that_was_not_kept(written: dict[str, Any]) -> None:
-    assert list(written) == list(KNOWN["wire"])
+def test_every_wire_part_is_kept(written: dict[str, Any]) -> None:
+    assert list(written) == list(KEPT_RESULTS["wire"])
 
 
-# Guards against a wait that never ends on a busy machine: a METERS confirmed a command before its link was lost.
-def test_the_bytes_are_the_same_where_the_stand_ins_are_slow(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def wait_and_stall(holds: Callable[[], Any]) -> None:
-        await until(holds)
+# Guards against a wait without end on a busy machine: a METERS confirmed a command before its link was lost.
+def test_wire_bytes_are_independent_of_slow_stand_ins(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def wait_and_stall(condition: Callable[[], Any]) -> None:
+        await until(condition)
         await asyncio.sleep(STALL_S)
 
     monkeypatch.setattr(make_platform_bytes, "until", wait_and_stall)
-    assert wire() == KNOWN["wire"]
+    assert wire() == KEPT_RESULTS["wire"]
 
 
-def test_bad_configuration_is_told_in_the_kept_words_and_ends_with_2() -> None:
-    found = errors()
-    assert found == KNOWN["errors"] and len(found) >= 12
-    for code, output, error in found.values():
+def test_invalid_configuration_exits_with_2_and_the_kept_message() -> None:
+    reported = errors()
+    assert reported == KEPT_RESULTS["errors"] and len(reported) >= 12
+    for code, output, error in reported.values():
         assert code == 2 and not output and error.startswith("chutepin: ") and error.count("\n") == 1
--- a/tests/test_reader_errors.py
+++ b/tests/test_reader_errors.py
@@ -1,6 +1,6 @@
-"""Readers of bytes that others write: whatever comes, only the reader's own error escapes.
+"""Readers of external bytes raise only their own error, whatever the input.
 
-An error of another type would end more than the connection that the bytes came on."""
+An error of another type would end more than the connection on which the bytes arrived."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 FUZZ = settings(
     derandomize=True, database=None, deadline=None, max_examples=400, suppress_health_check=list(HealthCheck)
 )
-# Numbers as text that `float` or `int` take, or half take: powers, other scripts' digits, signs, underscores, lengths.
+# Texts that `float` or `int` accept, or nearly: superscripts, digits of other scripts, signs, underscores, lengths.
 ODD_NUMBERS = st.sampled_from(
     ["²", "٣", "1_0", "nan", "inf", "-1", "+1", "1e999", "9" * 400, "9" * 5000, "", ".", "0x1", " 1", "\x00"]
 )
@@ -42,15 +42,15 @@
 
 @st.composite
 def changed(draw: st.DrawFn, data: bytes) -> bytes:
-    """Bytes with some replaced, removed or repeated."""
+    """Return the data with some bytes replaced, removed or inserted."""
     for _ in range(draw(st.integers(1, 4))):
-        at = draw(st.integers(0, max(0, len(data) - 1)))
+        offset = draw(st.integers(0, max(0, len(data) - 1)))
         length = draw(st.integers(0, 4))
-        data = data[:at] + draw(st.binary(max_size=4)) + data[at + length :]
+        data = data[:offset] + draw(st.binary(max_size=4)) + data[offset + length :]
     return data
 
 
-# Guards against a consumer tag such as "q²", which `str.isdigit` takes and `int` does not: it broke the link each time.
+# Guards against a consumer tag such as "q²": `str.isdigit` accepts it and `int` does not, which broke every link.
 @FUZZ
 @given(consumer_tag=CONSUMER_TAGS, delivery_tag=st.integers(1, 2**63 - 1))
 def test_amqp_delivery_under_any_consumer_tag_is_settled(consumer_tag: str, delivery_tag: int) -> None:
@@ -86,17 +86,17 @@
             return
 
 
-HEAD = b"i=0123456789abcdef,s=1764576000123,f=4,t=bernard-lodge,d=480,m=24.5,p=0.6250"
+CALL_FIELDS = b"i=0123456789abcdef,s=1764576000123,f=4,t=bernard-lodge,d=480,m=24.5,p=0.6250"
 
 
 @FUZZ
-@given(data=st.data(), field=st.sampled_from([b"s", b"f", b"d", b"m", b"p"]), odd=ODD_NUMBERS)
-def test_platform_call_raises_only_protocol_errors(data: st.DataObject, field: bytes, odd: str) -> None:
-    fields = dict(part.split(b"=") for part in HEAD.split(b","))
-    fields[field] = odd.encode()
-    head = b",".join(b"%b=%b" % pair for pair in fields.items())
+@given(data=st.data(), field=st.sampled_from([b"s", b"f", b"d", b"m", b"p"]), odd_number=ODD_NUMBERS)
+def test_platform_call_raises_only_protocol_errors(data: st.DataObject, field: bytes, odd_number: str) -> None:
+    fields = dict(part.split(b"=") for part in CALL_FIELDS.split(b","))
+    fields[field] = odd_number.encode()
+    encoded_fields = b",".join(b"%b=%b" % pair for pair in fields.items())
     parser = RespParser()
-    raw = array(b"RPC.CALL", b"1", b"status-read", head, b"x")
+    raw = array(b"RPC.CALL", b"1", b"status-read", encoded_fields, b"x")
     try:
         parser.feed(data.draw(changed(raw)) if data.draw(st.booleans()) else raw)
         while (items := parser.next()) is not None:
@@ -116,15 +116,15 @@
 
 
 @FUZZ
-@given(data=st.data(), odd=ODD_NUMBERS)
-def test_executor_session_raises_only_protocol_errors(data: st.DataObject, odd: str) -> None:
+@given(data=st.data(), odd_number=ODD_NUMBERS)
+def test_executor_session_raises_only_protocol_errors(data: st.DataObject, odd_number: str) -> None:
     core = Core()
     session = ExecutorSession(core.hand.clock, core.counters, Log(core.hand.clock), True)
     session.notices = core.broker
     session.connected(lambda sent: None)
     for raw in data.draw(st.lists(st.sampled_from(NOTICES), min_size=1, max_size=4)):
         words = raw.split(b" ")
-        words[data.draw(st.integers(0, len(words) - 1))] = odd.encode()
+        words[data.draw(st.integers(0, len(words) - 1))] = odd_number.encode()
         try:
             session.received(data.draw(st.sampled_from([raw, b" ".join(words), data.draw(changed(raw))])))
         except ProtocolError:
@@ -133,7 +133,7 @@
 
 @FUZZ
 @given(data=st.binary(max_size=300))
-def test_operators_line_raises_only_its_error(data: bytes) -> None:
+def test_ops_line_reader_raises_only_its_own_error(data: bytes) -> None:
     reader = LineReader()
     try:
         reader.feed(data)
@@ -142,7 +142,7 @@
 
 
 def reseal(protocol: str, data: bytes) -> bytes:
-    """Put the right checksum on changed content, so that the reader looks into it."""
+    """Replace the checksum of changed content by a valid one, so that the reader decodes the content."""
     if protocol == "gossip":
         return data[:7] + struct.pack(">I", zlib.crc32(data[11:])) + data[11:]
     return struct.pack(">II", len(data) - 8, zlib.crc32(data[8:])) + data[8:]
@@ -176,14 +176,14 @@
     reader = FrameReader()
     try:
         reader.feed(data.draw(changed(bytes.fromhex(KEPT["hand-over"][name]))))
-        while (got := reader.next()) is not None:
-            decode(got)
+        while (received_frame := reader.next()) is not None:
+            decode(received_frame)
     except ProtocolError:
         return
 
 
-def test_checksums_are_put_on_as_the_senders_do() -> None:
-    """Else the two tests above would only see wrong checksums."""
+def test_resealed_checksums_equal_those_of_the_senders() -> None:
+    """Otherwise the two tests above could only exercise invalid checksums."""
     for protocol in ("gossip", "consensus"):
         data: dict[str, Any] = KEPT[protocol]
         raw = bytes.fromhex(data["Ping" if protocol == "gossip" else "Hello"])
--- a/tests/test_repeated_returns.py
+++ b/tests/test_repeated_returns.py
@@ -1,4 +1,4 @@
-"""A RETURN in doubt after a lost executor link, against an executor whose runs make several calls."""
+"""RETURNs in doubt after a lost executor link, against an executor whose runs make several calls."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 from .helper import Hand
 
-CALLS = 3  # of each run, one after the other
+CALLS = 3  # made by each run, one after another
 SEEDS = range(300)
 STEPS = 120
-MAX_ROUNDS = 50  # in which a link that stays up brings all to an end
+MAX_ROUNDS = 50  # within which all runs end on a link that stays up
 
 
 class Run:
-    """A run of the executor: what its calls were answered with."""
+    """A run of the executor with the replies to its calls."""
 
     def __init__(self, id: str) -> None:
         self.id = id
@@ -32,8 +32,8 @@
         self.replies: list[bytes] = []
 
     @property
-    def right_replies(self) -> list[bytes]:
-        """What its calls so far should have been answered with."""
+    def correct_replies(self) -> list[bytes]:
+        """The correct replies to the calls answered so far."""
         return [reply_to(self.id, call) for call in range(1, len(self.replies) + 1)]
 
 
@@ -45,8 +45,8 @@
     return b"reply to " + call_body(id, call)
 
 
-class Rig:
-    """A session and a model of the executor, with a link that holds bytes in both directions until they are read."""
+class ExecutorModel:
+    """A session and a model of the executor, with a link that holds bytes in both directions until read."""
 
     def __init__(self) -> None:
         hand = Hand()
@@ -57,14 +57,14 @@
         self.runs: dict[str, Run] = {}
         self.ended: dict[str, Run] = {}
         self.notices: list[bytes] = []
-        self.heard: dict[str, tuple[End, bytes]] = {}  # ends of runs at the node
-        self.due: list[tuple[str, bytes]] = []  # replies that the node has yet to give
+        self.received_ends: dict[str, tuple[End, bytes]] = {}  # ends of runs at the node
+        self.unsent_replies: list[tuple[str, bytes]] = []  # replies that the node has not written yet
         self.to_executor = bytearray()
         self.to_node = bytearray()
         self.is_joined = False
         self.connect()
 
-    # What the node hears.
+    # Notices received by the node.
 
     def executor_started(self, cold: bool, born: float) -> None: ...
 
@@ -73,13 +73,13 @@
     def command_not_carried_out(self, command: str, id: str) -> None: ...
 
     def run_ended(self, id: str, end: End, elapsed: float, result: bytes) -> None:
-        assert id not in self.heard
-        self.heard[id] = end, result
+        assert id not in self.received_ends
+        self.received_ends[id] = end, result
 
     def call_wanted(self, id: str, notice: int, body: bytes) -> None:
-        self.due.append((id, b"reply to " + body))
+        self.unsent_replies.append((id, b"reply to " + body))
 
-    # What happens.
+    # Steps of the model.
 
     def connect(self) -> None:
         self.session.lost()
@@ -89,9 +89,9 @@
         self.parser = LineParser(lambda words: words[0] in ("EXEC", "RETURN"), 4096)
         self.session.connected(self.to_executor.extend)
 
-    def give_replies(self) -> None:
-        due, self.due = self.due, []
-        for id, reply in due:
+    def send_replies(self) -> None:
+        unsent_replies, self.unsent_replies = self.unsent_replies, []
+        for id, reply in unsent_replies:
             self.node.give_back(id, reply)
 
     def node_reads(self) -> None:
@@ -104,9 +104,9 @@
         self.to_executor.clear()
         self.parser.feed(data)
         while (message := self.parser.next()) is not None:
-            self._carry_out(*message)
+            self._execute(*message)
 
-    def _carry_out(self, words: list[str], body: bytes) -> None:
+    def _execute(self, words: list[str], body: bytes) -> None:
         match words[0]:
             case "JOIN":
                 self.is_joined = True
@@ -122,8 +122,8 @@
                     run.is_waiting = False
                     run.replies.append(body)
 
-    def work(self, run: Run) -> None:
-        """A run that isn't waiting asks for its next call, or ends after the last."""
+    def advance(self, run: Run) -> None:
+        """Let a run that is not waiting request its next call, or end after the last one."""
         if run.is_waiting:
             return
         if run.calls < CALLS:
@@ -140,17 +140,17 @@
         if self.is_joined:
             self.to_node += notice
 
-    def settle(self) -> None:
-        """With a link that stays up, all runs come to their end."""
+    def finish_runs(self) -> None:
+        """Bring all runs to their end over a link that stays up."""
         for _ in range(MAX_ROUNDS):
             self.executor_reads()
             for run in list(self.runs.values()):
-                self.work(run)
+                self.advance(run)
             self.node_reads()
-            self.give_replies()
+            self.send_replies()
 
-    def at_first_reply(self) -> Run:
-        """A run whose first RETURN was written and not yet read."""
+    def run_to_first_reply(self) -> Run:
+        """Return a run whose first RETURN was written and not yet read."""
         for _ in range(2):
             self.executor_reads()
             self.node_reads()
@@ -158,13 +158,13 @@
         self.executor_reads()
         self.node_reads()
         run = self.runs["a"]
-        self.work(run)
+        self.advance(run)
         self.node_reads()
-        self.give_replies()
+        self.send_replies()
         return run
 
-    def synced_link(self) -> None:
-        """A new link up to the RETURN that the node writes once more."""
+    def reconnect_up_to_return(self) -> None:
+        """Open a new link and process it up to the repeated RETURN."""
         self.connect()
         self.executor_reads()
         self.node_reads()
@@ -173,71 +173,71 @@
         assert b"RETURN a" in self.to_executor
 
 
-# Guards against a result made with the reply to another call: a repeated RETURN that met the run's next call.
-def test_run_whose_next_call_meets_a_repeated_return_fails_and_gives_no_result() -> None:
-    rig = Rig()
-    run = rig.at_first_reply()
-    rig.executor_reads()  # the first RETURN is read, and the link lost before that shows
-    rig.synced_link()
-    rig.work(run)  # asks for its second call, as the RETURN is on its way
-    rig.settle()
-    assert run.replies != run.right_replies  # the rig did what it is meant to
-    assert rig.heard == {"a": (End.ERROR, b"")}
-    assert rig.counters.counts["executor.returns_crossed"] == 1
+# Guards against a result computed from the reply to another call, if a repeated RETURN answers the run's next call.
+def test_run_whose_next_call_is_answered_by_repeated_return_fails_without_result() -> None:
+    model = ExecutorModel()
+    run = model.run_to_first_reply()
+    model.executor_reads()  # the first RETURN is read, and the link is lost before its confirmation
+    model.reconnect_up_to_return()
+    model.advance(run)  # requests its second call while the RETURN is in flight
+    model.finish_runs()
+    assert run.replies != run.correct_replies  # the model produced the wrong reply
+    assert model.received_ends == {"a": (End.ERROR, b"")}
+    assert model.counters.counts["executor.returns_crossed"] == 1
 
 
-def test_run_that_had_not_read_the_first_return_goes_on_with_the_repeated_one() -> None:
-    rig = Rig()
-    run = rig.at_first_reply()
-    rig.synced_link()
-    rig.settle()
-    assert run.replies == run.right_replies
-    assert rig.heard == {"a": (End.OK, b"a")}
+def test_run_that_missed_the_first_return_continues_with_the_repeated_one() -> None:
+    model = ExecutorModel()
+    run = model.run_to_first_reply()
+    model.reconnect_up_to_return()
+    model.finish_runs()
+    assert run.replies == run.correct_replies
+    assert model.received_ends == {"a": (End.OK, b"a")}
 
 
-def test_return_is_not_repeated_to_a_run_that_asked_for_its_next_call_while_no_link_was_there() -> None:
-    rig = Rig()
-    run = rig.at_first_reply()
-    rig.executor_reads()
-    rig.work(run)
-    rig.connect()
-    rig.settle()
-    assert run.replies == run.right_replies
-    assert rig.heard == {"a": (End.OK, b"a")}
+def test_return_is_not_repeated_if_next_call_was_requested_without_a_link() -> None:
+    model = ExecutorModel()
+    run = model.run_to_first_reply()
+    model.executor_reads()
+    model.advance(run)
+    model.connect()
+    model.finish_runs()
+    assert run.replies == run.correct_replies
+    assert model.received_ends == {"a": (End.OK, b"a")}
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_results_come_from_right_replies_whatever_links_are_lost(seed: int) -> None:
-    chance = random.Random(seed)
-    rig = Rig()
+def test_results_come_from_correct_replies_under_random_link_loss(seed: int) -> None:
+    random_source = random.Random(seed)
+    model = ExecutorModel()
     started = 0
     for _ in range(STEPS):
-        match chance.choice(("exec", "work", "work", "executor", "executor", "node", "node", "reply", "lose")):
+        match random_source.choice(("exec", "work", "work", "executor", "executor", "node", "node", "reply", "lose")):
             case "exec":
                 started += 1
-                rig.node.exec(f"r{started}", "c", b"x", True)
-            case "work" if rig.runs:
-                rig.work(chance.choice(list(rig.runs.values())))
+                model.node.exec(f"r{started}", "c", b"x", True)
+            case "work" if model.runs:
+                model.advance(random_source.choice(list(model.runs.values())))
             case "executor":
-                rig.executor_reads()
+                model.executor_reads()
             case "node":
-                rig.node_reads()
+                model.node_reads()
             case "reply":
-                rig.give_replies()
+                model.send_replies()
             case "lose":
-                rig.connect()
-    rig.settle()
-    assert len(rig.heard) == started and not rig.runs
-    failed_though_right = 0
-    for id, (end, _) in rig.heard.items():
-        run = rig.ended[id]
-        is_right = run.replies == run.right_replies
-        assert is_right or end is End.ERROR, (id, run.replies)
-        failed_though_right += is_right and end is End.ERROR
-    assert failed_though_right <= rig.counters.counts["executor.returns_in_doubt"]
-
-
-def test_runs_with_a_wrong_reply_are_bounded() -> None:
+                model.connect()
+    model.finish_runs()
+    assert len(model.received_ends) == started and not model.runs
+    failed_though_correct = 0
+    for id, (end, _) in model.received_ends.items():
+        run = model.ended[id]
+        is_correct = run.replies == run.correct_replies
+        assert is_correct or end is End.ERROR, (id, run.replies)
+        failed_though_correct += is_correct and end is End.ERROR
+    assert failed_though_correct <= model.counters.counts["executor.returns_in_doubt"]
+
+
+def test_remembered_runs_with_wrong_reply_are_bounded() -> None:
     returns = RepeatedReturns()
     for number in range(2 * MAX_RUNS):
         returns.written(str(number), number)
--- a/tests/test_service_reader_errors.py
+++ b/tests/test_service_reader_errors.py
@@ -1,4 +1,4 @@
-"""Answers of the records service and the control plane: whatever comes ends one connection, and no task of the node."""
+"""Malformed answers of the records service and the control plane end one connection and no task of the node."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 from chutepin.net.records import RecordsService
 
 from .helper import Hand
-from .test_net import Wire
+from .test_net import FakeConnection
 from .test_reader_errors import FUZZ, ODD_NUMBERS, changed
 
-# An example runs an event loop: shrinking and explaining a failure would take minutes.
+# Each example runs an event loop, so that shrinking and explaining a failure would take minutes.
 FUZZ_LOOPS = settings(FUZZ, phases=(Phase.explicit, Phase.generate))
 REPLIES = [line("a", "DONE", body=b"row"), line("a", "WAIT"), line("b", "PAST"), line("a", "EMPTY")]
 HTTP_ANSWERS = [
@@ -33,16 +33,16 @@
 ]
 
 
-class ControlWire(Wire):
-    """A connection to the control plane, with what its writer offers besides."""
+class FakeControlConnection(FakeConnection):
+    """A connection to the control plane, whose writer can also be drained."""
 
     async def drain(self) -> None:
-        """Nothing waits here."""
+        """Return at once."""
 
 
 async def call_records(answer: bytes) -> list[End]:
-    """Make one call, give these bytes for an answer and close; how the call ended."""
-    hand, counters, wire = Hand(), Counters(), Wire()
+    """Make one call, answer it with these bytes and close; return how the call ended."""
+    hand, counters, connection = Hand(), Counters(), FakeConnection()
     ends: list[End] = []
 
     class Listener:
@@ -51,7 +51,7 @@
             ends.append(end)
 
     async def connect(host: str, port: int) -> tuple[Any, Any]:
-        return wire.reader, wire
+        return connection.reader, connection
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(cast(Any, records).asyncio, "open_connection", connect)
@@ -59,36 +59,36 @@
         service.listener = Listener()
         service.call("a", hand.time + 5, b"x", repeatable=False)
         await asyncio.sleep(0)
-        wire.reader.feed_data(answer)
-        wire.reader.feed_eof()
-        await asyncio.gather(*service._tasks)  # raises what escaped
+        connection.reader.feed_data(answer)
+        connection.reader.feed_eof()
+        await asyncio.gather(*service._tasks)  # raises any uncaught error
     return ends
 
 
 @FUZZ_LOOPS
-@given(data=st.data(), odd=ODD_NUMBERS)
-def test_any_answer_of_the_records_service_ends_its_call_once(data: st.DataObject, odd: str) -> None:
+@given(data=st.data(), odd_number=ODD_NUMBERS)
+def test_every_answer_of_the_records_service_ends_its_call_once(data: st.DataObject, odd_number: str) -> None:
     answer = b""
     for raw in data.draw(st.lists(st.sampled_from(REPLIES), min_size=1, max_size=3)):
         words = raw.split(b" ")
-        words[data.draw(st.integers(0, len(words) - 1))] = odd.encode()
+        words[data.draw(st.integers(0, len(words) - 1))] = odd_number.encode()
         answer += data.draw(st.sampled_from([raw, b" ".join(words), data.draw(changed(raw))]))
     assert len(asyncio.run(call_records(answer))) == 1
 
 
 async def report(answer: bytes) -> Counters:
-    """Report twice, with these bytes for each answer; the counters then."""
+    """Report twice, with these bytes as each answer; return the counters."""
     counters = Counters()
     reported = asyncio.Event()
 
     async def connect(host: str, port: int) -> tuple[Any, Any]:
-        wire = ControlWire()
-        wire.reader.feed_data(answer)
-        wire.reader.feed_eof()
-        return wire.reader, wire
+        connection = FakeControlConnection()
+        connection.reader.feed_data(answer)
+        connection.reader.feed_eof()
+        return connection.reader, connection
 
     async def pause(seconds: float) -> None:
-        """The reporter waits for its next turn."""
+        """Stop the reporter after its second report."""
         if sum(counters.counts.values()) == 2:
             reported.set()
             await asyncio.get_running_loop().create_future()
@@ -101,21 +101,23 @@
         waiting = asyncio.ensure_future(reported.wait())
         await asyncio.wait((running, waiting), return_when=asyncio.FIRST_COMPLETED)
         if running.done():
-            running.result()  # raises what escaped
+            running.result()  # raises any uncaught error
         running.cancel()
     return counters
 
 
 @FUZZ_LOOPS
-@given(data=st.data(), answer=st.sampled_from(HTTP_ANSWERS), odd=ODD_NUMBERS)
-def test_any_answer_of_the_control_plane_costs_one_report(data: st.DataObject, answer: bytes, odd: str) -> None:
+@given(data=st.data(), answer=st.sampled_from(HTTP_ANSWERS), odd_number=ODD_NUMBERS)
+def test_every_answer_of_the_control_plane_fails_at_most_one_report(
+    data: st.DataObject, answer: bytes, odd_number: str
+) -> None:
     words = answer.split(b" ")
-    words[data.draw(st.integers(0, len(words) - 1))] = odd.encode()
+    words[data.draw(st.integers(0, len(words) - 1))] = odd_number.encode()
     counters = asyncio.run(report(data.draw(st.sampled_from([answer, b" ".join(words), data.draw(changed(answer))]))))
     assert sum(counters.counts.values()) == 2
 
 
-def test_sound_answers_of_the_control_plane_are_counted_as_such() -> None:
-    """Else the test above would only see answers that can't be read."""
+def test_valid_answers_of_the_control_plane_are_counted() -> None:
+    """Otherwise the test above could pass with unreadable answers alone."""
     assert asyncio.run(report(HTTP_ANSWERS[0])).counts["control.reports"] >= 1
     assert asyncio.run(report(HTTP_ANSWERS[1])).counts["control.rejected"] >= 1
