--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -1,7 +1,6 @@
-"""What the standing test asks: other customers' settings, and instants at which something ends while
-something is owed.
+"""Settings that differ from the example's, and races between an ending and work in progress.
 
-All on real sockets with the real program; stand-ins hold, close or send on command."""
+The tests run on real sockets, most of them with the real program; stand-ins hold, close or send on command."""
 
 from __future__ import annotations
 
@@ -38,20 +37,20 @@
 from .test_node import KEY, on_sockets
 
 
-@pytest.mark.parametrize("wait", [None, 0])
-def test_callers_need_not_say_how_long_they_wait(wait: int | None) -> None:
+@pytest.mark.parametrize("wait_ms", [None, 0])
+def test_deadline_of_a_call_is_optional(wait_ms: int | None) -> None:
     async def test(world: Standins, stack: AsyncExitStack) -> None:
         world.env["familyInfo"]["passesDeadline"] = False
         await world.start(stack)
         balancer = await world.connect()
         for cls, key in (("position-push", None), ("work-order", KEY)):
-            assert (await balancer.answer(balancer.call(cls, b"x", key, wait)))[0] == b"OK"
+            assert (await balancer.answer(balancer.call(cls, b"x", key, wait_ms)))[0] == b"OK"
         assert "balancers.malformed" not in await world.leave()
 
     on_sockets(test)
 
 
-def test_an_untold_deadline_is_that_of_the_class() -> None:
+def test_missing_deadline_defaults_to_that_of_the_class() -> None:
     async def test(world: Standins, stack: AsyncExitStack) -> None:
         world.env["familyInfo"]["passesDeadline"] = False
         world.env["categories"][1] |= {"slo": 0.2, "deadline": 0.4}
@@ -64,7 +63,7 @@
     on_sockets(test)
 
 
-def test_names_come_in_any_letters() -> None:
+def test_class_and_tenant_names_may_use_any_script() -> None:
     async def test(world: Standins, stack: AsyncExitStack) -> None:
         world.env["categories"][1]["name"] = "état-pompe"
         world.env["tenants"][0]["name"] = "ção-joão"
@@ -80,11 +79,11 @@
     on_sockets(test)
 
 
-@pytest.mark.parametrize("name", ["servers", "senders"])
-def test_a_node_starts_where_the_list_is_empty(name: str) -> None:
+@pytest.mark.parametrize("setting", ["servers", "senders"])
+def test_node_starts_without_servers_or_senders(setting: str) -> None:
     async def test(world: Standins, stack: AsyncExitStack) -> None:
-        (world.env if name == "servers" else world.env["familyInfo"])[name] = 0
-        world.env["categories"][1]["slo"] = 90.0  # past the deadline: whatever comes in time is in time
+        (world.env if setting == "servers" else world.env["familyInfo"])[setting] = 0
+        world.env["categories"][1]["slo"] = 90.0  # beyond the deadline, so that only the deadline limits an answer
         await world.start(stack)
         balancer = await world.connect()
         assert (await balancer.answer(balancer.call("position-push", b"x")))[0] == b"OK"
@@ -92,28 +91,30 @@
     on_sockets(test)
 
 
-# --- the start ---
+# --- process start ---
 
 
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM, signal.SIGUSR1])
-def test_a_signal_that_crosses_the_start_is_kept_until_the_loop_hears_it(number: signal.Signals) -> None:
-    """The configuration is a pipe: the program is known to be reading it, and goes on only once the signal was sent.
-    What it reads leads to an executor that is not there; the file that lies there since then leads to the right one."""
+def test_signal_during_startup_is_handled_once_the_event_loop_runs(number: signal.Signals) -> None:
+    """The configuration file is a pipe, so that the program is known to be reading it when the signal is sent.
+
+    The content of the pipe names an executor that does not exist. The file that has replaced the pipe meanwhile
+    names the right one."""
 
     async def test(world: Standins, stack: AsyncExitStack) -> None:
         world.port = await free_port()
         world.path = Path(stack.enter_context(tempfile.TemporaryDirectory())) / "config.json"
         await world.configure(stack)
-        good = world.path.rename(world.path.with_name("good.json"))
-        old = json.loads(good.read_text()) | {"executor": f"127.0.0.1:{await free_port()}"}
+        valid_file = world.path.rename(world.path.with_name("good.json"))
+        outdated = json.loads(valid_file.read_text()) | {"executor": f"127.0.0.1:{await free_port()}"}
         os.mkfifo(world.path)
         await world.spawn()
         stack.push_async_callback(world.kill)
-        pipe = await asyncio.to_thread(open, world.path, "wb")  # returns once the program reads
-        os.replace(good, world.path)
+        pipe = await asyncio.to_thread(open, world.path, "wb")  # returns once the program has opened the pipe
+        os.replace(valid_file, world.path)
         assert world.process is not None and world.process.stderr is not None
         send_signal(world.process, number)
-        pipe.write(json.dumps(old if number is signal.SIGHUP else json.loads(world.path.read_text())).encode())
+        pipe.write(json.dumps(outdated if number is signal.SIGHUP else json.loads(world.path.read_text())).encode())
         pipe.close()
         if number is not signal.SIGTERM:
             await eventually(lambda: world.joins or (world.process and world.process.returncode is not None))
@@ -126,23 +127,23 @@
     on_sockets(test)
 
 
-def test_a_part_of_the_node_that_fails_is_begun_again() -> None:
-    node, turns = Node(parse(EXAMPLE, {})), 0
+def test_failed_subsystem_is_restarted() -> None:
+    node, calls = Node(parse(EXAMPLE, {})), 0
 
-    async def part() -> None:
-        nonlocal turns
-        turns += 1
-        assert turns > 1
+    async def subsystem() -> None:
+        nonlocal calls
+        calls += 1
+        assert calls > 1
 
-    asyncio.run(node._restart_on_error(part))
-    assert turns == 2 and node.counters.counts["errors"] == 1
+    asyncio.run(node._restart_on_error(subsystem))
+    assert calls == 2 and node.counters.counts["errors"] == 1
 
 
-# --- the front, in this process: what crosses is put between two steps of the loop ---
+# --- the listener in this process; races are forced between two iterations of the event loop ---
 
 
-def on_front(test: Callable[[Core, RespListener, int], Awaitable[None]]) -> None:
-    """Run a test with a front that listens on a real socket, over a core with recording ports."""
+def run_with_listener(test: Callable[[Core, RespListener, int], Awaitable[None]]) -> None:
+    """Run a test with a listener on a real socket, over a core with recording ports."""
 
     async def run() -> None:
         core = Core()
@@ -156,8 +157,8 @@
 
 
 def call(core: Core, tag: int, cls: str = "position-push", **fields: object) -> bytes:
-    """A request by the clock of the test."""
-    told = {
+    """Encode a request by the clock of the test."""
+    request_fields = {
         "i": f"{tag:016x}",
         "s": int(core.hand.time * 1000),
         "f": 1,
@@ -166,11 +167,13 @@
         "m": 24.5,
         "p": 0.5,
     } | fields
-    return array(b"RPC.CALL", b"%d" % tag, cls.encode(), ",".join(f"{k}={v}" for k, v in told.items()).encode(), b"x")
+    return array(
+        b"RPC.CALL", b"%d" % tag, cls.encode(), ",".join(f"{k}={v}" for k, v in request_fields.items()).encode(), b"x"
+    )
 
 
-async def heard(sock: socket.socket) -> list[list[bytes]]:
-    """All that comes until the node closes; a reset ends it too."""
+async def read_messages(sock: socket.socket) -> list[list[bytes]]:
+    """Return all messages that arrive until the node closes or resets the connection."""
     loop, parser, messages = asyncio.get_running_loop(), RespParser(), []
     sock.setblocking(False)
     with suppress(ConnectionResetError):
@@ -181,38 +184,38 @@
     return messages
 
 
-@pytest.mark.parametrize("how", ["leave", "yield_ownership"])
-def test_the_farewell_reaches_a_connection_that_has_not_begun(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize("method", ["leave", "yield_ownership"])
+def test_bye_is_sent_on_connection_accepted_just_before_leaving(method: str, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test(core: Core, front: RespListener, port: int) -> None:
         serve = front.serve
 
-        def crossing(sock: socket.socket, address: bytes) -> None:
+        def serve_and_end(sock: socket.socket, address: bytes) -> None:
             serve(sock, address)
-            asyncio.get_running_loop().call_soon(getattr(front, how))
+            asyncio.get_running_loop().call_soon(getattr(front, method))
 
-        monkeypatch.setattr(front, "serve", crossing)
+        monkeypatch.setattr(front, "serve", serve_and_end)
         with socket.create_connection(("127.0.0.1", port)) as client:
             client.setblocking(False)
             assert await asyncio.get_running_loop().sock_recv(client, 100) == BYE
 
-    on_front(test)
+    run_with_listener(test)
 
 
-def test_what_the_system_has_accepted_is_answered_though_the_node_leaves() -> None:
+def test_request_in_accept_backlog_is_answered_when_the_node_leaves() -> None:
     async def test(core: Core, front: RespListener, port: int) -> None:
-        with socket.create_connection(("127.0.0.1", port)) as client:  # the loop has no turn from here on
+        with socket.create_connection(("127.0.0.1", port)) as client:  # the event loop does not run from here on
             client.sendall(call(core, 7))
             front.leave()
             await eventually(lambda: core.ports.ids("exec"))
             core.end(core.ports.ids("exec")[0])
             client.shutdown(socket.SHUT_WR)
-            assert [items[:2] for items in await heard(client)] == [[b"0", b"BYE"], [b"7", b"OK"]]
+            assert [items[:2] for items in await read_messages(client)] == [[b"0", b"BYE"], [b"7", b"OK"]]
 
-    on_front(test)
+    run_with_listener(test)
 
 
-async def asks(core: Core, client: socket.socket, port: int, more: bytes) -> None:
-    """Thirty requests from a balancer that has little room for answers and does not read, then more."""
+async def send_thirty_requests(core: Core, client: socket.socket, port: int, more: bytes) -> None:
+    """Send thirty requests, then `more`, from a balancer with a small receive buffer that does not read."""
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     client.connect(("127.0.0.1", port))
     await asyncio.get_running_loop().sock_sendall(client, b"".join(call(core, tag) for tag in range(1, 31)) + more)
@@ -220,16 +223,16 @@
 
 
 def answer_all(core: Core) -> None:
-    """End all runs with long results, until nothing is in hand."""
-    begun: set[str] = set()
+    """End all runs with long results, until no request is open."""
+    ended: set[str] = set()
     while core.broker.awaiting_response_count:
-        for id in set(core.ports.ids("exec")) - begun:
-            begun.add(id)
+        for id in set(core.ports.ids("exec")) - ended:
+            ended.add(id)
             core.broker.run_ended(id, End.OK, 0.1, b"r" * 3500)
         core.pass_time(0.01)
 
 
-def test_a_half_closed_balancer_that_reads_slowly_gets_all_its_answers(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_slow_half_closed_balancer_receives_all_answers(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test(core: Core, front: RespListener, port: int) -> None:
         front.listeners[0].setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         closed, close = asyncio.Event(), asyncio.StreamWriter.close
@@ -239,33 +242,33 @@
             closed.set()
 
         with socket.socket() as client:
-            await asks(core, client, port, b"")
+            await send_thirty_requests(core, client, port, b"")
             client.shutdown(socket.SHUT_WR)
             monkeypatch.setattr(asyncio.StreamWriter, "close", closing)
             answer_all(core)
             await closed.wait()
-            for _ in range(5):  # whatever follows the close in the same breath has its turn
+            for _ in range(5):  # callbacks scheduled by the close run
                 await asyncio.sleep(0)
-            assert len(await heard(client)) == 30
+            assert len(await read_messages(client)) == 30
 
-    on_front(test)
+    run_with_listener(test)
 
 
-# --- the links ---
+# --- links to the executor and the records service ---
 
 
-class Listening:
-    """Notes who joins, or calls, at an address."""
+class RecordingServer:
+    """A server that records the lines and the connections that it receives."""
 
     def __init__(self) -> None:
         self.lines: list[bytes] = []
         self.ends: list[End] = []
 
     async def start(self) -> Address:
-        self.server = await asyncio.start_server(self._met, "127.0.0.1", 0)
+        self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         return Address("127.0.0.1", self.server.sockets[0].getsockname()[1])
 
-    async def _met(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := await reader.readline():
             self.lines.append(line)
         writer.close()
@@ -274,8 +277,8 @@
         self.ends.append(end)
 
 
-def silent(stack: AsyncExitStack) -> Address:
-    """An address that takes no connection and refuses none: its backlog is full."""
+def unresponsive_address(stack: AsyncExitStack) -> Address:
+    """Return an address that neither accepts nor refuses connections, as its backlog is full."""
     listener = stack.enter_context(socket.socket())
     listener.bind(("127.0.0.1", 0))
     listener.listen(0)
@@ -286,8 +289,8 @@
     return Address(*listener.getsockname())
 
 
-def on_links(test: Callable[[AsyncExitStack], Awaitable[None]]) -> None:
-    """Run a test, in bounded time."""
+def run_with_timeout(test: Callable[[AsyncExitStack], Awaitable[None]]) -> None:
+    """Run a test with a time limit."""
 
     async def run() -> None:
         async with asyncio.timeout_at(asyncio.get_running_loop().time() + 15), AsyncExitStack() as stack:
@@ -296,63 +299,63 @@
     asyncio.run(run())
 
 
-def link_to(address: Address) -> ExecutorLink:
+def make_link(address: Address) -> ExecutorLink:
     clock, counters = Clock(), Counters()
     log = Log(clock)
     return ExecutorLink(address, Session(clock, counters, log, False), counters, log)
 
 
-def test_an_executor_that_moves_while_its_link_is_met_is_met_where_it_is(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_address_change_while_connecting_reaches_the_new_executor(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test(stack: AsyncExitStack) -> None:
-        old, new = Listening(), Listening()
-        link, moved, met = link_to(await old.start()), await new.start(), asyncio.open_connection
+        old, new = RecordingServer(), RecordingServer()
+        link, new_address, connect = make_link(await old.start()), await new.start(), asyncio.open_connection
 
-        async def crossing(host: str, port: int) -> Any:
-            streams = await met(host, port)
-            link.move(moved)
+        async def connect_during_move(host: str, port: int) -> Any:
+            streams = await connect(host, port)
+            link.move(new_address)
             return streams
 
-        monkeypatch.setattr(asyncio, "open_connection", crossing)
+        monkeypatch.setattr(asyncio, "open_connection", connect_during_move)
         running = asyncio.ensure_future(link.run())
         await eventually(lambda: new.lines)
         assert new.lines == [b"JOIN 0\r\n"] and not old.lines
         running.cancel()
 
-    on_links(test)
+    run_with_timeout(test)
 
 
-def test_an_executor_that_does_not_answer_is_left_for_where_it_has_moved(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_address_change_during_unanswered_connect_reaches_the_new_executor(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(executor_link, "CONNECT_TIMEOUT_S", 0.2)
 
     async def test(stack: AsyncExitStack) -> None:
-        new = Listening()
-        link = link_to(silent(stack))
+        new = RecordingServer()
+        link = make_link(unresponsive_address(stack))
         running = asyncio.ensure_future(link.run())
         await asyncio.sleep(0)
         link.move(await new.start())
         await eventually(lambda: new.lines)
         running.cancel()
 
-    on_links(test)
+    run_with_timeout(test)
 
 
-def test_a_records_service_that_takes_no_connection_holds_no_descriptor(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_unanswered_connect_to_records_service_frees_its_descriptor(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(records, "CONNECT_TIMEOUT_S", 0.2)
 
     async def test(stack: AsyncExitStack) -> None:
-        listening, clock, descriptors = Listening(), Clock(), DescriptorBudget(64, {"records": (0, 8)})
-        service = RecordsService(silent(stack), clock, Counters(), Log(clock), 8, descriptors)
-        service.listener = listening
+        recording, clock, descriptors = RecordingServer(), Clock(), DescriptorBudget(64, {"records": (0, 8)})
+        service = RecordsService(unresponsive_address(stack), clock, Counters(), Log(clock), 8, descriptors)
+        service.listener = recording
         for id in "abc":
             service.call(id, clock.now() + 60, b"x", repeatable=False)
         assert descriptors.in_use == 3
-        await eventually(lambda: len(listening.ends) == 3)
-        assert listening.ends == [End.UNREACHABLE] * 3 and not descriptors.in_use  # never written: none has run
+        await eventually(lambda: len(recording.ends) == 3)
+        assert recording.ends == [End.UNREACHABLE] * 3 and not descriptors.in_use  # unwritten calls have not run
 
-    on_links(test)
+    run_with_timeout(test)
 
 
-def test_a_long_remark_of_the_executor_does_not_cost_the_link() -> None:
+def test_long_log_notice_does_not_close_the_executor_link() -> None:
     async def test(world: Standins, stack: AsyncExitStack) -> None:
         await world.start(stack)
         world.notify("LOG", "x" * 9000)
@@ -363,7 +366,7 @@
     on_sockets(test)
 
 
-def test_a_node_s_name_may_have_any_letters() -> None:
+def test_node_name_may_use_any_script() -> None:
     async def test(world: Standins, stack: AsyncExitStack) -> None:
         world.name = "nœud 3/b"
         await world.start(stack)
