--- a/chutepin/net/executor/link.py
+++ b/chutepin/net/executor/link.py
@@ -25,7 +25,7 @@
         self._address, self._session, self._counters, self._log = address, session, counters, log
         self._transport: asyncio.WriteTransport | None = None
         self._moving = False
-        session.on_quiesced = self._leave
+        session.on_quiesced = self._close_for_move
 
     def move(self, address: Address) -> None:
         """Connect to the executor at this address from now on.
@@ -37,10 +37,10 @@
         self._address, self._moving = address, True
         if self._transport is not None:
             loop = asyncio.get_running_loop()
-            loop.call_at(loop.time() + MOVE_TIMEOUT_S, self._leave, self._transport)
+            loop.call_at(loop.time() + MOVE_TIMEOUT_S, self._close_for_move, self._transport)
             self._session.quiesce()
 
-    def _leave(self, transport: asyncio.WriteTransport | None = None) -> None:
+    def _close_for_move(self, transport: asyncio.WriteTransport | None = None) -> None:
         """Close this link, or the current one, so that the next one is opened to the new address."""
         if self._transport is not None and transport in (None, self._transport):
             self._transport.abort()
--- a/chutepin/net/executor/session.py
+++ b/chutepin/net/executor/session.py
@@ -13,7 +13,7 @@
 from ...counters import Counters
 from ...facade import End
 from ...logs import Log
-from ..lines import LineParser, ProtocolError, line, number, word
+from ..lines import LineParser, ProtocolError, line, number_at, word_at
 from .repeated_returns import CallState, RepeatedReturns
 
 MAX_BODY_BYTES = 64 * 1024
@@ -197,24 +197,24 @@
         assert self.notices is not None
         match words[0]:
             case "WELCOME":
-                born = self._clock.now() - number(words, 2) / 1000
+                born = self._clock.now() - number_at(words, 2) / 1000
                 self._welcomed, self._sync_meter = True, self._last_meter + 1
-                self.notices.executor_started(word(words, 1) == "chilly", born)
+                self.notices.executor_started(word_at(words, 1) == "chilly", born)
                 self.meter()
             case "EXIT":
-                end, elapsed = _ENDS.get(word(words, 3), End.ERROR), number(words, 4) / 1000
-                if self._is_new_notice(int(number(words, 1))):
+                end, elapsed = _ENDS.get(word_at(words, 3), End.ERROR), number_at(words, 4) / 1000
+                if self._is_new_notice(int(number_at(words, 1))):
                     self._handle_run_end(words[2], end, elapsed, body)
             case "CALLOUT":
-                notice = int(number(words, 1))
+                notice = int(number_at(words, 1))
                 if self._is_new_notice(notice):
-                    self._handle_call(word(words, 2), notice, body)
+                    self._handle_call(word_at(words, 2), notice, body)
             case "METERS":
-                self._handle_meters(int(number(words, 1)), tuple(number(words, i) for i in range(2, len(words))))
+                self._handle_meters(int(number_at(words, 1)), tuple(number_at(words, i) for i in range(2, len(words))))
             case "BAD":
-                self.notices.command_not_carried_out(word(words, 1), words[2] if len(words) > 2 else "")
+                self.notices.command_not_carried_out(word_at(words, 1), words[2] if len(words) > 2 else "")
             case "LOG":
-                if self._is_new_notice(int(number(words, 1))):
+                if self._is_new_notice(int(number_at(words, 1))):
                     self._log.event("executor.log", text=" ".join(words[2:]))
             case _:
                 raise ProtocolError(f"unknown notice {words[0][:20]}")
@@ -253,14 +253,14 @@
         self._unconfirmed_runs.pop(id, None)
         self._probes.pop(id, None)
 
-    def _is_new_notice(self, number: int) -> bool:
+    def _is_new_notice(self, notice: int) -> bool:
         """Return whether a notice is new; repeated and missed ones are counted (the executor keeps the last 4,000)."""
-        if number <= self._last_notice:
+        if notice <= self._last_notice:
             self._counters.add("executor.notices_again")
             return False
-        if number > self._last_notice + 1:
-            self._counters.add("executor.notices_missed", number - self._last_notice - 1)
-        self._last_notice = number
+        if notice > self._last_notice + 1:
+            self._counters.add("executor.notices_missed", notice - self._last_notice - 1)
+        self._last_notice = notice
         self._counters.add("executor.notices")
         return True
 
--- a/chutepin/net/lines.py
+++ b/chutepin/net/lines.py
@@ -75,17 +75,17 @@
     return f"{head} {len(body)}\r\n".encode() + body + b"\r\n"
 
 
-def word(words: list[str], index: int) -> str:
+def word_at(words: list[str], index: int) -> str:
     """Return the word at this index. Raises ProtocolError if there is none."""
     if index >= len(words):
         raise ProtocolError(f"{words[0]} has too few words")
     return words[index]
 
 
-def number(words: list[str], index: int) -> float:
+def number_at(words: list[str], index: int) -> float:
     """Return the word at this index as a finite number of 0 or more. Raises ProtocolError."""
     try:
-        value = float(word(words, index))
+        value = float(word_at(words, index))
     except ValueError:
         value = -1.0
     if not 0 <= value < 2.0**53:
--- a/chutepin/net/resp/messages.py
+++ b/chutepin/net/resp/messages.py
@@ -18,10 +18,10 @@
 MAX_NUMBER_CHARACTERS = 24
 CALL, CANCEL, HEALTH = b"RPC.CALL", b"RPC.CANCEL", b"RPC.HEALTH"
 BYE = array(b"0", b"BYE")  # asks the balancer to send no more requests on this connection and to close it
-_WORDS = {Verdict.SERVED: b"OK", Verdict.REJECTED: b"BUSY", Verdict.FAILED: b"FAILED"}
+_VERDICT_WORDS = {Verdict.SERVED: b"OK", Verdict.REJECTED: b"BUSY", Verdict.FAILED: b"FAILED"}
 
 
-def number(raw: str, maximum: float = 2.0**53) -> float:
+def parse_number(raw: str, maximum: float = 2.0**53) -> float:
     """Parse a non-negative decimal number up to `maximum`. Raises ProtocolError."""
     if (
         not raw.replace(".", "", 1).isdigit()
@@ -48,8 +48,8 @@
     body = items[4] if len(items) == 5 else b""
     if len(body) > MAX_BODY_BYTES:
         raise ProtocolError("body is too long")
-    arrived = number(fields.get("s", "")) / 1000
-    wait = number(fields["d"]) / 1000 if "d" in fields else math.inf  # the deadline is optional
+    arrived = parse_number(fields.get("s", "")) / 1000
+    wait = parse_number(fields["d"]) / 1000 if "d" in fields else math.inf  # the deadline is optional
     key = fields.get("k")
     if key is not None and len(key) > MAX_KEY_CHARACTERS:
         raise ProtocolError("key is too long")
@@ -59,12 +59,12 @@
         body=body,
         arrived=arrived,
         due=arrived + wait,
-        size=number(fields.get("m", "0"), MAX_REQUEST_SIZE_KB),
+        size=parse_number(fields.get("m", "0"), MAX_REQUEST_SIZE_KB),
         tenant=fields.get("t"),
         subject=fields.get("o"),
         key=key,
-        rank=number(fields.get("p", "0"), 1),
-        caller=int(number(fields.get("f", "0"))),
+        rank=parse_number(fields.get("p", "0"), 1),
+        caller=int(parse_number(fields.get("f", "0"))),
         is_retry=fields.get("r") == "1",
     )
 
@@ -79,7 +79,7 @@
             fields.append(f"w={max(1, round(answer.retry_after * 1000))}")
         if answer.no_other_node:
             fields.append("l=1")
-    return array(tag, _WORDS[answer.verdict], ",".join(fields).encode(), answer.body)
+    return array(tag, _VERDICT_WORDS[answer.verdict], ",".join(fields).encode(), answer.body)
 
 
 def format_health(tag: bytes, healthy: bool, value: float | None) -> bytes:
--- a/chutepin/pcap.py
+++ b/chutepin/pcap.py
@@ -88,55 +88,55 @@
     """One direction of a TCP connection. Sequence numbers wrap; segments may arrive in any order."""
 
     report: Report
-    expected: int | None = None
+    next_sequence: int | None = None
     pending: dict[int, bytes] = field(default_factory=dict)
-    size: int = 0
+    pending_bytes: int = 0
     ended: bool = False
 
-    def add_segment(self, number: int, syn: bool, data: bytes) -> bytes:
+    def add_segment(self, sequence: int, syn: bool, data: bytes) -> bytes:
         """Add a segment and return the bytes that can now be read in order."""
         if syn:
-            number += 1
-            if self.expected is None:
-                self.expected = number % 2**32
+            sequence += 1
+            if self.next_sequence is None:
+                self.next_sequence = sequence % 2**32
         if not data or self.ended:
             return b""
-        if self.expected is None:  # the file starts in the middle of this stream
-            self.expected = number
-        offset = self._offset_of(number)
+        if self.next_sequence is None:  # the file starts in the middle of this stream
+            self.next_sequence = sequence
+        offset = self._offset_of(sequence)
         if offset > 0:
             self.report.reordered += 1
-            if len(data) > len(self.pending.get(number, b"")):
-                self.size += len(data) - len(self.pending.get(number, b""))
-                self.pending[number] = data
-            if self.size > MAX_PENDING_BYTES:
+            if len(data) > len(self.pending.get(sequence, b"")):
+                self.pending_bytes += len(data) - len(self.pending.get(sequence, b""))
+                self.pending[sequence] = data
+            if self.pending_bytes > MAX_PENDING_BYTES:
                 self.close()
             return b""
         if -offset >= len(data):
             self.report.again += 1
             return b""
         ready = [self._advance(data[-offset:])]
-        while (number := next((n for n in self.pending if self._offset_of(n) <= 0), -1)) >= 0:
-            waiting, skip = self.pending.pop(number), -self._offset_of(number)
-            self.size -= len(waiting)
+        while (sequence := next((n for n in self.pending if self._offset_of(n) <= 0), -1)) >= 0:
+            waiting, skip = self.pending.pop(sequence), -self._offset_of(sequence)
+            self.pending_bytes -= len(waiting)
             ready.append(self._advance(waiting[skip:]))
         return b"".join(ready)
 
-    def _offset_of(self, number: int) -> int:
-        assert self.expected is not None
-        return (number - self.expected + 2**31) % 2**32 - 2**31
+    def _offset_of(self, sequence: int) -> int:
+        assert self.next_sequence is not None
+        return (sequence - self.next_sequence + 2**31) % 2**32 - 2**31
 
     def _advance(self, data: bytes) -> bytes:
-        assert self.expected is not None
-        self.expected = (self.expected + len(data)) % 2**32
+        assert self.next_sequence is not None
+        self.next_sequence = (self.next_sequence + len(data)) % 2**32
         return data
 
     def close(self) -> None:
         """End the stream; data waiting behind a gap is lost."""
         if self.pending and not self.ended:
             self.report.gaps += 1
-            self.report.unused += self.size
-        self.ended, self.size = True, 0
+            self.report.unused += self.pending_bytes
+        self.ended, self.pending_bytes = True, 0
         self.pending.clear()
 
 
@@ -175,7 +175,7 @@
         flow = (ip.src, tcp.sport, ip.dst, port)
         syn = bool(tcp.flags & dpkt.tcp.TH_SYN)
         stream = streams.get(flow)
-        if syn and stream is not None and stream.expected != (tcp.seq + 1) % 2**32 and not tcp.data:
+        if syn and stream is not None and stream.next_sequence != (tcp.seq + 1) % 2**32 and not tcp.data:
             stream.close()  # a new connection reuses the port
             yield Chunk(last_time, flow, b"", True)
             stream = None
@@ -210,21 +210,21 @@
         except OSError as error:
             raise ConfigError(f"record: {error.strerror or error}") from None
         self._writer = dpkt.pcap.Writer(self._file, snaplen=65535)
-        self._numbers: dict[int, list[int]] = {}  # by connection: port, next sequence numbers of balancer and node
+        self._connections: dict[int, list[int]] = {}  # by connection: port, next sequence numbers of balancer and node
         self._next_port = 0
-        self._written = 0
+        self._written_bytes = 0
 
     def opened(self, key: int) -> None:
         """Write the handshake of a new connection."""
         self._next_port = (self._next_port + 1) % EPHEMERAL_PORTS
-        self._numbers[key] = [FIRST_EPHEMERAL_PORT + self._next_port, 1000, 2000]
+        self._connections[key] = [FIRST_EPHEMERAL_PORT + self._next_port, 1000, 2000]
         self._write_packet(key, False, dpkt.tcp.TH_SYN, b"")
         self._write_packet(key, True, dpkt.tcp.TH_SYN | dpkt.tcp.TH_ACK, b"")
         self._write_packet(key, False, dpkt.tcp.TH_ACK, b"")
 
     def passed(self, key: int, sent: bool, data: bytes) -> None:
         """Write bytes that the node sent or received."""
-        for start in range(0, len(data) if key in self._numbers else 0, MAX_SEGMENT_BYTES):
+        for start in range(0, len(data) if key in self._connections else 0, MAX_SEGMENT_BYTES):
             self._write_packet(key, sent, dpkt.tcp.TH_ACK | dpkt.tcp.TH_PUSH, data[start : start + MAX_SEGMENT_BYTES])
 
     def closed(self, key: int) -> None:
@@ -232,14 +232,14 @@
         self._write_packet(key, False, dpkt.tcp.TH_FIN | dpkt.tcp.TH_ACK, b"")
         self._write_packet(key, True, dpkt.tcp.TH_FIN | dpkt.tcp.TH_ACK, b"")
         self._write_packet(key, False, dpkt.tcp.TH_ACK, b"")
-        del self._numbers[key]
+        del self._connections[key]
 
     def close(self) -> None:
         """Close the file."""
         self._file.close()
 
     def _write_packet(self, key: int, sent: bool, flags: int, data: bytes) -> None:
-        port, *numbers = self._numbers[key]
+        port, *numbers = self._connections[key]
         ports = (self._port, port) if sent else (port, self._port)
         source, destination = (1, 0) if sent else (0, 1)
         tcp = dpkt.tcp.TCP(
@@ -258,9 +258,9 @@
         mac_addresses = [b"\2\0\0\0\0\0", b"\2\0\0\0\0\1"]
         frame = bytes(dpkt.ethernet.Ethernet(src=mac_addresses[source], dst=mac_addresses[destination], data=ip))
         sequence_length = len(data) + bool(flags & (dpkt.tcp.TH_SYN | dpkt.tcp.TH_FIN))
-        self._numbers[key][1 + source] = (numbers[source] + sequence_length) % 2**32
-        self._written += len(frame) + PACKET_HEADER_BYTES
-        if self._written > MAX_RECORD_BYTES:
+        self._connections[key][1 + source] = (numbers[source] + sequence_length) % 2**32
+        self._written_bytes += len(frame) + PACKET_HEADER_BYTES
+        if self._written_bytes > MAX_RECORD_BYTES:
             self._counters.add("record.dropped")
             return
         # In whole microseconds: dpkt rounds .9999999 s up to 1,000,000 microseconds, which is invalid.
@@ -280,16 +280,16 @@
         except OSError as error:
             raise ConfigError(f"read: {error.strerror or error}") from None
         self._chunks = chunks(self._file, port, self.report)
-        self._first = next(self._chunks, None)  # an invalid file ends the program before it serves
+        self._first_chunk = next(self._chunks, None)  # an invalid file ends the program before it serves
 
     async def run(self) -> None:
         """Replay the whole file; timestamps in the requests are shifted by the age of the file."""
-        if self._first is None:
+        if self._first_chunk is None:
             self._file.close()
             return
-        shift_s = self._clock.now() - self._first.time
+        shift_s = self._clock.now() - self._first_chunk.time
         connections: dict[Flow, Connection] = {}
-        self._replay_chunk(self._first, connections, shift_s)
+        self._replay_chunk(self._first_chunk, connections, shift_s)
         for chunk in self._chunks:
             while (wait_s := chunk.time + shift_s - self._clock.now()) > 0:
                 await asyncio.sleep(min(wait_s, 1.0))
