--- a/chutepin/consensus/__init__.py
+++ b/chutepin/consensus/__init__.py
@@ -1,7 +1,7 @@
-"""A replicated log for the fleet's common decisions: Raft, and a key-value state machine on it.
+"""A replicated log for decisions shared by all nodes: Raft with a key-value state machine.
 
-`raft.RaftNode` is the consensus algorithm, `participant.Participant` a node's part in it; both are free of clock, file
-and socket. `subsystem` runs them on the store and the cluster's connections. See `docs/consensus.md`."""
+`raft.RaftNode` implements the consensus algorithm, `participant.Participant` the logic of one node; both perform no
+I/O and read no clock. `subsystem` runs them on the store and the cluster's connections. See `docs/consensus.md`."""
 
 from .errors import ConsensusError, RejectedError
 from .messages import (
--- a/chutepin/consensus/administration.py
+++ b/chutepin/consensus/administration.py
@@ -1,4 +1,4 @@
-"""Changes of membership and leadership by an operator's call, in terms of node names."""
+"""Membership changes and leadership transfer requested by operators, who use node names."""
 
 from __future__ import annotations
 
@@ -12,20 +12,22 @@
 
 
 class AddedNode(NamedTuple):
-    """A node takes part under `identity`: as a voter, or as a learner until it has caught up."""
+    """The identity of an added node, and whether it is a voter now or a learner."""
 
     identity: str
-    votes: bool
+    is_voter: bool
 
 
 class TransferStarted(NamedTuple):
-    """The leader transfers its leadership to the voter `to`."""
+    """A leadership transfer to the voter `to` was started."""
 
     to: str
 
 
 def transfer_leadership(participant: Participant, now: float, name: str) -> str:
-    """Have the voter of this node name or identity lead; return its identity. Raises RejectedError."""
+    """Transfer the leadership to the voter with this node name or identity; return its identity.
+
+    Raises RejectedError."""
     voters = participant.raft.membership.voters
     identity = next((voter for voter in voters if name in (voter, node_name(voter))), name)
     participant.transfer_leadership(now, identity)
@@ -33,16 +35,16 @@
 
 
 def add_node(participant: Participant, now: float, name: str) -> AddedNode:
-    """Make a node a learner, or a voter where it is a learner already. Raises RejectedError."""
+    """Add a node as a learner, or promote it to a voter if it is a learner already. Raises RejectedError."""
     membership = participant.raft.membership
     identity = _identity_of(participant, name)
-    votes = identity in membership.everybody
-    if votes:
+    is_voter = identity in membership.all_members
+    if is_voter:
         learners = tuple(other for other in membership.learners if other != identity)
         participant.change_membership(now, Membership((*membership.voters, identity), learners))
     else:
         participant.change_membership(now, Membership(membership.voters, (*membership.learners, identity)))
-    return AddedNode(identity, votes)
+    return AddedNode(identity, is_voter)
 
 
 def _identity_of(participant: Participant, name: str) -> str:
@@ -54,9 +56,10 @@
 
 
 def remove_node(participant: Participant, now: float, name: str) -> TransferStarted | None:
-    """Remove the voter or learner of this node name or identity. Raises RejectedError.
+    """Remove the voter or learner with this node name or identity. Raises RejectedError.
 
-    A leader does not remove itself: it transfers its leadership, and the new leader is to be asked."""
+    A leader does not remove itself: it starts a leadership transfer, and the caller must repeat the call at the new
+    leader."""
     raft = participant.raft
     if name in (participant.name, node_name(participant.name)) and raft.role is Role.LEADER:
         target = next(iter(raft.voters_by_lag()), "")
--- a/chutepin/consensus/change_reports.py
+++ b/chutepin/consensus/change_reports.py
@@ -1,4 +1,4 @@
-"""Log events and counters about changes of the leader and of the membership."""
+"""Log events and counters for changes of the leader and of the membership."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class LeaderView(NamedTuple):
-    """Whether this node leads, and who does as far as it knows."""
+    """The leader known to this node, and whether it is this node."""
 
-    leads: bool
+    is_leader: bool
     leader: str
 
 
 class ChangeReports:
-    """Reports each change once."""
+    """The last reported leader and membership; reports each change once."""
 
     def __init__(self, outbox: Outbox, membership: Membership) -> None:
         self._outbox = outbox
@@ -27,15 +27,15 @@
 
     @property
     def leader(self) -> str:
-        """The leader as it was last reported."""
+        """The last reported leader."""
         return self._view.leader
 
     def report_leader(self, view: LeaderView, term: int) -> None:
-        """Report the leader, if that has changed."""
+        """Log and count the leader if it has changed."""
         if view == self._view:
             return
         self._view = view
-        if view.leads:
+        if view.is_leader:
             event = "leader_elected"
         elif view.leader:
             event = "following_leader"
@@ -45,7 +45,7 @@
         self._outbox.log(event, {"leader": view.leader, "term": term})
 
     def report_membership(self, membership: Membership) -> None:
-        """Report the membership, if that has changed."""
+        """Log the membership if it has changed."""
         if membership == self._membership:
             return
         self._membership = membership
--- a/chutepin/consensus/codec.py
+++ b/chutepin/consensus/codec.py
@@ -1,6 +1,6 @@
-"""Frames of consensus connections: length, checksum and a message in msgpack. Sans I/O.
+"""The frame format of consensus connections: length, checksum and a message in msgpack. Performs no I/O.
 
-A connection carries messages in one direction. It begins with PREFACE and one `Hello`."""
+A connection carries messages in one direction and begins with PREFACE and one `Hello`."""
 
 from __future__ import annotations
 
@@ -38,15 +38,17 @@
 )
 
 PREFACE = b"cpA\x01"  # the last byte is the version of the format
-MAX_FRAME_BYTES = 256 * 1024  # of a frame's content
-MAX_NAME_CHARACTERS = 96  # of an identity
-MAX_ENTRIES = 4096  # in one message
+MAX_FRAME_BYTES = 256 * 1024  # size of a frame's content
+MAX_IDENTITY_CHARACTERS = 96
+MAX_ENTRIES_PER_MESSAGE = 4096
 
-_HEAD = struct.Struct(">II")  # length of the content, its CRC-32
+_FRAME_HEADER = struct.Struct(">II")  # length of the content, its CRC-32
 
 
 class Hello(NamedTuple):
-    """The sender of a connection, its receiver, their cluster, and the entry version that the sender reads."""
+    """The first message of a connection: its sender and receiver, their cluster, and the sender's entry version.
+
+    `version` is the highest version of log entries that the sender can read."""
 
     cluster: str
     name: str
@@ -57,7 +59,7 @@
 
 WireMessage = ParticipantMessage | Hello | StoreAnnouncement | StoreAcknowledgement
 
-# A type's place is its tag on the wire.
+# The index of a type is its tag on the wire.
 MESSAGE_TYPES: tuple[type[Any], ...] = (
     Hello,
     RequestVote,
@@ -84,12 +86,12 @@
 
 
 def _read_text(raw: Any) -> str:
-    if not isinstance(raw, str) or len(raw) > MAX_NAME_CHARACTERS or not raw.isprintable():
+    if not isinstance(raw, str) or len(raw) > MAX_IDENTITY_CHARACTERS or not raw.isprintable():
         raise CodecError("malformed")
     return raw
 
 
-def _reader_of(kind: type[Any]) -> Callable[[Any], Any]:
+def _exact_type_reader(kind: type[Any]) -> Callable[[Any], Any]:
     def read(raw: Any) -> Any:
         if type(raw) is not kind:
             raise CodecError("malformed")
@@ -99,7 +101,7 @@
 
 
 def _read_entries(raw: Any) -> tuple[Entry, ...]:
-    if len(raw) > MAX_ENTRIES:
+    if len(raw) > MAX_ENTRIES_PER_MESSAGE:
         raise CodecError("too_long")
     return tuple(unpack_entry(packed) for packed in raw)
 
@@ -112,8 +114,8 @@
 _READERS: dict[Any, Callable[[Any], Any]] = {
     int: _read_integer,
     str: _read_text,
-    bytes: _reader_of(bytes),
-    bool: _reader_of(bool),
+    bytes: _exact_type_reader(bytes),
+    bool: _exact_type_reader(bool),
     tuple[Entry, ...]: _read_entries,
     Membership: _read_membership,
 }
@@ -132,13 +134,13 @@
 
 
 def encode(message: WireMessage) -> bytes:
-    """Return a message's frame."""
+    """Return a message encoded as a frame."""
     content = msgpack.packb([MESSAGE_TYPES.index(type(message)), *map(_pack_field, message)])
-    return _HEAD.pack(len(content), zlib.crc32(content)) + bytes(content)
+    return _FRAME_HEADER.pack(len(content), zlib.crc32(content)) + bytes(content)
 
 
 def decode(content: bytes) -> WireMessage:
-    """Return the message of a frame's content. Raises CodecError."""
+    """Decode the content of a frame. Raises CodecError."""
     try:
         tag, *fields = msgpack.unpackb(content, strict_map_key=True, max_map_len=0, max_ext_len=0)
         message_type = MESSAGE_TYPES[_read_integer(tag)]
@@ -149,29 +151,29 @@
         return message
     except CodecError:
         raise
-    except Exception:  # noqa: BLE001  an unpacker may raise anything on hostile bytes; only the sender's connection ends
+    except Exception:  # noqa: BLE001  msgpack may raise any exception on malformed bytes; only this connection ends
         raise CodecError("malformed") from None
 
 
 class FrameReader:
-    """Splits a connection's bytes into messages."""
+    """A reader that splits a connection's byte stream into messages."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[WireMessage]:
-        """Add received bytes; return the messages that are complete. Raises CodecError, which ends the connection."""
+        """Add received bytes; return the completed messages. Raises CodecError, which must end the connection."""
         self._buffer += data
         messages = list[WireMessage]()
         start = 0
-        while len(self._buffer) - start >= _HEAD.size:
-            length, checksum = _HEAD.unpack_from(self._buffer, start)
+        while len(self._buffer) - start >= _FRAME_HEADER.size:
+            length, checksum = _FRAME_HEADER.unpack_from(self._buffer, start)
             if length > MAX_FRAME_BYTES:
                 raise CodecError("too_long")
-            end = start + _HEAD.size + length
+            end = start + _FRAME_HEADER.size + length
             if len(self._buffer) < end:
                 break
-            content = bytes(self._buffer[start + _HEAD.size : end])
+            content = bytes(self._buffer[start + _FRAME_HEADER.size : end])
             if zlib.crc32(content) != checksum:
                 raise CodecError("checksum")
             messages.append(decode(content))
--- a/chutepin/consensus/election.py
+++ b/chutepin/consensus/election.py
@@ -1,7 +1,7 @@
-"""Elections: the timeout after which a node asks for votes, pre-vote, and the votes it gives and receives.
+"""Elections: the election timeout, pre-vote, and the votes that a node grants and receives.
 
-Pre-vote: a node raises its term only after a majority has said that it would vote for it, so a node that was cut off
-does not depose a leader when it comes back."""
+A node raises its term only after a majority has granted its pre-vote, so a node that was partitioned does not depose
+the leader when it reconnects."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Election:
-    """The election timeout of one node and the votes of its present candidacy."""
+    """The election timeout of one node and the votes of its current candidacy."""
 
     def __init__(self, now: float, rng: random.Random, settings: RaftSettings) -> None:
         self._rng = rng
@@ -30,20 +30,20 @@
         return other
 
     def restart_timeout(self, now: float, settings: RaftSettings) -> None:
-        """Draw a new timeout; a random length keeps candidates from splitting the vote again and again."""
+        """Draw a new timeout at random, to prevent repeated split votes."""
         self.deadline = now + settings.election_timeout_s * (1 + self._rng.random())
 
     def record_leader_contact(self, now: float, settings: RaftSettings) -> None:
-        """Note a message from the leader of this term."""
+        """Record a message from the leader of the current term and restart the election timeout."""
         self.last_leader_contact = now
         self.restart_timeout(now, settings)
 
-    def hears_leader(self, now: float, state: NodeState) -> bool:
-        """Whether a leader was heard within the election timeout."""
+    def has_recent_leader_contact(self, now: float, state: NodeState) -> bool:
+        """Return whether a message from the leader arrived within the election timeout."""
         return state.leader != "" and now < self.last_leader_contact + state.settings.election_timeout_s
 
     def start(self, now: float, state: NodeState, role: Role, *, is_transfer: bool) -> None:
-        """Ask all voters for their vote, or, as a pre-candidate, whether they would give it."""
+        """Send a vote request, or a pre-vote request as a pre-candidate, to all other voters."""
         state.role = role
         state.leader = ""
         self.restart_timeout(now, state.settings)
@@ -59,7 +59,9 @@
             state.send(name, request)
 
     def answer(self, now: float, state: NodeState, sender: str, request: RequestVote) -> None:
-        """Answer a candidate. A vote is given once in a term, and only to a log that lacks nothing of this one."""
+        """Reply to a vote request.
+
+        A node grants one vote per term, and only to a candidate whose log is at least as up to date as its own."""
         last_index = state.log.last_index
         candidate_log = (request.last_log_term, request.last_log_index)
         is_up_to_date = candidate_log >= (state.log.term_at(last_index), last_index)
@@ -81,7 +83,7 @@
         state.send(sender, RequestVoteReply(state.term, False, granted))
 
     def add_vote(self, state: NodeState, sender: str, reply: RequestVoteReply) -> bool:
-        """Count a vote; whether it belongs to this candidacy."""
+        """Record a granted vote; return whether it belongs to the current candidacy."""
         expected = (Role.PRE_CANDIDATE, state.term + 1) if reply.pre_vote else (Role.CANDIDATE, state.term)
         if not reply.granted or (state.role, reply.term) != expected or sender not in state.membership.voters:
             return False
@@ -89,5 +91,5 @@
         return True
 
     def is_won(self, state: NodeState) -> bool:
-        """Whether a majority of the voters has given its vote."""
+        """Return whether a majority of the voters has granted its vote."""
         return len(self.votes & set(state.membership.voters)) >= state.majority()
--- a/chutepin/consensus/errors.py
+++ b/chutepin/consensus/errors.py
@@ -1,14 +1,14 @@
-"""Errors of the consensus package. All have one base, so that a caller can tell them from its own."""
+"""Exceptions of the consensus package, all derived from `ConsensusError`."""
 
 from __future__ import annotations
 
 
 class ConsensusError(Exception):
-    """Base of all errors of this package."""
+    """Base class of all exceptions of this package."""
 
 
 class RejectedError(ConsensusError):
-    """A request was not accepted and will have no effect; `leader` is the member to ask instead, empty if unknown."""
+    """A request was rejected and has no effect; `leader` is the member to send it to, empty if unknown."""
 
     def __init__(self, reason: str, leader: str = "") -> None:
         super().__init__(reason)
@@ -16,16 +16,16 @@
 
 
 class InvalidRequestError(ConsensusError):
-    """An argument of an operator's request has the wrong form; the message names the right one."""
+    """An argument of an operator's call is invalid; the message states the expected form."""
 
 
 class UnsupportedFormatError(ConsensusError):
-    """A snapshot of the state machine has a format that this program cannot read."""
+    """A state machine snapshot has a format or version that this program cannot read."""
 
 
 class CodecError(ConsensusError):
-    """Received bytes are not a message; the text is the reason under which it is counted."""
+    """Received bytes are not a valid message; the text is the suffix of the counter that is incremented."""
 
 
 class JournalError(ConsensusError):
-    """The stored journal is not one that this node has written: the node must not vote on the strength of it."""
+    """The stored journal is damaged or was not written by this node, so the node must not vote based on it."""
--- a/chutepin/consensus/fetch_queue.py
+++ b/chutepin/consensus/fetch_queue.py
@@ -1,4 +1,4 @@
-"""Fetches of members that follow this one: each waits until there are new entries, or for a while at most."""
+"""Pending fetch requests from downstream nodes; each waits for new entries, up to a hold time."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from .raft_log import RaftLog, entry_bytes
 
 MAX_WAITING_FETCHES = 64
-HOLD_HEARTBEATS = 4.0  # until a fetch is answered without new entries
-MAX_CONTACT_AGE_S = 60.0  # an older contact to the leader is none
+FETCH_HOLD_HEARTBEATS = 4.0  # heartbeat intervals after which a fetch is answered without new entries
+MAX_CONTACT_AGE_S = 60.0  # an older contact with the leader is reported as NO_LEADER_CONTACT
 
 
 class FetchSource(NamedTuple):
-    """What this member can answer from."""
+    """The data of this node from which fetches are answered."""
 
     log: RaftLog
-    retained: Iterable[Entry]  # that it has fetched itself
+    retained: Iterable[Entry]  # the latest entries that this node has fetched from its upstream
     applied_index: int
     leader: str
     last_leader_contact: float
@@ -31,58 +31,60 @@
 
     @property
     def is_ahead_of_log(self) -> bool:
-        """Whether more is applied than its log knows to be committed: then its own later entries may be replaced."""
+        """Return whether fetched entries beyond the log's commit index are applied.
+
+        The log's entries after its commit index may then still be replaced, so they must not be sent."""
         return self.log.commit_index < self.applied_index
 
-    def entries_behind(self, index: int) -> Iterable[Entry]:
-        """Return the entries to answer from; they may begin before or after an index."""
+    def entries_after(self, index: int) -> Iterable[Entry]:
+        """Return the entries from which to answer a fetch after `index`; the first may be before or after it."""
         if not self.is_ahead_of_log and self.log.base_index <= index:
             return self.log.entries
         return self.retained
 
 
 class WaitingFetch(NamedTuple):
-    """A fetch that is not answered yet."""
+    """A fetch request that is not answered yet."""
 
     answer_by: float
     request: FetchRequest
 
 
 class FetchQueue:
-    """The fetches that wait at one member, one for each member that asks."""
+    """The waiting fetches of one node, at most one per requester."""
 
     def __init__(self, max_chunk_bytes: int, heartbeat_interval_s: float) -> None:
         self._max_chunk_bytes = max_chunk_bytes
-        self._hold_s = HOLD_HEARTBEATS * heartbeat_interval_s
+        self._hold_s = FETCH_HOLD_HEARTBEATS * heartbeat_interval_s
         self._waiting: dict[str, WaitingFetch] = {}
-        self._offered: Snapshot | None = None  # is being sent to some
+        self._offered: Snapshot | None = None  # the snapshot being sent to requesters
 
     def next_deadline(self) -> float:
-        """Return when an answer without new entries is due."""
+        """Return the time at which the first reply without new entries is due."""
         return min((fetch.answer_by for fetch in self._waiting.values()), default=math.inf)
 
     def add(self, now: float, sender: str, request: FetchRequest) -> None:
-        """Have a fetch wait. Over the limit it is dropped; the member chooses another upstream."""
+        """Add a fetch; above MAX_WAITING_FETCHES it is dropped, and the requester chooses another upstream."""
         if sender in self._waiting or len(self._waiting) < MAX_WAITING_FETCHES:
             self._waiting[sender] = WaitingFetch(now + self._hold_s, request)
 
     def replies(self, now: float, source: FetchSource) -> Iterator[tuple[str, FetchReply]]:
-        """Iterate over the answers that are due, and whom they are for."""
+        """Iterate over the replies that are due, with the name of the requester."""
         for name, fetch in list(self._waiting.items()):
             if source.applied_index <= fetch.request.applied_index and now < fetch.answer_by:
                 continue
             del self._waiting[name]
             if fetch.request.depth < source.depth < MAX_DEPTH:
-                yield name, NOTHING  # the asker is nearer to a voter: nothing may go round in a circle
+                yield name, EMPTY_REPLY  # the requester is closer to a voter; a reply could create a fetch cycle
             else:
                 yield name, self._reply(now, source, fetch.request)
 
     def _reply(self, now: float, source: FetchSource, request: FetchRequest) -> FetchReply:
         entries = self._entries(source, request)
-        reply = NOTHING._replace(
+        reply = EMPTY_REPLY._replace(
             entries=entries,
             leader=source.leader,
-            leader_contact_ms=_contact_ms(now, source),
+            leader_contact_ms=_leader_contact_ms(now, source),
             depth=source.depth,
             membership=source.membership,
         )
@@ -100,10 +102,10 @@
         )
 
     def _entries(self, source: FetchSource, request: FetchRequest) -> tuple[Entry, ...]:
-        """Return applied entries behind what was asked for, without a gap; none where they are compacted."""
+        """Return the contiguous applied entries after the requested index; empty if they are compacted."""
         entries = list[Entry]()
         size = 0
-        for entry in source.entries_behind(request.applied_index):
+        for entry in source.entries_after(request.applied_index):
             if not request.applied_index < entry.index <= source.applied_index:
                 continue
             if entry.index != request.applied_index + len(entries) + 1 or size > self._max_chunk_bytes:
@@ -113,14 +115,14 @@
         return tuple(entries)
 
     def _choose_snapshot(self, source: FetchSource, request: FetchRequest) -> Snapshot:
-        """Return the snapshot that is being sent, if it still serves; else the log's, else a new one."""
+        """Return the snapshot being sent if it is still usable, else the log's snapshot, else a new one."""
         offered = self._offered
         if offered is not None and offered.up_to_index > request.applied_index:
             if source.is_ahead_of_log:
-                still_serves = request.snapshot_index == offered.up_to_index
+                is_usable = request.snapshot_index == offered.up_to_index
             else:
-                still_serves = offered.up_to_index >= source.log.base_index
-            if still_serves:
+                is_usable = offered.up_to_index >= source.log.base_index
+            if is_usable:
                 return offered
         newest = source.log.snapshot if not source.is_ahead_of_log else None
         if newest is None or newest.up_to_index <= request.applied_index:
@@ -129,9 +131,9 @@
         return newest
 
 
-NOTHING = FetchReply((), "", NO_LEADER_CONTACT, MAX_DEPTH, Membership(()), 0, 0, 0, 0, 0, b"")
+EMPTY_REPLY = FetchReply((), "", NO_LEADER_CONTACT, MAX_DEPTH, Membership(()), 0, 0, 0, 0, 0, b"")
 
 
-def _contact_ms(now: float, source: FetchSource) -> int:
+def _leader_contact_ms(now: float, source: FetchSource) -> int:
     age_s = now - source.last_leader_contact
     return int(1000 * age_s) if source.leader and age_s < MAX_CONTACT_AGE_S else NO_LEADER_CONTACT
--- a/chutepin/consensus/fields.py
+++ b/chutepin/consensus/fields.py
@@ -1,4 +1,4 @@
-"""Plain values of messages and of the store, each checked against its type. Pure."""
+"""Type checks for decoded values of messages and of the store. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 class MalformedFieldError(ValueError):
-    """A plain value is not of the type that its place asks for."""
+    """A decoded value does not have the expected type or range."""
 
 
 def read_integer(raw: Any, minimum: int = 0) -> int:
-    """Return a whole number from `minimum` to MAX_INTEGER. Raises MalformedFieldError."""
+    """Return an integer from `minimum` to MAX_INTEGER. Raises MalformedFieldError."""
     if type(raw) is not int or not minimum <= raw <= MAX_INTEGER:
         raise MalformedFieldError("not a whole number within its bounds")
     return raw
 
 
 def read_text(raw: Any) -> str:
-    """Return text. Raises MalformedFieldError."""
+    """Return a string. Raises MalformedFieldError."""
     if not isinstance(raw, str):
         raise MalformedFieldError("not text")
     return raw
@@ -34,14 +34,14 @@
 
 
 def read_list(raw: Any, length: int) -> Sequence[Any]:
-    """Return a list of this length. Raises MalformedFieldError."""
+    """Return a list of `length` elements. Raises MalformedFieldError."""
     if not isinstance(raw, list) or len(raw) != length:
         raise MalformedFieldError(f"not a list of {length}")
     return raw
 
 
 def read_names(raw: Any) -> tuple[str, ...]:
-    """Return a list of names. Raises MalformedFieldError."""
+    """Return the names in a list of strings. Raises MalformedFieldError."""
     if not isinstance(raw, list):
         raise MalformedFieldError("not a list of names")
     return tuple(map(read_text, raw))
--- a/chutepin/consensus/identity.py
+++ b/chutepin/consensus/identity.py
@@ -1,9 +1,10 @@
-"""Under which identity a node takes part: a voter whose store was lost must never vote as the one that it was. Pure.
+"""The identity of a node in the group: a voter that has lost its store must not vote under its former identity.
 
-Each store is created with a random id. A voter that the operator's file names votes under its plain node name, but only
-once *all* other voters of the file have acknowledged the id of its store: one that knows an earlier store under this
-name says so, and the node's store counts as LOST. Nodes of a lost store, and nodes that the file does not name, take
-part as name~id; under that identity an operator may let them vote."""
+Each store is created with a random id. A voter named in the configuration votes under its plain node name, but only
+after *all* other configured voters have acknowledged the id of its store. If a voter has recorded an earlier store for
+that name, its reply contains the earlier id and the node's store becomes LOST. Nodes with a lost store and nodes not
+named in the configuration use the identity name~id, under which an operator can add them as voters. The module
+performs no I/O."""
 
 from __future__ import annotations
 
@@ -12,36 +13,36 @@
 
 import msgpack
 
-IDENTITY_KEY = b"agree/who"  # of the store, for a `StoredIdentity`
-KNOWN_STORES_KEY = b"agree/met"  # for the ids of the other voters' stores, by node name
+IDENTITY_KEY = b"agree/who"  # store key of the `StoredIdentity`
+KNOWN_STORES_KEY = b"agree/met"  # store key of the other voters' store ids by node name
 SEPARATOR = "~"
 
 
 class StoreAnnouncement(NamedTuple):
-    """A voter with a new store makes its id known."""
+    """The id of a voter's new store, sent to the other voters."""
 
     name: str
     store_id: str
 
 
 class StoreAcknowledgement(NamedTuple):
-    """The reply: the id under which the sender knows that voter's store."""
+    """The reply to a StoreAnnouncement: the id that the sender has recorded for that voter's store."""
 
     name: str
     known_store_id: str
 
 
 class StoreStatus(Enum):
-    """How far the other voters know a node's store."""
+    """The acknowledgement of a node's store by the other voters."""
 
-    FORMING = "forming"  # not all other voters of the file have acknowledged it
+    FORMING = "forming"  # some of the other configured voters have not acknowledged the store
     CONFIRMED = "settled"  # the node votes under its plain name
-    LOST = "lost"  # another store is known under this name
-    OBSERVER = "follows"  # the file does not name the node
+    LOST = "lost"  # another voter has recorded an earlier store for this node name
+    OBSERVER = "follows"  # the node is not a configured voter
 
 
 class StoredIdentity(NamedTuple):
-    """Whose replicated log a store holds, and the store's id."""
+    """The node and cluster to which a store's replicated log belongs, the store's id and its status."""
 
     cluster: str
     node: str
@@ -49,18 +50,18 @@
     status: StoreStatus
 
     def pack(self) -> bytes:
-        """Encode for the store."""
+        """Encode the record for the store."""
         return bytes(msgpack.packb([self.cluster, self.node, self.store_id, self.status.value]))
 
     @classmethod
     def unpack(cls, data: bytes) -> StoredIdentity:
-        """Decode what `pack` gave."""
+        """Decode a record encoded by `pack`."""
         cluster, node, store_id, status = msgpack.unpackb(data)
         return cls(cluster, node, store_id, StoreStatus(status))
 
 
 class Identity:
-    """The identity of one node. The caller keeps `status`, `store_id` and `known_stores` in the store."""
+    """The identity of one node; the caller persists `status`, `store_id` and `known_stores`."""
 
     def __init__(
         self,
@@ -70,7 +71,7 @@
         status: StoreStatus | None,
         known_stores: dict[str, str],
     ) -> None:
-        """`status` as it was stored, None for a new store. `known_stores`: ids of other voters' stores, by name."""
+        """Restore an identity; `status` is None for a new store, `known_stores` maps other voters to store ids."""
         self.name = name
         self._voters = voters
         self.store_id = store_id
@@ -84,25 +85,29 @@
 
     @property
     def identity(self) -> str:
-        """The name under which this node takes part."""
+        """The name under which this node is a member."""
         if self.status in (StoreStatus.CONFIRMED, StoreStatus.FORMING):
             return self.name
         return f"{self.name}{SEPARATOR}{self.store_id}"
 
     @property
     def awaited(self) -> tuple[str, ...]:
-        """The voters that have yet to acknowledge this store."""
+        """The voters that have not acknowledged this store yet."""
         return tuple(name for name in self._voters if name != self.name and name not in self._acknowledged_by)
 
     def acknowledge(self, sender: str, message: StoreAnnouncement) -> StoreAcknowledgement | None:
-        """Take another voter's announcement. The reply may be sent once `known_stores` is durable."""
+        """Record another voter's store id; return the reply, to be sent once `known_stores` is durable.
+
+        Return None if the announcement is not from a configured voter about itself."""
         if message.name != sender or message.name not in self._voters or self.name not in self._voters:
             return None
         known_store_id = self.known_stores.setdefault(message.name, message.store_id)
         return StoreAcknowledgement(message.name, known_store_id)
 
     def receive_acknowledgement(self, sender: str, message: StoreAcknowledgement) -> bool:
-        """Take another voter's reply; whether the status has changed, which must be durable before it has effect."""
+        """Process another voter's reply; return whether the status has changed.
+
+        A changed status must be durable before it takes effect."""
         if self.status is not StoreStatus.FORMING or message.name != self.name or sender not in self._voters:
             return False
         if message.known_store_id != self.store_id:
@@ -116,5 +121,5 @@
 
 
 def node_name(identity: str) -> str:
-    """Return the name of the node that takes part under an identity."""
+    """Return the node name that is part of an identity."""
     return identity.partition(SEPARATOR)[0]
--- a/chutepin/consensus/identity_exchange.py
+++ b/chutepin/consensus/identity_exchange.py
@@ -1,4 +1,4 @@
-"""The exchange with other voters after which a node's store counts as known, so that the node may vote."""
+"""The exchange of store ids with the other voters, which a node must complete before it votes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,9 @@
 
 
 class IdentityExchange:
-    """Announces this node's store, and acknowledges those of others. What it says is durable before it is sent."""
+    """The announcement of this node's store and the acknowledgement of other voters' stores.
+
+    An id or acknowledgement is durable before it is sent."""
 
     def __init__(
         self, cluster: str, identity: Identity, writer: StoreWriter, send: Callable[[str, WireMessage], None], log: Log
@@ -35,7 +37,9 @@
         await self._writer.write(identity_operations(self._cluster, self.identity))
 
     async def announce(self) -> None:
-        """Ask the voters that have yet to acknowledge this store, and wait a while for the last one's reply."""
+        """Announce the store to the voters that have not acknowledged it, then wait for a change of status.
+
+        The wait ends after ANNOUNCE_INTERVAL_S."""
         for name in self.identity.awaited:
             self._send(name, StoreAnnouncement(self.identity.name, self.identity.store_id))
         self._status_changed.clear()
@@ -44,7 +48,7 @@
                 await self._status_changed.wait()
 
     def receive_announcement(self, hello: Hello, message: StoreAnnouncement) -> None:
-        """Acknowledge another voter's store."""
+        """Process another voter's announcement and acknowledge its store."""
         is_new = hello.name not in self.identity.known_stores
         reply = self.identity.acknowledge(hello.name, message)
         if reply is not None:
@@ -53,7 +57,7 @@
             task.add_done_callback(self._replies.discard)
 
     async def _acknowledge(self, to: str, reply: StoreAcknowledgement, is_new: bool) -> None:
-        """Send the reply once it is durable here, as it holds for ever."""
+        """Send the reply once the store id is durable on this node, because it is never replaced."""
         try:
             if is_new:
                 await self.write()
@@ -64,7 +68,7 @@
         self._send(to, reply)
 
     def receive_acknowledgement(self, hello: Hello, message: StoreAcknowledgement) -> None:
-        """Take another voter's reply to the announcement."""
+        """Process another voter's reply to the announcement; log a change of status."""
         if self.identity.receive_acknowledgement(hello.name, message):
             status = self.identity.status.value
             self._log.event("consensus.store_status", status=status, identity=self.identity.identity)
--- a/chutepin/consensus/identity_store.py
+++ b/chutepin/consensus/identity_store.py
@@ -1,4 +1,4 @@
-"""Loads a node's identity from its store, and says what the store is to hold of it."""
+"""Loading and saving of a node's identity in its store."""
 
 from __future__ import annotations
 
@@ -16,7 +16,9 @@
 
 
 def load_identity(store: Store, cluster: str, name: str, voters: tuple[str, ...]) -> Identity:
-    """Read the identity from the store, or draw one for a new store. Raises ConfigError for another node's store."""
+    """Read the identity from the store, or generate one for a new store.
+
+    Raises ConfigError if the store belongs to another node or cluster."""
     try:
         raw = store.get(IDENTITY_KEY)
         known_stores = msgpack.unpackb(store.get(KNOWN_STORES_KEY) or NO_KNOWN_STORES)
@@ -28,13 +30,12 @@
     stored = StoredIdentity.unpack(raw)
     if (stored.cluster, stored.node) != (cluster, name):
         raise ConfigError(
-            f"store.directory: the log in it is that of {stored.node} in cluster {stored.cluster}, not of "
-            f"{name} in {cluster}"
+            f"store.directory: the log belongs to {stored.node} in cluster {stored.cluster}, not to {name} in {cluster}"
         )
     return Identity(name, voters, stored.store_id, stored.status, known_stores)
 
 
 def identity_operations(cluster: str, identity: Identity) -> list[Operation]:
-    """Return the writes after which the store holds the identity."""
+    """Return the writes that save the identity in the store."""
     stored = StoredIdentity(cluster, identity.name, identity.store_id, identity.status)
     return [(IDENTITY_KEY, stored.pack()), (KNOWN_STORES_KEY, bytes(msgpack.packb(identity.known_stores)))]
--- a/chutepin/consensus/journal.py
+++ b/chutepin/consensus/journal.py
@@ -1,8 +1,8 @@
-"""The persistent state of a Raft node as keys and values of the store, and back. Pure: writes come out as data.
+"""The persistent state of a Raft node as keys and values of the store. Performs no I/O: writes are returned as data.
 
-It rests on one promise of `chutepin.store`: after a crash, of the writes that were not acknowledged a prefix survives,
-in the order in which they were made. So the log needs no mark of its end: entries are deleted from the last one back,
-and a snapshot's head is written behind its chunks."""
+The journal relies on a guarantee of `chutepin.store`: after a crash, the unacknowledged writes that survive are a
+prefix of all of them, in the order in which they were made. So the log needs no end marker: entries are deleted from
+the last one backwards, and a snapshot's header is written after its chunks."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 Operation = tuple[bytes, bytes | None]  # a key and its value; None deletes it
 
-CHUNK_BYTES = 32 * 1024  # of a snapshot in one value: it fits the smallest segment
+CHUNK_BYTES = 32 * 1024  # snapshot data per value; fits the smallest store segment
 TERM_KEY = b"agree/term"
 SNAPSHOT_KEY = b"agree/snapshot"
 
@@ -30,24 +30,24 @@
 
 
 def chunk_key(up_to_index: int, number: int) -> bytes:
-    """Return the key of a chunk of a snapshot."""
+    """Return the key of a snapshot chunk."""
     return b"agree/snapshot/%d/%d" % (up_to_index, number)
 
 
 def pack_entry(entry: Entry) -> list[Any]:
-    """Return an entry as a list of plain values."""
+    """Return an entry as a list of msgpack values."""
     membership = None if entry.membership is None else [list(names) for names in entry.membership]
     return [entry.index, entry.term, int(entry.kind), entry.data, membership]
 
 
 def unpack_membership(raw: Any) -> Membership:
-    """Return the membership of plain values. Raises ValueError."""
+    """Return a membership from its msgpack values. Raises ValueError."""
     voters, learners = read_list(raw, 2)
     return Membership(read_names(voters), read_names(learners))
 
 
 def unpack_entry(raw: Any) -> Entry:
-    """Return the entry of plain values. Raises ValueError."""
+    """Return an entry from its msgpack values. Raises ValueError."""
     index, term, kind, data, membership = read_list(raw, 5)
     return Entry(
         read_integer(index, minimum=1),
@@ -59,17 +59,17 @@
 
 
 class Journal:
-    """Knows what of one node is in the store, and which writes change it."""
+    """The layout of one node's persistent state in the store; computes the writes that change it."""
 
     def __init__(self) -> None:
-        self._first_index = 1  # of the entries in the store
+        self._first_index = 1  # index of the first entry in the store
         self._last_index = 0
         self._term_and_vote = (0, "")
         self._snapshot_index = 0
         self._chunk_count = 0
 
     def write(self, change: Persist) -> list[Operation]:
-        """Return the writes that make a change durable, in order."""
+        """Return the writes for a change, in the order in which they must be made."""
         operations: list[Operation] = []
         if change.snapshot is not None:
             operations += self._write_snapshot(change.snapshot, change.base_index, change.discard_log)
@@ -79,25 +79,25 @@
             self._last_index = change.entries[-1].index
         if (change.term, change.voted_for) != self._term_and_vote:
             self._term_and_vote = (change.term, change.voted_for)
-            # Before the entries: one of a later term than the stored one would count as damage.
+            # Written before the entries: `load` rejects an entry of a later term than the stored term.
             operations.insert(0, (TERM_KEY, _pack([change.term, change.voted_for])))
         return operations
 
     def _delete_entries_back(self, first_index: int) -> list[Operation]:
-        """Delete from the last entry back, so that a crash in between leaves no gap."""
+        """Return deletes of entries from the last one backwards, so that a crash in between leaves no gap."""
         return [(entry_key(index), None) for index in range(self._last_index, first_index - 1, -1)]
 
     def _write_snapshot(self, snapshot: Snapshot, base_index: int, discard_log: bool) -> list[Operation]:
-        """Write a snapshot, then delete what it replaces."""
+        """Return the writes of a snapshot, followed by deletes of the entries and snapshot that it replaces."""
         operations: list[Operation] = []
-        first_index = max(self._first_index, base_index)  # the entry at the base stays: its term is asked for
+        first_index = max(self._first_index, base_index)  # keeps the entry at the base, whose term is needed
         if discard_log:
             operations += self._delete_entries_back(snapshot.up_to_index + 1)
             first_index = snapshot.up_to_index + 1
             self._last_index = snapshot.up_to_index
         chunks = [snapshot.data[at : at + CHUNK_BYTES] for at in range(0, len(snapshot.data), CHUNK_BYTES)]
         operations += [(chunk_key(snapshot.up_to_index, number), chunk) for number, chunk in enumerate(chunks)]
-        head = [
+        header = [
             snapshot.up_to_index,
             snapshot.term,
             [list(names) for names in snapshot.membership],
@@ -106,15 +106,15 @@
             first_index,
             [self._first_index, self._snapshot_index, self._chunk_count],
         ]
-        operations.append((SNAPSHOT_KEY, _pack(head)))
-        operations += _leftovers(self._first_index, first_index, self._snapshot_index, self._chunk_count)
+        operations.append((SNAPSHOT_KEY, _pack(header)))
+        operations += _deletions(self._first_index, first_index, self._snapshot_index, self._chunk_count)
         self._first_index = first_index
         self._snapshot_index = snapshot.up_to_index
         self._chunk_count = len(chunks)
         return operations
 
     def load(self, get: Callable[[bytes], bytes | None]) -> tuple[PersistentState, list[Operation]]:
-        """Return the stored state, and the deletes that a crash has left undone. Raises JournalError."""
+        """Return the stored state and the deletes that a crash has interrupted. Raises JournalError."""
         try:
             return self._load(get)
         except (ValueError, TypeError, IndexError, msgpack.exceptions.UnpackException) as error:
@@ -122,31 +122,31 @@
 
     def _load(self, get: Callable[[bytes], bytes | None]) -> tuple[PersistentState, list[Operation]]:
         saved = PersistentState()
-        leftovers = list[Operation]()
+        cleanup_operations = list[Operation]()
         raw_term = get(TERM_KEY)
         if raw_term is not None:
             term, voted_for = read_list(msgpack.unpackb(raw_term), 2)
             saved.term, saved.voted_for = read_integer(term), read_text(voted_for)
             self._term_and_vote = (saved.term, saved.voted_for)
-        raw_head = get(SNAPSHOT_KEY)
-        if raw_head is not None:
-            leftovers = self._load_snapshot(get, saved, raw_head)
+        raw_header = get(SNAPSHOT_KEY)
+        if raw_header is not None:
+            cleanup_operations = self._load_snapshot(get, saved, raw_header)
         self._load_entries(get, saved)
         if saved.snapshot is not None:
             self._check_continuity(saved, saved.snapshot)
-        return saved, leftovers
+        return saved, cleanup_operations
 
     def _load_snapshot(
-        self, get: Callable[[bytes], bytes | None], saved: PersistentState, raw_head: bytes
+        self, get: Callable[[bytes], bytes | None], saved: PersistentState, raw_header: bytes
     ) -> list[Operation]:
-        """Read the snapshot; return the deletes that are left of its predecessor."""
-        plain_index, plain_term, membership, plain_chunk_count, checksum, plain_first_index, former = read_list(
-            msgpack.unpackb(raw_head), 7
+        """Read the snapshot; return the deletes of the data that it replaced."""
+        raw_index, raw_term, membership, raw_chunk_count, checksum, raw_first_index, former = read_list(
+            msgpack.unpackb(raw_header), 7
         )
-        up_to_index = read_integer(plain_index, minimum=1)
-        term = read_integer(plain_term)
-        chunk_count = read_integer(plain_chunk_count)
-        first_index = read_integer(plain_first_index, minimum=1)
+        up_to_index = read_integer(raw_index, minimum=1)
+        term = read_integer(raw_term)
+        chunk_count = read_integer(raw_chunk_count)
+        first_index = read_integer(raw_first_index, minimum=1)
         former_first_index, former_snapshot_index, former_chunk_count = map(read_integer, read_list(former, 3))
         data = _read_chunks(get, up_to_index, chunk_count)
         if zlib.crc32(data) != checksum:
@@ -160,7 +160,7 @@
         self._last_index = first_index - 1
         if former_snapshot_index == up_to_index:
             return []
-        return _leftovers(former_first_index, first_index, former_snapshot_index, former_chunk_count)
+        return _deletions(former_first_index, first_index, former_snapshot_index, former_chunk_count)
 
     def _load_entries(self, get: Callable[[bytes], bytes | None], saved: PersistentState) -> None:
         while (raw := get(entry_key(self._last_index + 1))) is not None:
@@ -171,7 +171,9 @@
             self._last_index = entry.index
 
     def _check_continuity(self, saved: PersistentState, snapshot: Snapshot) -> None:
-        """Check that the entries reach the snapshot; the first one is the base where they begin before its end."""
+        """Check that no entries are missing between base and snapshot; remove the entry at the base from the log.
+
+        The first stored entry is the base if the entries begin before the end of the snapshot."""
         if self._first_index > snapshot.up_to_index:
             return
         if self._last_index < snapshot.up_to_index:
@@ -182,7 +184,7 @@
 
 
 def _read_chunks(get: Callable[[bytes], bytes | None], up_to_index: int, chunk_count: int) -> bytes:
-    """Return the data of a snapshot. Raises JournalError where a chunk is missing."""
+    """Return the data of a snapshot. Raises JournalError if a chunk is missing."""
     chunks = list[bytes]()
     for number in range(chunk_count):
         chunk = get(chunk_key(up_to_index, number))
@@ -196,8 +198,8 @@
     return bytes(msgpack.packb(value))
 
 
-def _leftovers(former_first_index: int, first_index: int, snapshot_index: int, chunk_count: int) -> list[Operation]:
-    """Return the deletes of what a snapshot replaces: earlier entries and the former snapshot."""
+def _deletions(former_first_index: int, first_index: int, snapshot_index: int, chunk_count: int) -> list[Operation]:
+    """Return the deletes of the earlier entries and the former snapshot that a snapshot replaces."""
     keys = [entry_key(index) for index in range(former_first_index, first_index)]
     keys += [chunk_key(snapshot_index, number) for number in range(chunk_count)]
     return [(key, None) for key in keys]
--- a/chutepin/consensus/key_value.py
+++ b/chutepin/consensus/key_value.py
@@ -1,4 +1,4 @@
-"""A key-value state machine on the replicated log, which operators and tests can set and read. Pure."""
+"""A key-value state machine on the replicated log, for operators and tests. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class StoredValue(NamedTuple):
-    """A key's value, the index of the entry that set it, and how often the key was set in all."""
+    """The value of a key, the index of the entry that set it, and the number of times the key was set."""
 
     value: bytes
     at_index: int
@@ -31,7 +31,7 @@
 
 
 class KeyValueMachine:
-    """Keys with values (`replicated_state.StateMachine`)."""
+    """A map of keys to values; implements `replicated_state.StateMachine`."""
 
     version = 1
 
@@ -39,7 +39,7 @@
         self.values: dict[str, StoredValue] = {}
 
     def apply(self, index: int, version: int, data: bytes) -> bytes:
-        """Set a key; the result is `set`, or `full` where there is no room for another key."""
+        """Set a key; return `set`, or `full` if a new key would exceed MAX_KEYS."""
         key, value = msgpack.unpackb(data)
         former = self.values.get(key)
         if former is None and len(self.values) >= MAX_KEYS:
@@ -49,9 +49,9 @@
         return b"set"
 
     def snapshot(self) -> bytes:
-        """Return all keys and values, sorted by key."""
+        """Return all keys and values in msgpack, sorted by key."""
         return bytes(msgpack.packb([[key, *stored] for key, stored in sorted(self.values.items())]))
 
     def restore(self, version: int, data: bytes) -> None:
-        """Replace all keys and values by those of a snapshot."""
+        """Replace all keys and values with those of a snapshot."""
         self.values = {key: StoredValue(value, index, times) for key, value, index, times in msgpack.unpackb(data)}
--- a/chutepin/consensus/leadership.py
+++ b/chutepin/consensus/leadership.py
@@ -1,4 +1,4 @@
-"""What a leader does in its term: its own entries, commit index, reads, heartbeats, leadership transfer."""
+"""The leader's duties in its term: appending entries, commit index, reads, heartbeats and leadership transfer."""
 
 from __future__ import annotations
 
@@ -12,29 +12,29 @@
 from .state import NodeState
 
 NEVER = math.inf
-AT_ONCE = -math.inf
+IMMEDIATELY = -math.inf
 
 
 class LeadershipTransfer:
-    """The transfer that is under way, if any: proposals are rejected until the target leads or the time is over."""
+    """The leadership transfer in progress, if any; proposals are rejected until the target leads or the deadline."""
 
     def __init__(self) -> None:
         self.target = ""
         self.deadline = NEVER
 
     def start(self, target: str, deadline: float) -> None:
-        """Begin to transfer."""
+        """Begin a transfer to `target`."""
         self.target = target
         self.deadline = deadline
 
     def cancel(self) -> None:
-        """Accept proposals again."""
+        """End the transfer, so that proposals are accepted again."""
         self.target = ""
         self.deadline = NEVER
 
 
 class Leadership:
-    """The leader's state of one node. It is kept between terms, and only used while the node leads."""
+    """The leader-only state of one node; it persists between terms and is used only while the node leads."""
 
     def __init__(self) -> None:
         self.replication = Replication()
@@ -52,21 +52,21 @@
         return other
 
     def begin(self, now: float, state: NodeState) -> None:
-        """Begin a term. Its first entry is empty: once committed, it commits all entries of earlier terms."""
+        """Begin a term with a no-op entry, whose commit also commits all entries of earlier terms."""
         self.replication.reset(now, state)
         self.heartbeat_at = now + state.settings.heartbeat_interval_s
         self.quorum_check_at = now + state.settings.election_timeout_s
         self.append(state, Entry(state.log.last_index + 1, state.term, EntryKind.NO_OP))
 
-    def resign(self, state: NodeState) -> None:
-        """End the term as the leader."""
+    def step_down(self, state: NodeState) -> None:
+        """Fail the pending reads and cancel the transfer when the node stops being leader."""
         self.reads.fail(state)
         self.transfer.cancel()
 
     def append(self, state: NodeState, entry: Entry) -> int:
-        """Append the leader's own entry; return its index.
+        """Append an entry to the leader's log and replicate it; return its index.
 
-        It is sent before it is durable here: what depends on that stands behind it among the effects."""
+        The entry is sent before it is durable on this node; effects that depend on that come after its `Persist`."""
         state.log.replace_from(entry.index, (entry,))
         if entry.membership is not None:
             state.membership = entry.membership
@@ -81,7 +81,7 @@
         return self.append(state, Entry(state.log.last_index + 1, state.term, EntryKind.PROPOSAL, data))
 
     def change_membership(self, state: NodeState, wanted: Membership) -> int:
-        """Append a change of membership; return its index. Raises RejectedError."""
+        """Append a membership change; return its index. Raises RejectedError."""
         check_change(state, self.replication, wanted)
         entry = Entry(state.log.last_index + 1, state.term, EntryKind.VOTERS, membership=wanted)
         return self.append(state, entry)
@@ -94,26 +94,28 @@
         self._answer_reads(state)
 
     def start_transfer(self, now: float, state: NodeState, target: str) -> None:
-        """Bring a voter up to date and have it elected, within one election timeout."""
+        """Bring a voter up to date and make it start an election, within one election timeout."""
         self.transfer.start(target, now + state.settings.election_timeout_s)
         self._continue_transfer(state)
 
     def heartbeat(self, now: float, state: NodeState) -> None:
-        """Send the heartbeats that are due."""
+        """Send a round of heartbeats and schedule the next one."""
         self.heartbeat_at = now + state.settings.heartbeat_interval_s
         self.replication.heartbeat(state)
 
     def keeps_quorum(self, now: float, state: NodeState) -> bool:
-        """Whether the node may go on leading: it votes, and a majority was heard lately. To be called when due."""
+        """Return whether the node remains leader: it is a voter, and a majority has replied recently.
+
+        The caller calls this when the quorum check is due; the next check is scheduled."""
         self.quorum_check_at = now + state.settings.election_timeout_s
         if now > self.transfer.deadline:
             self.transfer.cancel()
-        return state.is_voter and self.replication.hears_majority(now, state)
+        return state.is_voter and self.replication.has_recent_majority_contact(now, state)
 
     def receive(
         self, now: float, state: NodeState, sender: str, reply: AppendEntriesReply | InstallSnapshotReply
     ) -> None:
-        """Take a follower's reply in this term, and do what it makes possible."""
+        """Process a follower's reply of the current term: advance the commit index, replicate, complete reads."""
         if sender not in self.replication.progress:
             return
         match reply:
@@ -128,22 +130,24 @@
         self._answer_reads(state)
 
     def advance_commit(self, state: NodeState) -> None:
-        """Commit what a majority has, if it is of this term: an earlier term's entry may still be replaced."""
+        """Commit up to the index that a majority has stored, if that entry is of the current term.
+
+        An entry of an earlier term may still be replaced, even if a majority has it."""
         index = self.replication.majority_match_index(state)
         if index <= state.log.commit_index or state.log.term_at(index) != state.term:
             return
         state.commit(index)
         if not state.is_voter and not state.log.has_pending_membership_change():
-            # Its removal is committed: the others learn that from this heartbeat, then it steps down.
+            # The leader's own removal is committed: this heartbeat sends the commit index before it steps down.
             self.replication.heartbeat(state)
-            self.quorum_check_at = AT_ONCE
+            self.quorum_check_at = IMMEDIATELY
 
     def _answer_reads(self, state: NodeState) -> None:
         if self.reads.pending:
             self.reads.answer(state, self.replication.majority_heartbeat_round(state))
 
     def _continue_transfer(self, state: NodeState) -> None:
-        """Have the target call an election, once it has the whole log."""
+        """Send TimeoutNow to the transfer target once its log is complete."""
         progress = self.replication.progress.get(self.transfer.target)
         if progress is not None and progress.match_index == state.log.last_index:
             state.send(self.transfer.target, TimeoutNow(state.term))
--- a/chutepin/consensus/membership_change.py
+++ b/chutepin/consensus/membership_change.py
@@ -1,6 +1,6 @@
-"""Which changes of membership a leader accepts.
+"""Validation of membership changes on the leader.
 
-One voter at a time, so that any majority before the change and any after it share a voter."""
+A change adds or removes at most one voter, so any majority before the change and any majority after it overlap."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def check_change(state: NodeState, replication: Replication, wanted: Membership) -> None:
-    """Check a change before it enters the leader's log. Raises RejectedError."""
+    """Validate a membership change before the leader appends it to its log. Raises RejectedError."""
     check_term_committed(state)
     if state.log.has_pending_membership_change():
         raise RejectedError("another change of voters is under way", state.name)
@@ -19,8 +19,8 @@
         raise RejectedError("one voter at a time", state.name)
     if not wanted.voters:
         raise RejectedError("nobody would vote", state.name)
-    for name in wanted.everybody:
-        if wanted.everybody.count(name) > 1:  # it would count as two in a majority
+    for name in wanted.all_members:
+        if wanted.all_members.count(name) > 1:  # a repeated member would count twice in a majority
             raise RejectedError(f"{name} takes part already", state.name)
     for name in set(wanted.voters) - set(state.membership.voters):
         progress = replication.progress.get(name)
@@ -29,6 +29,8 @@
 
 
 def check_term_committed(state: NodeState) -> None:
-    """Until an entry of its own term is committed a leader does not know the commit index. Raises RejectedError."""
+    """Check that an entry of the current term is committed; before that, the leader's commit index may be stale.
+
+    Raises RejectedError."""
     if state.log.term_at(state.log.commit_index) != state.term:
         raise RejectedError("nothing of this term is agreed yet", state.name)
--- a/chutepin/consensus/messages.py
+++ b/chutepin/consensus/messages.py
@@ -1,6 +1,6 @@
-"""Raft's log entries, the messages between members and the effects that a node asks for, as data.
+"""Data types of Raft: log entries, messages between members and the effects requested by a node.
 
-The names are those of the Raft papers. Order and types of a message's fields are its form on the wire (`codec`)."""
+Names follow the Raft papers. The order and types of a message's fields define its wire format (`codec`)."""
 
 from __future__ import annotations
 
@@ -8,31 +8,31 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-READ_ELSEWHERE = -1  # in place of an index: this member cannot answer the read
+READ_REJECTED = -1  # in place of an index: this member cannot serve the read
 
 
 class EntryKind(IntEnum):
-    """What a log entry holds."""
+    """The kind of content of a log entry."""
 
-    NO_OP = 0  # a new leader's first entry
+    NO_OP = 0  # the first entry of a new leader
     PROPOSAL = 1
-    VOTERS = 2  # a change of membership
+    VOTERS = 2  # a membership change
 
 
 class Membership(NamedTuple):
-    """Who takes part. Learners are sent all entries and do not vote."""
+    """The members of the group. Learners receive all entries and do not vote."""
 
     voters: tuple[str, ...]
     learners: tuple[str, ...] = ()
 
     @property
-    def everybody(self) -> tuple[str, ...]:
-        """Voters and learners."""
+    def all_members(self) -> tuple[str, ...]:
+        """All members: voters, then learners."""
         return self.voters + self.learners
 
 
 class Snapshot(NamedTuple):
-    """The state after the entry at `up_to_index`, as bytes, and the membership at that point."""
+    """The serialized state and the membership after the entry at `up_to_index`."""
 
     up_to_index: int
     term: int
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One log entry. `membership` is set in a change of membership only."""
+    """One log entry; `membership` is set only in a membership change."""
 
     index: int
     term: int
@@ -52,9 +52,9 @@
 
 
 class RequestVote(NamedTuple):
-    """A candidate's request. In a pre-vote `term` is the one it would begin.
+    """A candidate's vote request. In a pre-vote, `term` is the term that the candidate would start.
 
-    `is_transfer`: the leader has asked for this election, so voters that hear the leader vote all the same."""
+    `is_transfer`: the leader requested this election, so voters with recent leader contact do not ignore it."""
 
     term: int
     last_log_index: int
@@ -64,7 +64,7 @@
 
 
 class RequestVoteReply(NamedTuple):
-    """The reply to RequestVote."""
+    """The reply to a RequestVote."""
 
     term: int
     pre_vote: bool
@@ -72,7 +72,7 @@
 
 
 class AppendEntries(NamedTuple):
-    """A leader's entries behind (`prev_index`, `prev_term`) and its commit index; without entries, a heartbeat."""
+    """The leader's entries after (`prev_index`, `prev_term`) and its commit index; without entries, a heartbeat."""
 
     term: int
     prev_index: int
@@ -83,9 +83,9 @@
 
 
 class AppendEntriesReply(NamedTuple):
-    """The reply: the log matches the leader's up to `match_index`, durably.
+    """The reply to AppendEntries: the durable log matches the leader's up to `match_index`.
 
-    Without `success` it does not match, and `match_index` is where the leader is to try next."""
+    Without `success` the logs do not match, and `match_index` is the index for the leader to try next."""
 
     term: int
     success: bool
@@ -96,7 +96,7 @@
 class InstallSnapshotChunk(NamedTuple):
     """A chunk of the leader's snapshot, for a follower that needs entries which the leader has compacted.
 
-    `checksum` is that of the whole data: chunks of an earlier leader count only if they are part of the same bytes."""
+    `checksum` covers the whole snapshot, so chunks from an earlier leader are used only if the data is identical."""
 
     term: int
     up_to_index: int
@@ -110,7 +110,7 @@
 
 
 class InstallSnapshotReply(NamedTuple):
-    """The reply to a chunk: how many bytes of the snapshot have arrived."""
+    """The reply to a snapshot chunk: the number of bytes of the snapshot received so far."""
 
     term: int
     up_to_index: int
@@ -119,7 +119,7 @@
 
 
 class TimeoutNow(NamedTuple):
-    """The leader transfers its leadership: the receiver is to call an election without waiting."""
+    """A leadership transfer: the receiver starts an election without waiting for its timeout."""
 
     term: int
 
@@ -136,17 +136,17 @@
 
 
 class Send(NamedTuple):
-    """Send a message to another member."""
+    """An effect: send a message to another member."""
 
     to: str
     message: RaftMessage
 
 
 class Persist(NamedTuple):
-    """Make this durable before any later effect: term, vote, and the log from `first_index` on.
+    """An effect: make term, vote and the log from `first_index` on durable before any later effect.
 
-    With a snapshot, that too; the log then begins behind `base_index`. With `discard_log` nothing of the former log
-    holds."""
+    With a snapshot, that is made durable too, and the log then begins after `base_index`. With `discard_log`, all
+    earlier entries are deleted."""
 
     term: int
     voted_for: str
@@ -158,20 +158,20 @@
 
 
 class Restore(NamedTuple):
-    """Replace the state by that of a snapshot."""
+    """An effect: replace the state with that of a snapshot."""
 
     snapshot: Snapshot
 
 
 class Apply(NamedTuple):
-    """Apply these entries, which are committed, in this order."""
+    """An effect: apply these committed entries in order."""
 
     entries: tuple[Entry, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ReadReady:
-    """A read may be answered once all up to `index` is applied; with READ_ELSEWHERE, another member must be asked."""
+    """An effect: the read may complete once `index` is applied; with READ_REJECTED, this member cannot serve it."""
 
     read_id: int
     index: int
--- a/chutepin/consensus/observer.py
+++ b/chutepin/consensus/observer.py
@@ -1,7 +1,8 @@
-"""An observer follows the log without a vote: it fetches committed entries from one member, its upstream.
+"""The observer role: a non-voting node that fetches committed entries from one node, its upstream.
 
-Observers fetch from each other as well, in a tree below the voters, so that many of them do not load the leader. An
-observer is only told what is committed, so it needs no vote, no term and no disk: after a restart it fetches all."""
+Observers form a tree below the voters and fetch from each other, which limits the load on the leader. An observer
+receives committed entries only, so it needs no vote, term or persistent log; after a restart it fetches the state
+again."""
 
 from __future__ import annotations
 
@@ -15,23 +16,23 @@
 from .raft_log import entry_bytes
 from .snapshot_transfer import SnapshotAssembly, SnapshotKey
 
-FAN_OUT = 8  # observers that one member serves directly, about
-MAX_RETAINED_BYTES = 256 * 1024  # of entries that an observer can pass on
-FETCH_AGAIN_HEARTBEATS = 6.0  # without a reply
-SILENT_HEARTBEATS = 15.0  # without contact to a leader, after which another upstream is chosen
-FETCH_DELAY_S = 0.01  # after a reply without entries
-MAX_DEPTH = 16  # of the tree; also the depth of a member that knows no leader
-NO_TERM = 0  # a reply's term of a snapshot does not tell snapshots apart
+FAN_OUT = 8  # approximate number of observers that fetch from one node
+MAX_RETAINED_BYTES = 256 * 1024  # entries that an observer keeps for its downstream nodes
+FETCH_RETRY_HEARTBEATS = 6.0  # heartbeat intervals without a reply after which a fetch is sent again
+UPSTREAM_TIMEOUT_HEARTBEATS = 15.0  # heartbeat intervals without leader contact until another upstream is chosen
+EMPTY_FETCH_DELAY_S = 0.01  # delay until the next fetch after a reply without entries
+MAX_DEPTH = 16  # depth limit of the tree; also the depth of a node without a known leader
+NO_TERM = 0  # snapshots in fetch replies are not distinguished by term
 
 
 class Observer:
-    """What a member without a vote knows of its upstream and of the leader."""
+    """The state of a fetching node: its upstream, the known leader and the retained entries."""
 
     def __init__(self, name: str, now: float, rng: random.Random, heartbeat_interval_s: float) -> None:
         self.name = name
         self._rng = rng
         self._heartbeat_interval_s = heartbeat_interval_s
-        self.peers: tuple[str, ...] = ()  # observers that are alive, this one among them, sorted; kept by the caller
+        self.peers: tuple[str, ...] = ()  # sorted names of the live observers, this one included; set by the caller
         self.leader = ""
         self.last_leader_contact = -math.inf
         self.depth = MAX_DEPTH
@@ -40,16 +41,16 @@
         self._retained_bytes = 0
         self._assembly = SnapshotAssembly()
         self._fetch_at = now
-        self._upstream_contact = now  # when the upstream was chosen or last knew a leader
+        self._upstream_contact = now  # time at which the upstream was chosen or last reported leader contact
 
     def next_deadline(self) -> float:
-        """Return when `next_fetch` is due."""
+        """Return the time at which `next_fetch` is due."""
         return self._fetch_at
 
     def next_fetch(self, now: float, applied_index: int, voters: tuple[str, ...]) -> tuple[str, FetchRequest] | None:
-        """Return whom to ask for what; None while there is nobody."""
-        self._fetch_at = now + FETCH_AGAIN_HEARTBEATS * self._heartbeat_interval_s
-        silence_s = SILENT_HEARTBEATS * self._heartbeat_interval_s
+        """Return the upstream and the request to send to it; None if there is no upstream."""
+        self._fetch_at = now + FETCH_RETRY_HEARTBEATS * self._heartbeat_interval_s
+        silence_s = UPSTREAM_TIMEOUT_HEARTBEATS * self._heartbeat_interval_s
         if now - self.last_leader_contact > 2 * silence_s:
             self.leader = ""
             self.depth = MAX_DEPTH
@@ -62,23 +63,23 @@
         return self.upstream, FetchRequest(applied_index, snapshot_index, len(self._assembly.data), self.depth)
 
     def _choose_upstream(self, now: float, voters: tuple[str, ...]) -> None:
-        """Choose by the place among the observers, so that each member serves a few; else any voter."""
+        """Choose the upstream by the position among the observers, to spread the load; else a random voter."""
         self._upstream_contact = now
         peers = self.peers or (self.name,)
         own_name = node_name(self.name)
-        place = peers.index(own_name) if own_name in peers else 0
-        wanted = _upstream_by_place(place, voters, peers)
-        if node_name(wanted) in (node_name(self.upstream), own_name):  # it is silent, or this node itself
+        position = peers.index(own_name) if own_name in peers else 0
+        wanted = _upstream_by_position(position, voters, peers)
+        if node_name(wanted) in (node_name(self.upstream), own_name):  # the upstream that timed out, or this node
             wanted = self._rng.choice(voters) if voters else ""
         self.upstream = wanted
 
     def receive(self, now: float, sender: str, reply: FetchReply, applied_index: int) -> Snapshot | None:
-        """Take the upstream's reply; return a snapshot that is complete now."""
+        """Process the upstream's reply; return a snapshot if this chunk completes it."""
         if node_name(sender) != node_name(self.upstream) or reply.depth >= MAX_DEPTH:
             return None
-        self._note_leader(now, reply)
+        self._record_leader_contact(now, reply)
         has_more = bool(reply.entries or reply.snapshot_bytes)
-        self._fetch_at = now if has_more else now + FETCH_DELAY_S
+        self._fetch_at = now if has_more else now + EMPTY_FETCH_DELAY_S
         self._retain(reply.entries)
         if not reply.snapshot_bytes or reply.snapshot_index <= applied_index:
             return None
@@ -90,8 +91,8 @@
         self._retained_bytes = 0
         return Snapshot(reply.snapshot_index, reply.snapshot_term, reply.membership, data)
 
-    def _note_leader(self, now: float, reply: FetchReply) -> None:
-        if not 0 <= reply.leader_contact_ms < 1000 * SILENT_HEARTBEATS * self._heartbeat_interval_s:
+    def _record_leader_contact(self, now: float, reply: FetchReply) -> None:
+        if not 0 <= reply.leader_contact_ms < 1000 * UPSTREAM_TIMEOUT_HEARTBEATS * self._heartbeat_interval_s:
             self.depth = MAX_DEPTH
             return
         self._upstream_contact = now
@@ -102,7 +103,7 @@
             self.last_leader_contact = contact
 
     def _retain(self, entries: tuple[Entry, ...]) -> None:
-        """Keep entries for members that fetch from this one; the oldest go first."""
+        """Keep entries for downstream nodes; above MAX_RETAINED_BYTES the oldest are dropped."""
         for entry in entries:
             if not self.retained or entry.index == self.retained[-1].index + 1:
                 self.retained.append(entry)
@@ -111,9 +112,9 @@
             self._retained_bytes -= entry_bytes(self.retained.popleft())
 
 
-def _upstream_by_place(place: int, voters: tuple[str, ...], peers: tuple[str, ...]) -> str:
-    """Return the upstream of the observer at a place: the first ones fetch from voters, the others from observers."""
-    place_below_voters = place - FAN_OUT * len(voters)
-    if place_below_voters >= 0:
-        return peers[place_below_voters // FAN_OUT]
-    return voters[place % len(voters)]
+def _upstream_by_position(position: int, voters: tuple[str, ...], peers: tuple[str, ...]) -> str:
+    """Return the upstream of the observer at a position: first ones fetch from voters, others from observers."""
+    position_below_voters = position - FAN_OUT * len(voters)
+    if position_below_voters >= 0:
+        return peers[position_below_voters // FAN_OUT]
+    return voters[position % len(voters)]
--- a/chutepin/consensus/operators.py
+++ b/chutepin/consensus/operators.py
@@ -1,7 +1,6 @@
-"""Answers the operators' calls about the replicated log.
+"""The operators' calls for the replicated log: argument parsing, calls of the participant and answers as text.
 
-It parses arguments, asks the participant and renders its answer as text. Names and answers of the calls are fixed: they
-are used by operators' scripts."""
+The names and answers of the calls are a stable interface, because operators' scripts use them."""
 
 from __future__ import annotations
 
@@ -19,7 +18,7 @@
 from .wire import now
 
 CALL_TIMEOUT_S = 4.0
-NO_ID = bytes(PROPOSAL_ID_BYTES)  # of a proposal that is rejected before it has one
+NO_ID = bytes(PROPOSAL_ID_BYTES)  # in the answer to a proposal that is rejected before an id is generated
 ROLE_NAMES = {
     Role.FOLLOWER: "follower",
     Role.PRE_CANDIDATE: "would",
@@ -28,37 +27,37 @@
 }
 
 
-class ConsensusPart(Protocol):
-    """The node's part in the replicated log, as the calls need it."""
+class ConsensusNode(Protocol):
+    """The consensus functions of a node that the calls require."""
 
     @property
     def participant(self) -> Participant | None:
-        """The participant; None while the node takes no part."""
+        """The participant; None while the node is inactive in the replicated log."""
 
     @property
     def idle_reason(self) -> str:
-        """Why the node takes no part."""
+        """The reason why there is no participant."""
 
     @property
     def store_status(self) -> StoreStatus:
-        """How far the other voters know this node's store."""
+        """The acknowledgement of this node's store by the other voters."""
 
     @property
     def machine(self) -> KeyValueMachine:
-        """The state machine on the log."""
+        """The state machine that applies the log."""
 
     def pump(self) -> None:
         """Carry out the participant's new effects."""
 
     async def outcome(self, begin: Callable[[Participant], int]) -> Outcome:
-        """Begin a request at the participant, which returns its ticket, and wait for the outcome."""
+        """Start a request with `begin`, which returns the participant's ticket, and wait for the outcome."""
 
 
 class OperatorCalls:
     """The operators' calls of one node."""
 
-    def __init__(self, part: ConsensusPart) -> None:
-        self._part = part
+    def __init__(self, part: ConsensusNode) -> None:
+        self._node = part
 
     def commands(self) -> dict[str, Callable[[], str]]:
         """Return the calls without arguments, by name."""
@@ -67,25 +66,25 @@
     def commands_with_arguments(self) -> dict[str, CommandHandler]:
         """Return the calls with arguments, by name."""
         return {
-            "agree-set": _checked(2, 3, self._set),
-            "agree-get": _checked(1, 1, self._get),
-            "agree-ask": _checked(1, 1, self._query),
-            "agree-void": _checked(1, 1, self._void),
-            "agree-add": _checked(1, 2, self._add),
-            "agree-remove": _checked(1, 1, self._remove),
-            "agree-transfer": _checked(1, 1, self._transfer),
-            "agree-snapshot": _checked(0, 0, self._snapshot),
+            "agree-set": _with_argument_check(2, 3, self._set),
+            "agree-get": _with_argument_check(1, 1, self._get),
+            "agree-ask": _with_argument_check(1, 1, self._query),
+            "agree-void": _with_argument_check(1, 1, self._void),
+            "agree-add": _with_argument_check(1, 2, self._add),
+            "agree-remove": _with_argument_check(1, 1, self._remove),
+            "agree-transfer": _with_argument_check(1, 1, self._transfer),
+            "agree-snapshot": _with_argument_check(0, 0, self._snapshot),
         }
 
-    def _idle(self) -> str:
-        """The answer of a node that takes no part."""
-        return f"FAILURE takes no part: {self._part.idle_reason}\n"
+    def _inactive_answer(self) -> str:
+        """Return the answer of a node without a participant."""
+        return f"FAILURE takes no part: {self._node.idle_reason}\n"
 
     def _status(self) -> str:
-        participant = self._part.participant
+        participant = self._node.participant
         if participant is None:
-            return self._idle()
-        lines = [*_participant_lines(participant, self._part.store_status), *_member_lines(participant)]
+            return self._inactive_answer()
+        lines = [*_participant_lines(participant, self._node.store_status), *_member_lines(participant)]
         return "\n".join(["SUCCESS", *lines, "EOT"]) + "\n"
 
     async def _set(self, arguments: list[str]) -> str:
@@ -94,12 +93,12 @@
         return await self._propose(_parse_id(proposal_id[0]) if proposal_id else None, data, void=False)
 
     async def _void(self, arguments: list[str]) -> str:
-        """Make sure that a proposal whose outcome is unknown is never committed, if it is not by now."""
+        """Ensure that a proposal of unknown outcome is never committed, unless it is committed already."""
         return await self._propose(_parse_id(arguments[0]), b"", void=True)
 
     async def _propose(self, earlier_id: bytes | None, data: bytes, *, void: bool) -> str:
-        """Propose; `earlier_id` is that of an earlier attempt."""
-        participant = self._part.participant
+        """Propose and return the answer; `earlier_id` is the id of an earlier attempt, None for a new proposal."""
+        participant = self._node.participant
         proposal_id = earlier_id or (participant.new_proposal_id() if participant is not None else NO_ID)
         repeated = earlier_id is not None
 
@@ -107,16 +106,16 @@
             deadline = now() + CALL_TIMEOUT_S
             return participant.propose(now(), proposal_id, data, deadline, repeated=repeated, void=void)
 
-        return _render(proposal_id, await self._part.outcome(begin))
+        return _render(proposal_id, await self._node.outcome(begin))
 
     async def _read(self) -> Outcome:
-        return await self._part.outcome(lambda participant: participant.read(now(), now() + CALL_TIMEOUT_S))
+        return await self._node.outcome(lambda participant: participant.read(now(), now() + CALL_TIMEOUT_S))
 
     async def _query(self, arguments: list[str]) -> str:
-        """Tell what became of a proposal, by all that is committed now."""
+        """Return the outcome of a proposal as of a linearizable read."""
         proposal_id = _parse_id(arguments[0])
         read = await self._read()
-        participant = self._part.participant
+        participant = self._node.participant
         if read.state is not OutcomeState.COMMITTED or participant is None:
             unknown = Outcome(OutcomeState.UNKNOWN, reason=read.reason, retry_after_s=read.retry_after_s)
             return _render(proposal_id, unknown)
@@ -125,57 +124,57 @@
 
     async def _get(self, arguments: list[str]) -> str:
         read = await self._read()
-        participant = self._part.participant
+        participant = self._node.participant
         if read.state is not OutcomeState.COMMITTED or participant is None:
             return f"FAILURE {read.reason}; again in {read.retry_after_s:.1f} s\n"
-        stored = self._part.machine.values.get(arguments[0])
+        stored = self._node.machine.values.get(arguments[0])
         shown = "not set"
         if stored is not None:
             shown = f"set-at {stored.at_index} times {stored.times_set} {stored.value.decode()}"
         return f"SUCCESS upto {participant.state.applied_index} {shown}\n"
 
     def _change(self, change: Callable[[Participant], str]) -> str:
-        """Have the participant change something; return the answer, also where it is rejected."""
-        participant = self._part.participant
+        """Call `change` with the participant; return its answer, or the failure answer if it is rejected."""
+        participant = self._node.participant
         if participant is None:
-            return self._idle()
+            return self._inactive_answer()
         try:
             answer = change(participant)
         except RejectedError as error:
             hint = f"; the leader is {node_name(error.leader)}" if error.leader else ""
             return f"FAILURE {error}{hint}\n"
-        self._part.pump()
+        self._node.pump()
         return f"{answer}\n"
 
     async def _add(self, arguments: list[str]) -> str:
-        """Make a node a learner; make it a voter if it is a learner already."""
+        """Add a node as a learner, or promote it to a voter if it is a learner already."""
         return self._change(lambda participant: _render_added(add_node(participant, now(), arguments[0])))
 
     async def _remove(self, arguments: list[str]) -> str:
-        """Remove a node from the members; a leader transfers its leadership first."""
+        """Remove a member; a leader starts a leadership transfer instead of removing itself."""
         name = arguments[0]
         return self._change(lambda participant: _render_removed(name, remove_node(participant, now(), name)))
 
     async def _transfer(self, arguments: list[str]) -> str:
-        """Have another voter lead."""
+        """Transfer the leadership to another voter."""
         return self._change(
             lambda participant: f"SUCCESS {transfer_leadership(participant, now(), arguments[0])} is told to lead"
         )
 
     async def _snapshot(self, arguments: list[str]) -> str:
-        """Keep a snapshot now, and drop the log before it."""
-        participant = self._part.participant
+        """Take a snapshot and truncate the log before it."""
+        participant = self._node.participant
         if participant is None:
-            return self._idle()
+            return self._inactive_answer()
         participant.compact(now())
-        self._part.pump()
+        self._node.pump()
         return f"SUCCESS upto {participant.raft.log.snapshot_index}\n"
 
 
-def _checked(min_arguments: int, max_arguments: int, handler: CommandHandler) -> CommandHandler:
-    """Wrap a call: check the number of its arguments, and answer an argument of the wrong form as a failure."""
+def _with_argument_check(min_arguments: int, max_arguments: int, handler: CommandHandler) -> CommandHandler:
+    """Wrap a call to check the number of arguments and to answer invalid arguments with a failure."""
 
-    async def checked(arguments: list[str]) -> str:
+    async def call_if_valid(arguments: list[str]) -> str:
         if not min_arguments <= len(arguments) <= max_arguments:
             return f"FAILURE takes {min_arguments} to {max_arguments} words\n"
         try:
@@ -183,11 +182,11 @@
         except (InvalidRequestError, UnicodeError) as error:
             return f"FAILURE {error}\n"
 
-    return checked
+    return call_if_valid
 
 
 def _parse_id(text: str) -> bytes:
-    """Return a proposal id. Raises InvalidRequestError."""
+    """Parse a proposal id in hexadecimal. Raises InvalidRequestError."""
     try:
         return bytes.fromhex(text)
     except ValueError as error:
@@ -214,17 +213,17 @@
 
 
 def _member_lines(participant: Participant) -> list[str]:
-    """One line for each voter and learner, with the entries that it lacks where the leader is asked."""
-    leads = participant.raft.role is Role.LEADER
+    """Return one line per voter and learner, with its lag in entries if this node is the leader."""
+    is_leader = participant.raft.role is Role.LEADER
     lines = []
-    for name in participant.membership.everybody:
+    for name in participant.membership.all_members:
         kind = "voter" if name in participant.membership.voters else "learner"
-        lines.append(f"{kind} {name} lag {participant.raft.lag(name) if leads else '-'}")
+        lines.append(f"{kind} {name} lag {participant.raft.lag(name) if is_leader else '-'}")
     return lines
 
 
 def _render(proposal_id: bytes, outcome: Outcome) -> str:
-    """The answer that tells the outcome of a proposal."""
+    """Return the answer for the outcome of a proposal."""
     again = f"; again in {outcome.retry_after_s:.1f} s" if outcome.retry_after_s else ""
     match outcome.state:
         case OutcomeState.COMMITTED:
@@ -236,7 +235,7 @@
 
 
 def _render_added(added: AddedNode) -> str:
-    return f"SUCCESS {added.identity} {'votes' if added.votes else 'learns; call again to let it vote'}"
+    return f"SUCCESS {added.identity} {'votes' if added.is_voter else 'learns; call again to let it vote'}"
 
 
 def _render_removed(name: str, transfer: TransferStarted | None) -> str:
--- a/chutepin/consensus/outbox.py
+++ b/chutepin/consensus/outbox.py
@@ -1,4 +1,4 @@
-"""What a participant asks for: Raft's effects, and messages, answers and log events of its own."""
+"""The effects requested by a participant: those of Raft, and its own messages, request outcomes and log events."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 
 class Send(NamedTuple):
-    """Send a message to another member."""
+    """An effect: send a message to another node."""
 
     to: str
     message: ParticipantMessage
 
 
 class RequestCompleted(NamedTuple):
-    """The request with this ticket has an outcome."""
+    """An effect: deliver the outcome of the request with this ticket."""
 
     ticket: int
     outcome: Outcome
 
 
 class LogEvent(NamedTuple):
-    """Write an event to the node's log."""
+    """An effect: write an event to the node's log."""
 
     name: str
     fields: dict[str, object]
@@ -34,14 +34,14 @@
 
 
 class Outbox:
-    """Effects that are yet to be carried out, in order."""
+    """The queue of effects that have not been carried out yet."""
 
     def __init__(self) -> None:
         self._effects: list[Effect] = []
         self._last_ticket = 0
 
     def new_ticket(self) -> int:
-        """Return a ticket for a request that will be completed."""
+        """Return an unused ticket for a request."""
         self._last_ticket += 1
         return self._last_ticket
 
@@ -50,19 +50,19 @@
         self._effects.append(effect)
 
     def send(self, to: str, message: ParticipantMessage) -> None:
-        """Have a message sent."""
+        """Add an effect that sends a message."""
         self.add(Send(to, message))
 
     def complete(self, ticket: int, outcome: Outcome) -> None:
-        """Have a request answered."""
+        """Add an effect that delivers the outcome of a request."""
         self.add(RequestCompleted(ticket, outcome))
 
     def log(self, name: str, fields: dict[str, object]) -> None:
-        """Have an event logged."""
+        """Add an effect that logs an event."""
         self.add(LogEvent(name, fields))
 
     def drain(self) -> list[Effect]:
-        """Return all effects since the last call."""
+        """Return and remove all queued effects, in order."""
         effects = self._effects
         self._effects = []
         return effects
--- a/chutepin/consensus/participant.py
+++ b/chutepin/consensus/participant.py
@@ -1,8 +1,8 @@
-"""One node's part in the replicated log: Raft, the state that follows from it, and the requests that wait for it.
+"""The consensus logic of one node: the Raft node, the replicated state and the pending requests.
 
-Pure: time and a random generator are arguments, and what is to be done comes out of `drain_effects`, in order. Nothing
-behind a `Persist` may be done before it is durable; `Apply`, `Restore` and `ReadReady` are given back by `done` when
-their turn has come. The same code runs in the node and in the simulator."""
+The module performs no I/O and reads no clock; the time and a random generator are arguments. `drain_effects` returns
+the effects to carry out in order: an effect after a `Persist` must wait until that is durable, and `Apply`, `Restore`
+and `ReadReady` are passed to `carry_out` in their turn. The node and the simulator run the same code."""
 
 from __future__ import annotations
 
@@ -45,11 +45,11 @@
 from .settings import RaftSettings
 from .state import Role
 
-MAX_PENDING_REQUESTS = 256  # proposals and reads of this node without an outcome
+MAX_PENDING_REQUESTS = 256  # proposals and reads of this node that have no outcome yet
 
 
 class Participant:
-    """One node's part."""
+    """One node of the replicated log: voter, learner or observer."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
         settings: RaftSettings,
         raft_type: type[RaftNode] = RaftNode,
     ) -> None:
-        """`saved` is what the journal holds; `initial_membership` holds until the log says otherwise."""
+        """Start from the journal's state `saved`; `initial_membership` applies until the log contains a change."""
         self.name = name
         self._settings = settings
         self._rng = rng
@@ -80,11 +80,11 @@
         self._drain_raft()
 
     def drain_effects(self) -> list[Effect]:
-        """Return what is to be done since the last call, in order."""
+        """Return the effects produced since the last call, in the order in which they must be carried out."""
         return self._outbox.drain()
 
     def next_deadline(self) -> float:
-        """Return when `tick` is due."""
+        """Return the time at which `tick` is due."""
         return min(
             self.raft.next_deadline() if self._runs_raft else math.inf,
             self.observer.next_deadline() if self._fetches_entries else math.inf,
@@ -95,29 +95,32 @@
 
     @property
     def receives_log(self) -> bool:
-        """Whether the leader itself replicates to it, as to a voter or a learner."""
-        return self.name in self.membership.everybody
+        """Return whether the leader replicates entries to this node: it is a voter or a learner."""
+        return self.name in self.membership.all_members
 
     @property
     def _runs_raft(self) -> bool:
-        """Whether Raft's timers run; also those of a leader until its own removal is committed."""
+        """Return whether Raft's timers run; they also run on a leader until its own removal is committed."""
         return self.receives_log or self.raft.role is Role.LEADER
 
     @property
     def _fetches_entries(self) -> bool:
-        """Whether it fetches entries; also a voter that hears no leader: it may be removed, or cut off from some."""
+        """Return whether this node fetches entries from an upstream.
+
+        A voter or learner without a leader does so too: it may have been removed, or a partition may separate it from
+        the leader only."""
         return not self.receives_log or self.raft.leader == ""
 
     @property
     def leader(self) -> str:
-        """The leader, as far as is known here; empty if unknown."""
+        """The leader known to this node; empty if unknown."""
         if self.raft.role is Role.LEADER:
             return self.name
         return (self.raft.leader if self.receives_log else "") or self.observer.leader
 
     @property
     def membership(self) -> Membership:
-        """Voters and learners, by its own log or by what it has fetched, whichever is newer."""
+        """Voters and learners as of the log or of the fetched entries, whichever is newer."""
         is_ahead_of_log = self.state.applied_index > self.raft.log.last_index
         if is_ahead_of_log and self.state.membership.voters:
             return self.state.membership
@@ -125,17 +128,17 @@
 
     @property
     def pending_requests(self) -> int:
-        """How many proposals and reads of this node have no outcome yet."""
+        """The number of pending proposals and reads of this node."""
         return len(self._proposals) + len(self._reads)
 
     def set_alive(self, names: tuple[str, ...]) -> None:
-        """Note which nodes are alive, sorted by name."""
+        """Set the names of the nodes that are alive; `names` is sorted."""
         voters = set(map(node_name, self.membership.voters))
         self.directory.alive = names
         self.observer.peers = tuple(name for name in names if name not in voters)
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Run the expired timers: Raft, fetches, retries of requests; report changes of leader and membership."""
         if self._runs_raft and now >= self.raft.next_deadline():
             self.raft.tick(now)
             self._drain_raft()
@@ -145,14 +148,14 @@
             if fetch is not None:
                 self._outbox.add(Send(*fetch))
         if self.raft.role is Role.LEADER:
-            self.directory.greet_unknown(now, self._rng, self._outbox)
+            self.directory.request_unknown_identities(now, self._rng, self._outbox)
         self._answer_fetches(now)
         self._proposals.retry(now, self._submit_proposal)
         self._reads.retry(now, self._submit_read, self._settings.election_timeout_s)
         self._report_changes(now)
 
     def receive(self, now: float, sender: str, message: ParticipantMessage) -> None:
-        """Take a message of another member."""
+        """Process a message from another node."""
         match message:
             case ForwardProposal():
                 self._accept_proposal(now, sender, message)
@@ -176,8 +179,8 @@
                 self._drain_raft()
         self._report_changes(now)
 
-    def done(self, now: float, effect: Apply | Restore | ReadReady) -> None:
-        """Carry out an effect whose turn has come: all before it is durable."""
+    def carry_out(self, now: float, effect: Apply | Restore | ReadReady) -> None:
+        """Carry out an effect; all effects before it must be durable."""
         match effect:
             case Apply():
                 self._apply(now, effect.entries)
@@ -191,11 +194,11 @@
             self._outbox.add(Send(*effect) if isinstance(effect, RaftSend) else effect)
 
     def _report_changes(self, now: float) -> None:
-        """Log a change of leader or membership; send again what the former leader may never answer."""
+        """Log a change of leader or membership; on a new leader, retry the pending requests."""
         leader = self.leader
         if leader and leader != self._reports.leader:
-            self._proposals.retry_at(now)
-            self._reads.retry_at(now)
+            self._proposals.schedule_retries(now)
+            self._reads.schedule_retries(now)
         self._reports.report_leader(LeaderView(self.raft.role is Role.LEADER, leader), self.raft.term)
         self._reports.report_membership(self.membership)
 
@@ -219,13 +222,13 @@
         self._answer_fetches(now)
 
     def compact(self, now: float) -> None:
-        """Keep a snapshot of the state and drop the log before it, unless committed entries are yet to be applied."""
+        """Take a snapshot and truncate the log before it, unless committed entries are not applied yet."""
         if self.state.applied_index == self.raft.log.commit_index:
             self.raft.compact(now, self.state.snapshot())
             self._drain_raft()
 
     def new_proposal_id(self) -> bytes:
-        """Return an id for a proposal that is made now."""
+        """Return an id for a new proposal."""
         return new_proposal_id(self.state.applied_index, self._rng.getrandbits(64))
 
     def propose(
@@ -239,26 +242,26 @@
         repeated: bool = False,
         void: bool = False,
     ) -> int:
-        """Propose; return the ticket of the answer, which comes by `deadline`, or at once where nothing can be done.
+        """Propose `data`; return the ticket of the outcome, delivered by `deadline` or immediately if rejected here.
 
-        `repeated`: it was proposed before under this id, and counts once. `void`: make sure that the proposal with
-        this id is never committed, unless it is by now."""
+        `repeated`: an earlier attempt used this id; the proposal is applied at most once. `void`: ensure that the
+        proposal with this id is never committed, unless it is committed already."""
         repeated = repeated or void
         ticket = self._outbox.new_ticket()
         outcome = self.state.outcome(proposal_id)
         if outcome is not None:
             self._outbox.complete(ticket, outcome)
             return ticket
-        obstacle = self._proposals.obstacle(proposal_id, data)
-        if obstacle is None and self.pending_requests >= MAX_PENDING_REQUESTS:
-            obstacle = "full"
-        if obstacle is None and not self.leader:
-            obstacle = "no leader"
-        if obstacle is not None:
+        rejection_reason = self._proposals.rejection_reason(proposal_id, data)
+        if rejection_reason is None and self.pending_requests >= MAX_PENDING_REQUESTS:
+            rejection_reason = "full"
+        if rejection_reason is None and not self.leader:
+            rejection_reason = "no leader"
+        if rejection_reason is not None:
             self.counts["proposal_rejected"] += 1
             state = OutcomeState.UNKNOWN if repeated or proposal_id in self._proposals else OutcomeState.REJECTED
             retry_after_s = self._settings.election_timeout_s
-            self._outbox.complete(ticket, Outcome(state, reason=obstacle, retry_after_s=retry_after_s))
+            self._outbox.complete(ticket, Outcome(state, reason=rejection_reason, retry_after_s=retry_after_s))
             return ticket
         packed = pack_proposal(Proposal(proposal_id, version, data, void))
         message = ForwardProposal(proposal_id, version, packed)
@@ -273,8 +276,8 @@
             self._outbox.send(self.leader, message)
 
     def _accept_proposal(self, now: float, sender: str, message: ForwardProposal) -> None:
-        """Append a proposal to the log, as the leader; it is skipped where its outcome is known already."""
-        self.directory.forget_departed(self.raft.membership)
+        """Append a proposal to the log as the leader, unless its outcome is known already."""
+        self.directory.remove_departed(self.raft.membership)
         outdated = self.directory.outdated(message.version)
         try:
             if outdated:
@@ -292,9 +295,10 @@
                 self._outbox.send(sender, rejection)
 
     def read(self, now: float, deadline: float) -> int:
-        """Have the state here come to show all that is committed now; return the ticket of the answer.
+        """Begin a linearizable read of this node's state; return the ticket of the outcome.
 
-        The answer is COMMITTED with the index that the state shows then, or REJECTED."""
+        The outcome is COMMITTED, with the applied index that includes all entries committed before the call, or
+        REJECTED."""
         ticket = self._outbox.new_ticket()
         number = self._reads.new_number()
         if self.pending_requests >= MAX_PENDING_REQUESTS or not self.leader:
@@ -318,7 +322,7 @@
         self._drain_raft()
 
     def _answer_fetches(self, now: float) -> None:
-        """Answer the members that follow this one, where there is something new."""
+        """Reply to the waiting fetches for which there are new entries or whose hold time has ended."""
         source = FetchSource(
             log=self.raft.log,
             retained=self.observer.retained,
@@ -345,12 +349,12 @@
             self._outbox.add(Apply(reply.entries))
 
     def transfer_leadership(self, now: float, target: str) -> None:
-        """Have the voter of this identity lead. Raises RejectedError."""
+        """Transfer the leadership to the voter with this identity. Raises RejectedError."""
         self.raft.transfer_leadership(now, target)
         self._drain_raft()
 
     def change_membership(self, now: float, membership: Membership) -> None:
-        """Change who takes part. Raises RejectedError."""
+        """Propose a new membership. Raises RejectedError."""
         self.raft.change_membership(membership)
         self._drain_raft()
         self._report_changes(now)
--- a/chutepin/consensus/persistent_state.py
+++ b/chutepin/consensus/persistent_state.py
@@ -1,4 +1,4 @@
-"""What a Raft node must find again after a crash."""
+"""The state that a Raft node must recover after a crash."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True)
 class PersistentState:
-    """Term, vote, log and snapshot as they are on disk. `entries` are those behind `base_index`."""
+    """Term, vote, log and snapshot as stored on disk; `entries` are those after `base_index`."""
 
     term: int = 0
     voted_for: str = ""
@@ -19,7 +19,7 @@
     base_term: int = 0
 
     def persist(self, change: Persist) -> None:
-        """Apply a change that has become durable."""
+        """Apply a durable change."""
         self.term = change.term
         self.voted_for = change.voted_for
         if change.snapshot is not None:
--- a/chutepin/consensus/proposals.py
+++ b/chutepin/consensus/proposals.py
@@ -1,4 +1,4 @@
-"""Proposals of this node that have no outcome yet: attempts, time limits and answers."""
+"""Pending proposals of this node: retries, deadlines and completion."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     """A proposal that has no outcome yet."""
 
     message: ForwardProposal
-    repeated: bool  # an earlier attempt may still be committed
+    repeated: bool  # whether an earlier attempt may still be committed
 
 
 class ProposalTracker:
@@ -28,43 +28,45 @@
         self._pending: dict[bytes, PendingProposal] = {}
 
     def __len__(self) -> int:
-        """Return how many proposals have no outcome yet."""
+        """Return the number of pending proposals."""
         return len(self._pending)
 
     def __contains__(self, proposal_id: bytes) -> bool:
-        """Whether a proposal with this id has no outcome yet."""
+        """Return whether a proposal with this id is pending."""
         return proposal_id in self._pending
 
-    def obstacle(self, proposal_id: bytes, data: bytes) -> str | None:
-        """Return why this proposal cannot be tracked; None if it can."""
+    def rejection_reason(self, proposal_id: bytes, data: bytes) -> str | None:
+        """Return the reason to reject a proposal before it is sent; None if it is acceptable."""
         if len(proposal_id) != PROPOSAL_ID_BYTES or len(data) > MAX_PROPOSAL_BYTES:
             return f"an id has {PROPOSAL_ID_BYTES} bytes, a proposal up to {MAX_PROPOSAL_BYTES}"
         return "under way" if proposal_id in self._pending else None
 
     def deadlines(self) -> Iterator[float]:
         """Iterate over the times at which `retry` is due."""
-        return (pending.wakes_at for pending in self._pending.values())
+        return (pending.due_at for pending in self._pending.values())
 
     def add(self, now: float, ticket: int, message: ForwardProposal, deadline: float, *, repeated: bool) -> None:
-        """Wait for the outcome of a proposal that is about to be sent."""
+        """Add a pending proposal; the caller sends the message."""
         next_attempt = self._retries.next_attempt(now)
         self._pending[message.proposal_id] = PendingProposal(ticket, deadline, next_attempt, message, repeated)
 
     def complete(self, proposal_id: bytes, outcome: Outcome) -> None:
-        """Answer a proposal that an applied entry has decided, if it is one of this node."""
+        """Complete a proposal decided by an applied entry, if it is pending on this node."""
         pending = self._pending.pop(proposal_id, None)
         if pending is not None:
             self._outbox.complete(pending.ticket, outcome)
 
     def complete_decided(self, state: ReplicatedState) -> None:
-        """Answer all proposals that the state knows: entries that decided them came within a snapshot."""
+        """Complete all pending proposals whose outcome is in `state`, after a snapshot replaced their entries."""
         for proposal_id in list(self._pending):
             outcome = state.outcome(proposal_id)
             if outcome is not None:
                 self.complete(proposal_id, outcome)
 
     def receive_rejection(self, now: float, message: ProposalRejected) -> None:
-        """Try again soon, or not at all. An attempt before this one may still be committed: then it is unknown."""
+        """Schedule a retry, or complete the proposal if the rejection is final.
+
+        The outcome of a final rejection is UNKNOWN if an earlier attempt may still be committed."""
         pending = self._pending.get(message.proposal_id)
         if pending is None:
             return
@@ -75,13 +77,13 @@
         else:
             pending.next_attempt = min(pending.next_attempt, self._retries.after_rejection(now))
 
-    def retry_at(self, now: float) -> None:
-        """Have all proposals sent again: what was sent to the former leader may never be answered."""
+    def schedule_retries(self, now: float) -> None:
+        """Schedule a retry of all pending proposals at `now`; a former leader may never reply to them."""
         for pending in self._pending.values():
             pending.next_attempt = now
 
     def retry(self, now: float, submit: Callable[[float, ForwardProposal], None]) -> None:
-        """Send what is due again; answer what has run out of time."""
+        """Submit the proposals that are due for a retry again; complete those past their deadline as UNKNOWN."""
         for proposal_id, pending in list(self._pending.items()):
             if now >= pending.deadline:
                 del self._pending[proposal_id]
--- a/chutepin/consensus/protocol.py
+++ b/chutepin/consensus/protocol.py
@@ -1,6 +1,6 @@
-"""Messages between participants besides Raft's own: proposals and reads for the leader, greetings, fetches.
+"""Messages between participants in addition to Raft's: forwarded proposals and reads, greetings, fetches.
 
-Order and types of a message's fields are its form on the wire (`codec`)."""
+The order and types of a message's fields define its wire format (`codec`)."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ForwardProposal(NamedTuple):
-    """A proposal for the leader; `data` is packed by `replicated_state.pack_proposal`."""
+    """A proposal forwarded to the leader; `data` is encoded by `replicated_state.pack_proposal`."""
 
     proposal_id: bytes
     version: int
@@ -18,7 +18,7 @@
 
 
 class ProposalRejected(NamedTuple):
-    """The proposal with this id was not taken. With `final`, no leader would take it."""
+    """The leader rejected the proposal with this id; with `final`, a retry would be rejected as well."""
 
     proposal_id: bytes
     reason: str
@@ -26,28 +26,28 @@
 
 
 class ReadIndexRequest(NamedTuple):
-    """Asks the leader for the index from which on a read sees all that is committed now."""
+    """A request for the read index: the index up to which the leader has committed entries."""
 
     number: int
 
 
 class ReadIndexReply(NamedTuple):
-    """That index, or READ_ELSEWHERE."""
+    """The reply to a ReadIndexRequest: the read index, or READ_REJECTED."""
 
     number: int
     commit_index: int
 
 
 class Greeting(NamedTuple):
-    """Makes identity and entry version known, which each connection begins with; a leader asks for a reply."""
+    """A message that opens a connection, whose Hello carries identity and entry version; a leader wants a reply."""
 
     wants_reply: bool
 
 
 class FetchRequest(NamedTuple):
-    """Asks for the committed entries behind `applied_index`.
+    """A request for the committed entries after `applied_index`.
 
-    Of the snapshot at `snapshot_index` the sender has `snapshot_offset` bytes. `depth` is its distance from a voter."""
+    The sender has `snapshot_offset` bytes of the snapshot at `snapshot_index`. `depth` is its distance from a voter."""
 
     applied_index: int
     snapshot_index: int
@@ -56,10 +56,10 @@
 
 
 class FetchReply(NamedTuple):
-    """Entries behind what was asked for, or a chunk of the snapshot at `snapshot_index`; and what the sender knows.
+    """The reply to a FetchRequest: the next entries or a chunk of the snapshot at `snapshot_index`, and the leader.
 
-    `leader_contact_ms`: how long ago the leader was heard, NO_LEADER_CONTACT if not lately. `depth` is the sender's
-    distance from a voter."""
+    `leader_contact_ms` is the time since the last contact with the leader, or NO_LEADER_CONTACT if that is too long
+    ago. `depth` is the sender's distance from a voter."""
 
     entries: tuple[Entry, ...]
     leader: str
--- a/chutepin/consensus/raft.py
+++ b/chutepin/consensus/raft.py
@@ -1,8 +1,8 @@
-"""The Raft state machine of one node: it dispatches messages and time to elections, replication and reads.
+"""The Raft state machine of one node: dispatches messages and timer ticks to elections, replication and reads.
 
-Raft with pre-vote, check-quorum, one change of voters at a time, ReadIndex reads and leadership transfer. Pure: no
-clock, no file, no socket; time and a random generator are arguments. What must be durable, sent and applied comes out
-of `drain_effects`, in an order that has a meaning: nothing behind a `Persist` may be done before it is durable."""
+Implements Raft with pre-vote, check-quorum, single-voter membership changes, ReadIndex reads and leadership transfer.
+The module performs no I/O and reads no clock; the time and a random generator are arguments. `drain_effects` returns
+the writes, messages and committed entries in order: an effect after a `Persist` must wait until that is durable."""
 
 from __future__ import annotations
 
@@ -47,7 +47,9 @@
         rng: random.Random,
         settings: RaftSettings = DEFAULT_SETTINGS,
     ) -> None:
-        """`initial_membership` is the same on all nodes; the log's changes override it. `saved` is read, not kept."""
+        """Start from the persistent state `saved`, which is copied.
+
+        `initial_membership` is the same on all nodes; membership changes in the log override it."""
         log = RaftLog(initial_membership, saved)
         membership = log.membership_at(log.last_index)
         self.name = name
@@ -69,43 +71,43 @@
 
     @property
     def log(self) -> RaftLog:
-        """Entries, snapshot and commit index."""
+        """The log: entries, snapshot and commit index."""
         return self.state.log
 
     @property
     def term(self) -> int:
-        """The present term."""
+        """The current term."""
         return self.state.term
 
     @property
     def role(self) -> Role:
-        """The role in the present term."""
+        """The role in the current term."""
         return self.state.role
 
     @property
     def leader(self) -> str:
-        """The leader of the present term; empty if unknown."""
+        """The leader of the current term; empty if unknown."""
         return self.state.leader
 
     @property
     def membership(self) -> Membership:
-        """Voters and learners, by the latest change in the log."""
+        """Voters and learners, as of the latest membership change in the log, committed or not."""
         return self.state.membership
 
     def drain_effects(self) -> list[Effect]:
-        """Return what is to be done since the last call, in order."""
+        """Return the effects produced since the last call, in the order in which they must be carried out."""
         effects = self.state.effects
         self.state.effects = []
         return effects
 
     def next_deadline(self) -> float:
-        """Return when `tick` is due."""
+        """Return the time at which `tick` is due."""
         if self.role is Role.LEADER:
             return min(self.leadership.heartbeat_at, self.leadership.quorum_check_at)
         return self.election.deadline
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Run the expired timers: heartbeat and quorum check on a leader, the election timeout on other nodes."""
         if self.role is Role.LEADER:
             if now >= self.leadership.heartbeat_at:
                 self.leadership.heartbeat(now, self.state)
@@ -117,33 +119,35 @@
                 self.campaign(now, Role.PRE_CANDIDATE)
 
     def lag(self, name: str) -> int:
-        """Return how many entries a member lacks, as far as a leader knows."""
+        """Return how many log entries a member lacks, by the leader's match index of it."""
         return self.leadership.replication.lag(self.state, name)
 
     def voters_by_lag(self) -> list[str]:
-        """Return the other voters, those first that lack least."""
+        """Return the other voters, ordered by lag, the most up-to-date first."""
         return sorted(self.state.other_voters, key=self.lag)
 
     def propose(self, data: bytes) -> int:
         """Append a proposal to the log; return its index. Raises RejectedError.
 
-        It is committed once an `Apply` has an entry of this index and the present term. If the leader changes before
-        that, it may be committed or not."""
+        The proposal is committed once an `Apply` contains an entry with this index and the current term. If the leader
+        changes before that, the proposal may or may not be committed."""
         self._require_leadership()
         return self.leadership.propose(self.state, data)
 
     def change_membership(self, wanted: Membership) -> int:
-        """Change learners at will, or one voter; return the index of the change. Raises RejectedError."""
+        """Append a membership change: any number of learners, at most one voter; return its index.
+
+        Raises RejectedError."""
         self._require_leadership()
         return self.leadership.change_membership(self.state, wanted)
 
     def read(self, read_id: int) -> None:
-        """Ask for an index whose state shows all that is committed now; `ReadReady` tells it. Raises RejectedError."""
+        """Begin a linearizable read; a `ReadReady` effect returns the index to apply first. Raises RejectedError."""
         self._require_leadership()
         self.leadership.read(self.state, read_id)
 
     def transfer_leadership(self, now: float, target: str) -> None:
-        """Have another voter lead. Proposals are rejected meanwhile, for one election timeout at most.
+        """Transfer the leadership to another voter; proposals are rejected for up to one election timeout meanwhile.
 
         Raises RejectedError."""
         self._require_leadership()
@@ -158,15 +162,15 @@
             raise RejectedError("the leader hands over", self.leadership.transfer.target)
 
     def announce_commit(self) -> None:
-        """Tell up-to-date followers of a new commit index before the next heartbeat."""
+        """Send a new commit index to up-to-date followers before the next heartbeat."""
         if self.role is Role.LEADER:
             self.leadership.replication.announce_commit(self.state)
 
     def compact(self, now: float, data: bytes) -> None:
-        """Keep `data` as the snapshot of the committed state and drop the log before it.
+        """Store `data` as the snapshot of the committed state and truncate the log before it.
 
-        A leader keeps what followers in touch still need, up to `max_log_bytes`. Does nothing if nothing was committed
-        since the last snapshot."""
+        A leader retains entries that recently contacted followers still need, unless the log exceeds `max_log_bytes`.
+        Does nothing if no entry was committed since the last snapshot."""
         log = self.log
         if log.commit_index <= log.snapshot_index:
             return
@@ -179,8 +183,8 @@
         self.state.effects.append(Persist(self.term, self.state.voted_for, 0, (), snapshot, base_index))
 
     def receive(self, now: float, sender: str, message: RaftMessage) -> None:
-        """Take a message of another member. Replies to what is over are ignored."""
-        if isinstance(message, RequestVote) and self._disregards(now, message):
+        """Process a message from another member. Replies from an earlier term or candidacy are ignored."""
+        if isinstance(message, RequestVote) and self._ignores_vote_request(now, message):
             return
         if message.term > self.term and not _is_pre_vote(message):
             self.follow(now, message.term, "")
@@ -206,20 +210,20 @@
                 pass
 
     def follow(self, now: float, term: int, leader: str) -> None:
-        """Be a follower in a term; `leader` is empty while unknown."""
+        """Become a follower in `term`; `leader` is empty while unknown."""
         state = self.state
         if term > state.term:
             state.term = term
             state.voted_for = ""
             state.persist()
         if state.role is Role.LEADER:
-            self.leadership.resign(state)
+            self.leadership.step_down(state)
         state.role = Role.FOLLOWER
         state.leader = leader
         self.election.restart_timeout(now, state.settings)
 
     def campaign(self, now: float, role: Role, *, is_transfer: bool = False) -> None:
-        """Call an election, or a pre-vote before it."""
+        """Start an election, or the pre-vote that precedes it."""
         self.election.start(now, self.state, role, is_transfer=is_transfer)
         self._count_votes(now)
 
@@ -233,13 +237,13 @@
             self.state.leader = self.name
             self.leadership.begin(now, self.state)
 
-    def _disregards(self, now: float, request: RequestVote) -> bool:
-        """A node that hears a leader does not vote against it, unless that leader transfers its leadership."""
+    def _ignores_vote_request(self, now: float, request: RequestVote) -> bool:
+        """Return whether to ignore a vote request because a leader is active and is not transferring leadership."""
         if request.is_transfer:
             return False
-        if self.role is Role.LEADER and self.leadership.replication.hears_majority(now, self.state):
+        if self.role is Role.LEADER and self.leadership.replication.has_recent_majority_contact(now, self.state):
             return True
-        return self.election.hears_leader(now, self.state)
+        return self.election.has_recent_leader_contact(now, self.state)
 
     def _receive_vote_request(self, now: float, sender: str, request: RequestVote) -> None:
         self.election.answer(now, self.state, sender, request)
@@ -270,7 +274,7 @@
 
 
 def _is_pre_vote(message: RaftMessage) -> bool:
-    """Whether a message names a term that its sender is not in, but would be."""
+    """Return whether the message belongs to a pre-vote, where `term` is the next term and not the sender's own."""
     match message:
         case RequestVote():
             return message.pre_vote
--- a/chutepin/consensus/raft_log.py
+++ b/chutepin/consensus/raft_log.py
@@ -1,4 +1,4 @@
-"""The log of a Raft node in memory: entries behind the compacted part, the latest snapshot and the commit index."""
+"""The in-memory log of a Raft node: entries after the compacted part, the latest snapshot and the commit index."""
 
 from __future__ import annotations
 
@@ -8,31 +8,33 @@
 from .messages import Entry, EntryKind, Membership, Snapshot
 from .persistent_state import PersistentState
 
-ENTRY_OVERHEAD_BYTES = 32  # of an entry beyond its data, about
+ENTRY_OVERHEAD_BYTES = 32  # approximate memory of an entry besides its data
 
 
 def entry_bytes(entry: Entry) -> int:
-    """The memory that an entry takes, about."""
+    """Return the approximate memory usage of an entry."""
     return len(entry.data) + ENTRY_OVERHEAD_BYTES
 
 
 def total_bytes(entries: Sequence[Entry]) -> int:
-    """The memory that entries take, about."""
+    """Return the approximate memory usage of entries."""
     return sum(map(entry_bytes, entries))
 
 
 class RaftLog:
-    """Entries from `base_index` + 1 on. All up to `commit_index` were handed out to be applied."""
+    """The log entries from `base_index` + 1 on; `commit` has returned all entries up to `commit_index`."""
 
     def __init__(self, initial_membership: Membership, saved: PersistentState) -> None:
-        """`initial_membership` holds until the log or a snapshot says otherwise. `saved` is read, not kept."""
+        """Load the log from `saved`, which is copied.
+
+        `initial_membership` applies until the log or a snapshot contains a membership."""
         self._initial_membership = initial_membership
         self.entries: list[Entry] = list(saved.entries)
         self.base_index = saved.base_index
         self.base_term = saved.base_term
         self.snapshot = saved.snapshot
         self.size_bytes = total_bytes(self.entries)
-        self.bytes_since_snapshot = 0  # committed since the last snapshot
+        self.bytes_since_snapshot = 0  # size of the entries committed since the last snapshot
         self.commit_index = self.snapshot_index
 
     def copy(self) -> RaftLog:
@@ -52,7 +54,7 @@
         return self.snapshot.up_to_index if self.snapshot is not None else 0
 
     def term_at(self, index: int) -> int:
-        """Return the term of an entry; 0 before the first entry and for compacted ones."""
+        """Return the term of the entry at an index; 0 if it is compacted or does not exist."""
         if index == self.base_index:
             return self.base_term
         if self.base_index < index <= self.last_index:
@@ -69,14 +71,14 @@
         self.entries[index - self.base_index - 1 :] = entries
 
     def membership_at(self, index: int) -> Membership:
-        """Return the membership after an entry. A change holds as soon as it is in the log, committed or not."""
+        """Return the membership as of an index; a change takes effect once it is in the log, committed or not."""
         for entry in reversed(self.entries[: max(0, index - self.base_index)]):
             if entry.membership is not None:
                 return entry.membership
         return self.snapshot.membership if self.snapshot is not None else self._initial_membership
 
     def has_pending_membership_change(self) -> bool:
-        """Whether a change of membership is in the log and not yet committed."""
+        """Return whether the log contains an uncommitted membership change."""
         return any(entry.kind is EntryKind.VOTERS for entry in self.entries_from(self.commit_index + 1))
 
     def commit(self, index: int) -> tuple[Entry, ...]:
@@ -87,7 +89,7 @@
         return entries
 
     def retention_base(self, retained_bytes: int) -> int:
-        """Return the lowest base index that keeps no more than this many bytes of entries."""
+        """Return the lowest base index that retains at most `retained_bytes` of entries."""
         base = self.commit_index
         size = total_bytes(self.entries_from(self.commit_index + 1))
         for entry in reversed(self.entries[: self.commit_index - self.base_index]):
@@ -98,7 +100,7 @@
         return base
 
     def compact(self, snapshot: Snapshot, base_index: int) -> None:
-        """Keep a snapshot of the committed state and drop the entries up to `base_index`."""
+        """Set the snapshot of the committed state and drop the entries up to `base_index`."""
         base_term = self.term_at(base_index)
         dropped = self.entries[: base_index - self.base_index]
         del self.entries[: len(dropped)]
--- a/chutepin/consensus/read_index.py
+++ b/chutepin/consensus/read_index.py
@@ -1,19 +1,19 @@
-"""Linearizable reads: a leader names the index up to which a reader must have applied.
+"""Linearizable reads by Raft's ReadIndex procedure: the leader returns the index that the reader must have applied.
 
-A read waits for a heartbeat round that began after it; once a majority has answered that round, no other node can have
-led before the read (the ReadIndex procedure of Raft)."""
+A read waits for a heartbeat round that began after the read. Once a majority has acknowledged that round, it is certain
+that no newer leader existed when the read began."""
 
 from __future__ import annotations
 
 import copy
 from typing import NamedTuple
 
-from .messages import READ_ELSEWHERE, ReadReady
+from .messages import READ_REJECTED, ReadReady
 from .state import NodeState
 
 
 class PendingRead(NamedTuple):
-    """A read that waits for its heartbeat round."""
+    """A read that waits for a majority to acknowledge its heartbeat round."""
 
     read_id: int
     commit_index: int
@@ -21,7 +21,7 @@
 
 
 class ReadIndexQueue:
-    """Reads of a leader that wait for a majority."""
+    """Reads at the leader that wait for their heartbeat round to be confirmed."""
 
     def __init__(self) -> None:
         self.pending: list[PendingRead] = []
@@ -33,18 +33,18 @@
         return other
 
     def add(self, read: PendingRead) -> None:
-        """Have a read wait."""
+        """Add a read to the queue."""
         self.pending.append(read)
 
     def answer(self, state: NodeState, confirmed_round: int) -> None:
-        """Answer the reads of all rounds up to the one that a majority has answered."""
+        """Complete the reads of all rounds up to `confirmed_round`, which a majority has acknowledged."""
         for read in self.pending:
             if read.heartbeat_round <= confirmed_round:
                 state.effects.append(ReadReady(read.read_id, read.commit_index))
         self.pending = [read for read in self.pending if read.heartbeat_round > confirmed_round]
 
     def fail(self, state: NodeState) -> None:
-        """Send all readers elsewhere: this node leads no longer."""
+        """Reject all pending reads when this node stops being leader."""
         for read in self.pending:
-            state.effects.append(ReadReady(read.read_id, READ_ELSEWHERE))
+            state.effects.append(ReadReady(read.read_id, READ_REJECTED))
         self.pending.clear()
--- a/chutepin/consensus/recovery.py
+++ b/chutepin/consensus/recovery.py
@@ -1,7 +1,8 @@
-"""Recovery after a majority of the voters is lost for good: one store becomes the only voter. Pure.
+"""Recovery from the permanent loss of a majority of the voters: one store becomes the only voter. Performs no I/O.
 
-Entries that only the lost voters had are lost, also committed ones; entries of this store count as committed, also
-those that never were. It must happen on one store only, and no other former voter may ever start with its store."""
+Entries stored only on the lost voters are lost, including committed ones; all entries in this store become committed,
+including ones that were not. Recovery must be run on one store only, and no other former voter may start again with
+its store."""
 
 from __future__ import annotations
 
@@ -10,7 +11,7 @@
 
 
 def make_only_voter(identity: str, saved: PersistentState) -> Persist:
-    """Return the change that makes `identity` the only voter of the log in its store."""
+    """Return the change that makes `identity` the only voter of the log in `saved`."""
     last_index = saved.base_index + len(saved.entries)
     term = saved.term + 1
     entry = Entry(last_index + 1, term, EntryKind.VOTERS, membership=Membership((identity,)))
--- a/chutepin/consensus/replicated_state.py
+++ b/chutepin/consensus/replicated_state.py
@@ -1,6 +1,6 @@
-"""The state that follows from the log: the state machine, and the ids that make a repeated proposal count once.
+"""The state derived from the log: the state machine, and the proposal ids used to apply a proposal at most once.
 
-Pure. Members that have applied the same entries have the same state, byte for byte."""
+The module performs no I/O. Nodes that have applied the same entries have the same state, byte for byte."""
 
 from __future__ import annotations
 
@@ -16,44 +16,44 @@
 from .messages import Entry, EntryKind, Membership, Snapshot
 
 SNAPSHOT_FORMAT = 1
-DEDUPLICATION_WINDOW = 2048  # entries for which the id of a proposal is remembered
+DEDUPLICATION_WINDOW = 2048  # number of entries for which the id of a proposal is kept
 PROPOSAL_ID_BYTES = 16
-INDEX_BYTES = 8  # of an id: an index that was applied when it was made; random bits follow
+INDEX_BYTES = 8  # first part of a proposal id: the applied index at its creation; random bits follow
 DIGEST_BYTES = 8
-MAX_RESULT_BYTES = 64  # that a state machine returns for a proposal
-MAX_PROPOSAL_BYTES = 24 * 1024  # an entry must fit one value of the store, and one message
+MAX_RESULT_BYTES = 64  # a longer result of the state machine is truncated
+MAX_PROPOSAL_BYTES = 24 * 1024  # an entry must fit into one value of the store and into one message
 MAX_SNAPSHOT_BYTES = 2**20
 
 
 class StateMachine(Protocol):
-    """The user's part of the state; the same on all members."""
+    """A deterministic state machine that applies the proposals of the log."""
 
-    version: int  # the highest version of entries and snapshots that it reads
+    version: int  # the highest version of entries and snapshots that the machine can read
 
     def apply(self, index: int, version: int, data: bytes) -> bytes:
         """Apply a committed proposal; return a result of up to MAX_RESULT_BYTES for the proposer.
 
-        It must be deterministic and must not raise."""
+        An implementation must be deterministic and must not raise exceptions."""
 
     def snapshot(self) -> bytes:
-        """Return the state; equal states give equal bytes."""
+        """Return the serialized state; equal states must give equal bytes."""
 
     def restore(self, version: int, data: bytes) -> None:
-        """Replace the state by that of a snapshot."""
+        """Replace the state with that of a snapshot."""
 
 
 class OutcomeState(IntEnum):
-    """What became of a proposal."""
+    """The state of a completed request."""
 
     COMMITTED = 0
-    REJECTED = 1  # it never will be committed
-    UNKNOWN = 2  # it may be committed already, or may be yet; its id tells later
+    REJECTED = 1  # the proposal will never be committed
+    UNKNOWN = 2  # the proposal may be committed already or later; a query by its id returns the outcome
 
 
 class Outcome(NamedTuple):
-    """What became of a request.
+    """The outcome of a request.
 
-    `at_index` is that of the entry which decided it; for a read, the one up to which the state shows all."""
+    `at_index` is the index of the entry that decided a proposal, or the applied index at which a read completed."""
 
     state: OutcomeState
     at_index: int = 0
@@ -63,7 +63,7 @@
 
 
 class Proposal(NamedTuple):
-    """A proposal as it is in the log. `void` makes sure that the proposal with this id is not applied later."""
+    """A proposal in the log; `void` marks an entry that prevents a later proposal with this id from being applied."""
 
     proposal_id: bytes
     version: int
@@ -72,7 +72,7 @@
 
 
 def new_proposal_id(applied_index: int, random_bits: int) -> bytes:
-    """Return an id that no other proposal has, of the index applied here and 64 random bits."""
+    """Return a unique proposal id that consists of the applied index and 64 random bits."""
     return applied_index.to_bytes(INDEX_BYTES) + random_bits.to_bytes(PROPOSAL_ID_BYTES - INDEX_BYTES)
 
 
@@ -88,7 +88,7 @@
 
 @dataclass(slots=True)
 class _Decision:
-    """What became of a proposal id."""
+    """The decision on a proposal id: the deciding entry, whether it was committed, and the result."""
 
     index: int
     committed: bool
@@ -96,20 +96,20 @@
 
 
 class ReplicatedState:
-    """One member's copy of the state."""
+    """The replicated state on one node."""
 
     def __init__(self, machine: StateMachine) -> None:
         self.machine = machine
         self.applied_index = 0
-        self.membership = Membership(())  # by the last applied change of it; empty before the first
-        self.log_digest = bytes(DIGEST_BYTES)  # of all applied entries in their order
-        self.duplicates = 0  # proposals that came again, or too late to tell
-        self._decisions: dict[bytes, _Decision] = {}  # by proposal id, the oldest first
+        self.membership = Membership(())  # as of the last applied membership change; empty before the first
+        self.log_digest = bytes(DIGEST_BYTES)  # digest of all applied entries in order
+        self.duplicates = 0  # repeated proposals, and proposals whose id is older than the window
+        self._decisions: dict[bytes, _Decision] = {}  # by proposal id, oldest first
 
     def apply(self, entries: Iterable[Entry]) -> list[tuple[bytes, Outcome]]:
-        """Apply committed entries; return the proposal ids that they decide, with their outcomes.
+        """Apply committed entries; return the decided proposal ids with their outcomes.
 
-        Entries that are applied already, or leave a gap, are skipped: they come from several sources."""
+        Entries that are already applied or not contiguous are skipped, because several sources deliver entries."""
         decided = []
         for entry in entries:
             if entry.index != self.applied_index + 1:
@@ -128,13 +128,13 @@
         self.log_digest = hashlib.blake2b(content, digest_size=DIGEST_BYTES).digest()
 
     def _decide(self, index: int, proposal: Proposal) -> Outcome:
-        self._forget_decisions(index - DEDUPLICATION_WINDOW)
+        self._expire_decisions(index - DEDUPLICATION_WINDOW)
         known = self.outcome(proposal.proposal_id)
         if known is not None:
             self.duplicates += not proposal.void
             return known
         if int.from_bytes(proposal.proposal_id[:INDEX_BYTES]) <= index - DEDUPLICATION_WINDOW:
-            # An earlier decision may be forgotten by now.
+            # The id is older than the window, so an earlier decision on it may have been dropped.
             self.duplicates += 1
             return Outcome(OutcomeState.UNKNOWN, index, reason="too long ago to tell")
         if proposal.void:
@@ -145,17 +145,17 @@
         self._decisions[proposal.proposal_id] = decision
         return _outcome_of(decision)
 
-    def _forget_decisions(self, up_to_index: int) -> None:
+    def _expire_decisions(self, up_to_index: int) -> None:
         while self._decisions and next(iter(self._decisions.values())).index <= up_to_index:
             del self._decisions[next(iter(self._decisions))]
 
     def outcome(self, proposal_id: bytes) -> Outcome | None:
-        """Return what became of a proposal, as far as this copy knows."""
+        """Return the outcome of a proposal; None if no decision is recorded."""
         decision = self._decisions.get(proposal_id)
         return _outcome_of(decision) if decision is not None else None
 
     def snapshot(self) -> bytes:
-        """Return the whole state, with the decisions that are remembered."""
+        """Return the serialized state, including the recorded decisions."""
         decisions = [
             [proposal_id, decision.index, decision.committed, decision.result]
             for proposal_id, decision in self._decisions.items()
@@ -164,19 +164,19 @@
         return bytes(msgpack.packb(content))
 
     def make_snapshot(self, membership: Membership) -> Snapshot:
-        """Return a snapshot for members that have no log: the term of its last entry is of no use to them."""
+        """Return a snapshot for observers; its term is 0, because observers do not use terms."""
         return Snapshot(self.applied_index, 0, membership, self.snapshot())
 
     def restore(self, snapshot: Snapshot) -> bool:
-        """Take over a later state; return whether it was one. Raises UnsupportedFormatError."""
+        """Replace the state with a newer snapshot; return whether it was newer. Raises UnsupportedFormatError."""
         if snapshot.up_to_index <= self.applied_index:
             return False
         try:
             form, digest, decisions, version, data = msgpack.unpackb(snapshot.data)
             if form != SNAPSHOT_FORMAT or version > self.machine.version:
                 raise UnsupportedFormatError(
-                    f"a state of format {form}, version {version}; "
-                    f"this program knows {SNAPSHOT_FORMAT}, {self.machine.version}"
+                    f"snapshot of format {form}, version {version}; "
+                    f"this program supports {SNAPSHOT_FORMAT}, {self.machine.version}"
                 )
             self.machine.restore(version, data)
             self._decisions = {key: _Decision(index, committed, result) for key, index, committed, result in decisions}
--- a/chutepin/consensus/replication.py
+++ b/chutepin/consensus/replication.py
@@ -1,4 +1,4 @@
-"""Log replication: what a leader sends to its followers, and how a follower takes entries into its log."""
+"""Log replication: sending entries from the leader, and appending them to a follower's log."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 def accept_entries(state: NodeState, message: AppendEntries) -> AppendEntriesReply:
-    """Take entries of the leader of this term into the log, where they continue it; return the reply."""
+    """Append entries from the leader of the current term if they continue the log; return the reply."""
     log = state.log
     previous = message.prev_index
-    # Entries at the base or before it are committed, so the leader has the same ones.
+    # Entries up to and including the base index are committed, so the leader has the same ones.
     is_known = previous <= log.last_index
     if not is_known or (previous >= log.base_index and log.term_at(previous) != message.prev_term):
         return AppendEntriesReply(state.term, False, _conflict_hint(state, previous), message.heartbeat_round)
     for position, entry in enumerate(message.entries):
         if entry.index > log.base_index and log.term_at(entry.index) != entry.term:
-            assert entry.index > log.commit_index, "a committed entry would be replaced"
+            assert entry.index > log.commit_index, "AppendEntries would replace a committed entry"
             log.replace_from(entry.index, message.entries[position:])
             state.membership = log.membership_at(log.last_index)
             state.persist(entry.index)
@@ -31,7 +31,7 @@
 
 
 def _conflict_hint(state: NodeState, previous: int) -> int:
-    """Return where the logs may still match. A term that conflicts is skipped whole, so a search takes few messages."""
+    """Return the highest index at which the logs may match; skips the whole conflicting term to save round trips."""
     log = state.log
     hint = min(log.last_index, previous - 1)
     conflicting_term = log.term_at(hint + 1)
@@ -41,7 +41,7 @@
 
 
 class Replication:
-    """A leader's progress of all members and the number of its heartbeat round."""
+    """The replication state of a leader: the progress of all members and the number of the heartbeat round."""
 
     def __init__(self) -> None:
         self.progress: dict[str, Progress] = {}
@@ -56,49 +56,49 @@
         return other
 
     def reset(self, now: float, state: NodeState) -> None:
-        """Begin a term as the leader."""
+        """Reset the progress of all members at the start of a term as leader."""
         next_index = state.log.last_index + 1
-        self.progress = {name: Progress(next_index, last_contact=now) for name in state.membership.everybody}
+        self.progress = {name: Progress(next_index, last_contact=now) for name in state.membership.all_members}
         self.heartbeat_round = 0
 
     def track(self, membership: Membership, index: int) -> None:
-        """Follow a change of membership that stands at an index."""
-        for name in membership.everybody:
+        """Track the members of a membership change at `index`: add new members, remove former ones."""
+        for name in membership.all_members:
             self.progress.setdefault(name, Progress(index))
-        for name in set(self.progress) - set(membership.everybody):
+        for name in set(self.progress) - set(membership.all_members):
             del self.progress[name]
 
     def lag(self, state: NodeState, name: str) -> int:
-        """Return how many entries a member lacks, as far as this node knows."""
+        """Return how many log entries a member lacks, by its last known match index."""
         if name == state.name:
             return 0
         progress = self.progress.get(name)
         return state.log.last_index - (progress.match_index if progress is not None else 0)
 
-    def hears_majority(self, now: float, state: NodeState) -> bool:
-        """Whether a majority of the voters was heard within the election timeout."""
+    def has_recent_majority_contact(self, now: float, state: NodeState) -> bool:
+        """Return whether a majority of the voters has replied within the election timeout."""
         earliest = now - state.settings.election_timeout_s
-        heard = sum(
+        responsive = sum(
             name == state.name or self.progress[name].last_contact > earliest for name in state.membership.voters
         )
-        return heard >= state.majority()
+        return responsive >= state.majority()
 
     def majority_match_index(self, state: NodeState) -> int:
-        """Return the highest index that a majority of the voters has durably."""
+        """Return the highest index up to which a majority of the voters has stored the log durably."""
         return state.reached_by_majority(
             state.log.last_index if name == state.name else self.progress[name].match_index
             for name in state.membership.voters
         )
 
     def majority_heartbeat_round(self, state: NodeState) -> int:
-        """Return the latest heartbeat round that a majority of the voters has answered."""
+        """Return the latest heartbeat round acknowledged by a majority of the voters."""
         return state.reached_by_majority(
             self.heartbeat_round if name == state.name else self.progress[name].heartbeat_round
             for name in state.membership.voters
         )
 
     def required_base(self, now: float, state: NodeState) -> int:
-        """Return the highest base index that keeps all entries which followers in touch will still need."""
+        """Return the highest base index that retains all entries needed by recently contacted followers."""
         base = state.log.commit_index
         offered = self.snapshots.offered
         for progress in self.progress.values():
@@ -111,12 +111,12 @@
         return base
 
     def replicate_to_all(self, state: NodeState) -> None:
-        """Send every follower what it lacks, within its limit."""
+        """Send missing entries to every follower, up to its in-flight limit."""
         for name in self.progress:
             self.replicate(state, name)
 
     def heartbeat(self, state: NodeState) -> None:
-        """Begin a round of heartbeats. What was not answered by now is sent again."""
+        """Begin a heartbeat round; unacknowledged entries are sent again."""
         self.heartbeat_round += 1
         for name, progress in self.progress.items():
             if name != state.name:
@@ -124,14 +124,16 @@
                 self.replicate(state, name, heartbeat=True)
 
     def announce_commit(self, state: NodeState) -> None:
-        """Send the commit index to followers that lack nothing else, before the next heartbeat would."""
+        """Send the commit index to followers whose log is up to date, without waiting for the next heartbeat."""
         for name, progress in self.progress.items():
             is_behind = progress.announced_commit < state.log.commit_index
             if name != state.name and is_behind and progress.match_index == state.log.last_index:
                 self.replicate(state, name, heartbeat=True)
 
     def replicate(self, state: NodeState, name: str, heartbeat: bool = False) -> None:
-        """Send a follower what it lacks, within its limit; with `heartbeat`, a message even if that is nothing."""
+        """Send missing entries or snapshot data to a follower, up to its in-flight limit.
+
+        With `heartbeat`, a message is sent even if the follower lacks nothing."""
         if name == state.name:
             return
         progress = self.progress[name]
@@ -155,7 +157,7 @@
             progress.next_index = entries[-1].index + 1
 
     def _next_entries(self, state: NodeState, progress: Progress) -> tuple[Entry, ...]:
-        """Return the next entries for a follower, empty where there are none or its limit is reached."""
+        """Return the next entries for a follower; empty if there are none or its in-flight limit is reached."""
         capacity = state.settings.max_in_flight_bytes - sum(batch.size_bytes for batch in progress.in_flight)
         if capacity <= 0 or (progress.probing and progress.in_flight):
             return ()
@@ -171,17 +173,17 @@
         return tuple(entries)
 
     def receive_append_reply(self, now: float, state: NodeState, sender: str, reply: AppendEntriesReply) -> None:
-        """Take a follower's reply into its progress."""
+        """Update a follower's progress from its AppendEntries reply."""
         progress = self.progress[sender]
         progress.record_contact(now, reply.heartbeat_round)
         progress.chunk_in_flight = False
         if reply.success:
-            progress.accept(reply.match_index)
+            progress.record_match(reply.match_index)
         elif reply.match_index >= progress.match_index:
-            progress.back_up(reply.match_index, state.log.last_index)
+            progress.record_mismatch(reply.match_index, state.log.last_index)
 
     def receive_snapshot_reply(self, now: float, sender: str, reply: InstallSnapshotReply) -> None:
-        """Take a follower's reply to a snapshot chunk into its progress."""
+        """Update a follower's progress from its reply to a snapshot chunk."""
         progress = self.progress[sender]
         progress.record_contact(now, reply.heartbeat_round)
         if reply.up_to_index == progress.snapshot_index:
--- a/chutepin/consensus/retry.py
+++ b/chutepin/consensus/retry.py
@@ -1,4 +1,4 @@
-"""When a request that has no answer yet is sent again."""
+"""Retry timing of pending requests."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 class RetrySchedule:
-    """Delays between the attempts of one request."""
+    """The delays between the attempts of a request."""
 
     def __init__(self, settings: RaftSettings, rng: random.Random) -> None:
         self._settings = settings
         self._rng = rng
 
     def next_attempt(self, now: float) -> float:
-        """Return when to try again if no answer comes; drawn, so that nodes do not retry at the same moment."""
+        """Return the time of the next attempt if no reply arrives; randomized, so that nodes do not retry together."""
         return now + self._settings.election_timeout_s * (0.5 + 0.5 * self._rng.random())
 
     def after_rejection(self, now: float) -> float:
-        """Return when to try again after a member has said that it cannot help."""
+        """Return the time of the next attempt after a rejection."""
         return now + self._settings.heartbeat_interval_s
 
 
@@ -33,6 +33,6 @@
     next_attempt: float
 
     @property
-    def wakes_at(self) -> float:
-        """When something is to be done about it."""
+    def due_at(self) -> float:
+        """The time of the next attempt or the deadline, whichever is earlier."""
         return min(self.deadline, self.next_attempt)
--- a/chutepin/consensus/snapshot_transfer.py
+++ b/chutepin/consensus/snapshot_transfer.py
@@ -1,4 +1,4 @@
-"""Transfer of snapshots in chunks: assembly at the receiver, and what a follower and a leader do with them."""
+"""Transfer of snapshots in chunks: sending by a leader, assembly and installation by a follower."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class SnapshotKey(NamedTuple):
-    """What tells one snapshot from another: chunks of two senders fit together only if all of it is the same."""
+    """The identity of a snapshot; chunks from two senders are combined only if all fields are equal."""
 
     up_to_index: int
     term: int
@@ -21,7 +21,7 @@
 
 
 class SnapshotAssembly:
-    """Puts the chunks of one snapshot at a time together."""
+    """A buffer that assembles the chunks of one snapshot at a time."""
 
     def __init__(self) -> None:
         self.key: SnapshotKey | None = None
@@ -34,7 +34,9 @@
         return other
 
     def add(self, key: SnapshotKey, offset: int, chunk: bytes) -> bytes | None:
-        """Add a chunk; the data once it is complete. Data with a wrong checksum is dropped, to be sent again."""
+        """Add a chunk; return the data once it is complete, else None.
+
+        Complete data with a wrong checksum is discarded, so that the sender starts again."""
         if self.key != key:
             self.key = key
             self.data = bytearray()
@@ -49,7 +51,7 @@
 
 
 class SnapshotReceiver:
-    """A follower's part: it collects the leader's chunks and installs the snapshot."""
+    """The follower's side of a transfer: collects the leader's chunks and installs the snapshot."""
 
     def __init__(self) -> None:
         self.assembly = SnapshotAssembly()
@@ -61,7 +63,7 @@
         return other
 
     def receive(self, state: NodeState, message: InstallSnapshotChunk) -> AppendEntriesReply | InstallSnapshotReply:
-        """Take a chunk of the leader of this term; return the reply."""
+        """Add a chunk from the leader of the current term; return the reply."""
         if message.up_to_index <= state.log.commit_index:
             return AppendEntriesReply(state.term, True, state.log.commit_index, message.heartbeat_round)
         key = SnapshotKey(message.up_to_index, message.last_term, message.total_bytes, message.checksum)
@@ -74,7 +76,7 @@
 
 
 def install(state: NodeState, snapshot: Snapshot) -> None:
-    """Take over a leader's snapshot, unless the log holds all that it covers."""
+    """Install a leader's snapshot; if the log already contains all entries it covers, only commit up to its index."""
     log = state.log
     if snapshot.up_to_index <= log.last_index and log.term_at(snapshot.up_to_index) == snapshot.term:
         state.commit(snapshot.up_to_index)
@@ -86,7 +88,7 @@
 
 
 class SnapshotSender:
-    """A leader's part: it sends the same snapshot to all followers, as long as the log still continues it."""
+    """The leader's side of a transfer: sends one snapshot to all followers while the log still continues it."""
 
     def __init__(self) -> None:
         self.offered: Snapshot | None = None
@@ -94,7 +96,7 @@
     def send_chunk(
         self, state: NodeState, name: str, progress: Progress, heartbeat_round: int, *, resend: bool
     ) -> None:
-        """Send a follower its next chunk. One is in flight at a time; `resend` repeats it."""
+        """Send a follower its next chunk; one chunk is in flight at a time, `resend` sends it again."""
         if progress.chunk_in_flight and not resend:
             return
         assert state.log.snapshot is not None, "the log was compacted without a snapshot"
--- a/chutepin/consensus/store_writer.py
+++ b/chutepin/consensus/store_writer.py
@@ -1,4 +1,4 @@
-"""Writes the journal to the store and waits until it is durable."""
+"""Durable writes of the journal to the store."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class StoreWriter:
-    """The store as the consensus writes it. Reports writes that take longer than `slow_after_s`."""
+    """A writer of journal operations to the store; logs and counts writes that take longer than `slow_after_s`."""
 
     def __init__(self, store: Store, slow_after_s: float, counters: Counters, log: Log) -> None:
         self._store = store
@@ -23,18 +23,18 @@
         self._log = log
 
     async def write(self, operations: Iterable[Operation]) -> None:
-        """Write in this order and wait until all is on the disk. Raises StoreError."""
-        begun = now()
+        """Write the operations in order and wait until they are durable. Raises StoreError."""
+        started_at = now()
         for key, value in operations:
             await self._put(key, value)
         await self._store.committed()
-        took_s = now() - begun
-        if took_s > self._slow_after_s:  # this node was silent meanwhile: the others may have a new leader
-            self._log.event("consensus.slow_disk", seconds=round(took_s, 3))
+        duration_s = now() - started_at
+        if duration_s > self._slow_after_s:  # this node sent nothing meanwhile, so the others may have a new leader
+            self._log.event("consensus.slow_disk", seconds=round(duration_s, 3))
             self._counters.add("consensus.slow_disk")
 
     async def committed(self) -> None:
-        """Wait until all that was written is on the disk. Raises StoreError."""
+        """Wait until all earlier writes are durable. Raises StoreError."""
         await self._store.committed()
 
     async def _put(self, key: bytes, value: bytes | None) -> None:
--- a/chutepin/consensus/subsystem.py
+++ b/chutepin/consensus/subsystem.py
@@ -1,4 +1,4 @@
-"""Runs a node's part in the replicated log: the participant, its journal on the store, its messages on the wire."""
+"""The consensus subsystem: runs the participant with its journal on the store and its connections to other nodes."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
 from .store_writer import StoreWriter
 from .wire import Links, Wire, now
 
-RETRY_AFTER_S = 5.0  # after a fault of the store
-BUSY_TICK_DELAY_S = 0.001  # the shortest, while a write is under way
+RETRY_AFTER_S = 5.0  # delay before a restart after a store error
+BUSY_TICK_DELAY_S = 0.001  # minimum delay of the next tick while a write is in progress
 
 
 class ConsensusSubsystem:
-    """The node's part in the replicated log (`subsystem.Subsystem`, `operators.ConsensusPart`)."""
+    """The consensus subsystem of one node; implements `subsystem.Subsystem` and `operators.ConsensusNode`."""
 
     def __init__(
         self,
@@ -47,14 +47,14 @@
         counters: Counters,
         log: Log,
     ) -> None:
-        """Raises ConfigError if the store belongs to another node or cluster."""
+        """Load the identity from the store. Raises ConfigError if the store belongs to another node or cluster."""
         self._setup = setup
         self._name = name
         self._links = links
         self._store = store
         self._counters = counters
         self._log = log
-        # Not the configuration's seed: ids of proposals must not come again after a restart.
+        # Not seeded from the configuration, because proposal ids must not repeat after a restart.
         self._rng = random.Random(random.SystemRandom().getrandbits(64))
         self._settings = RaftSettings(
             setup.election_timeout_s,
@@ -69,11 +69,11 @@
         self._journal = Journal()
         self._wire = Wire(links, self._hello, self._deliver, descriptors, counters)
         self._identities = IdentityExchange(links.cluster, self._identity, self._writer, self._wire.send, log)
-        self.idle_reason = "starts"  # why it takes no part
+        self.idle_reason = "starts"  # the reason why there is no participant
         self._queue: list[Effect] = []
         self._has_work = asyncio.Event()
         self._started = asyncio.Event()
-        self._busy = False  # effects are being carried out; whoever does it takes up new ones, too
+        self._busy = False  # effects are being carried out, by a loop that also collects new ones
         self._timer: asyncio.TimerHandle | None = None
         self._tickets: dict[int, asyncio.Future[Outcome]] = {}
 
@@ -81,19 +81,19 @@
         return Hello(self._links.cluster, self._name, self._identity.identity, node_name(to), self.machine.version)
 
     def adopt(self, sockets: list[socket.socket]) -> list[socket.socket]:
-        """Return all sockets: it has none of its own."""
+        """Return all sockets, because this subsystem has no listening socket."""
         return sockets
 
     def sockets(self) -> list[socket.socket]:
-        """Return no socket."""
+        """Return an empty list, because this subsystem has no listening socket."""
         return []
 
     def start(self) -> None:
-        """Take part from now on."""
+        """Allow `run` to create the participant."""
         self._started.set()
 
     async def run(self) -> None:
-        """Work until cancelled. A fault of the store ends its part until the store works again."""
+        """Run the participant until cancelled; after a store or journal error, start again after RETRY_AFTER_S."""
         await self._started.wait()
         try:
             while True:
@@ -108,13 +108,13 @@
             self._wire.close()
 
     def yield_ownership(self) -> None:
-        """Do nothing: a successor can't open the store before this process has ended."""
+        """Do nothing, because a successor cannot open the store before this process has ended."""
 
     def resume_ownership(self) -> None:
-        """Do nothing, as nothing was yielded."""
+        """Do nothing, because `yield_ownership` does nothing."""
 
     def leave(self) -> None:
-        """Have another voter lead before this process ends."""
+        """Transfer the leadership to the most up-to-date voter before this process ends."""
         participant = self.participant
         if participant is None or participant.raft.role is not Role.LEADER:
             return
@@ -123,12 +123,12 @@
             return
         try:
             participant.transfer_leadership(now(), others[0])
-        except RejectedError:  # a transfer is under way
+        except RejectedError:  # a transfer is in progress
             return
         self.pump()
 
     def metrics(self) -> dict[str, int]:
-        """Return the participant's counters, by name."""
+        """Return the participant's counters and gauges by name."""
         participant = self.participant
         if participant is None:
             return {"consensus.participates": 0}
@@ -141,7 +141,9 @@
         }
 
     async def _join(self) -> None:
-        """Take part as what the store says, once the identity is durable and the other voters know the store."""
+        """Create the participant from the store, once the identity is durable and acknowledged by the other voters.
+
+        The announcement is repeated while the store status is FORMING."""
         await self._identities.write()
         while self._identity.status is StoreStatus.FORMING:
             self.idle_reason = f"forms: {' '.join(self._identity.awaited)} must have met this store"
@@ -149,8 +151,8 @@
         await self._identities.write()
         self._wire.reconnect()
         self._journal = Journal()
-        saved, leftovers = self._journal.load(self._store.get)
-        await self._writer.write(leftovers)
+        saved, cleanup_operations = self._journal.load(self._store.get)
+        await self._writer.write(cleanup_operations)
         self._queue.clear()
         self.machine = KeyValueMachine()
         membership = Membership(self._setup.voters)
@@ -166,7 +168,7 @@
         self.pump()
 
     def _halt(self, reason: str) -> None:
-        """Take no part. Effects that were not carried out never will be, as after a crash."""
+        """Stop the participant and discard its pending effects, as in a crash."""
         self._log.event("consensus.halted", why=reason)
         self._counters.add("consensus.halted")
         self.idle_reason = reason
@@ -190,7 +192,7 @@
         self._timer = loop.call_at(loop.time() + delay_s, self._tick)
 
     async def _work(self) -> None:
-        """Write what must be durable, one write for all that has come together, then do what stood behind it."""
+        """Carry out the queued effects in batches: one durable write for all `Persist` effects, then the others."""
         while True:
             await self._has_work.wait()
             self._has_work.clear()
@@ -220,7 +222,7 @@
         return self._queue
 
     def pump(self) -> None:
-        """Carry out what needs no write at once; leave the rest to the worker."""
+        """Carry out the participant's effects, up to the first batch with a `Persist`, which is left to `_work`."""
         participant = self.participant
         if participant is None or self._busy:
             return
@@ -244,7 +246,7 @@
         participant.set_alive(tuple(self._links.alive()))
         participant.tick(now())
         self.pump()
-        if self._timer is None:  # a write is under way
+        if self._timer is None:  # a write is in progress
             self._set_timer(participant, BUSY_TICK_DELAY_S)
 
     def _carry_out(self, participant: Participant, effect: Effect) -> None:
@@ -252,7 +254,7 @@
             case Send():
                 self._wire.send(effect.to, effect.message)
             case Apply() | Restore() | ReadReady():
-                participant.done(now(), effect)
+                participant.carry_out(now(), effect)
             case RequestCompleted():
                 future = self._tickets.pop(effect.ticket, None)
                 if future is not None and not future.done():
@@ -273,17 +275,17 @@
             case _:
                 participant = self.participant
                 if participant is not None:
-                    participant.directory.learn(hello.identity, hello.version)
+                    participant.directory.record(hello.identity, hello.version)
                     participant.receive(now(), hello.identity, message)
                     self.pump()
 
     @property
     def store_status(self) -> StoreStatus:
-        """How far the other voters know this node's store."""
+        """The acknowledgement of this node's store by the other voters."""
         return self._identity.status
 
     async def outcome(self, begin: Callable[[Participant], int]) -> Outcome:
-        """Begin a request at the participant, which returns its ticket, and wait for the outcome."""
+        """Start a request with `begin`, which returns the participant's ticket, and wait for the outcome."""
         participant = self.participant
         if participant is None:
             return Outcome(OutcomeState.REJECTED, reason=self.idle_reason, retry_after_s=RETRY_AFTER_S)
--- a/chutepin/consensus/wire.py
+++ b/chutepin/consensus/wire.py
@@ -1,7 +1,7 @@
-"""Messages between members over TCP: one connection for each direction, opened by the sender.
+"""Transport of consensus messages over TCP: one connection per direction, opened by the sender.
 
-What does not arrive is lost; the algorithms send again what they need. Each peer has a queue of bounded size, so one
-that does not read costs its own queue only."""
+Delivery is not guaranteed; the protocols above send again what they need. The queue of each peer is bounded, so a peer
+that does not read only fills its own queue."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 from .errors import CodecError
 from .identity import node_name
 
-MAX_QUEUE_BYTES = 2**20  # for one peer
+MAX_QUEUE_BYTES = 2**20  # limit of the queue of one peer
 MAX_PEERS = 80
-IO_TIMEOUT_S = 3.0  # to connect, and to send one chunk
-IDLE_TIMEOUT_S = 30.0  # until an unused connection is closed; the receiver waits twice as long
+IO_TIMEOUT_S = 3.0  # limit for connecting, and for sending one chunk
+IDLE_TIMEOUT_S = 30.0  # the sender closes an unused connection after this, the receiver after twice this
 RECONNECT_DELAY_S = 0.2
 CHUNK_BYTES = 65536
 
@@ -32,24 +32,24 @@
 
 
 class Links(Protocol):
-    """What the wire needs of the cluster."""
+    """The functions of the cluster that the transport requires."""
 
     @property
     def cluster(self) -> str:
         """The cluster's name."""
 
     def address(self, name: str) -> str | None:
-        """Return the address of a member."""
+        """Return the address of a node; None if unknown."""
 
     def alive(self) -> list[str]:
-        """Return the members that are alive."""
+        """Return the names of the live nodes."""
 
     def add_stream_handler(self, preface: bytes, handler: Handler) -> None:
-        """Have a handler take over connections that begin with a preface."""
+        """Register the handler of connections that begin with `preface`."""
 
 
 class _Peer:
-    """The frames that wait for one member, and the task that sends them."""
+    """The queued frames for one node and the task that sends them."""
 
     def __init__(self) -> None:
         self.frames: deque[bytes] = deque()
@@ -63,7 +63,7 @@
 
 
 class Wire:
-    """All consensus connections of one node."""
+    """The consensus connections of one node."""
 
     def __init__(
         self,
@@ -73,7 +73,10 @@
         descriptors: DescriptorBudget,
         counters: Counters,
     ) -> None:
-        """`hello` makes the first message of a connection; `deliver` takes a received message and its sender."""
+        """Register for incoming connections.
+
+        `hello` returns the first message of a connection to a node; `deliver` is called with the sender's Hello and
+        each received message."""
         self._links = links
         self._hello = hello
         self._deliver = deliver
@@ -84,7 +87,7 @@
         links.add_stream_handler(PREFACE, self._serve)
 
     def send(self, to: str, message: WireMessage) -> None:
-        """Queue a message for an identity; it is dropped where there is no room."""
+        """Queue a message for the node of an identity; the message is dropped if a limit is reached."""
         name = node_name(to)
         peer = self._peers.get(name)
         if peer is None:
@@ -105,19 +108,19 @@
             peer.task.add_done_callback(lambda _: self._peers.pop(name, None))
 
     def reconnect(self) -> None:
-        """Close all connections to members, as this node has another identity now."""
+        """Close all outgoing connections, so that new ones begin with the node's new identity."""
         for peer in self._peers.values():
             if peer.task is not None:
                 peer.task.cancel()
         self._peers = {}
 
     def close(self) -> None:
-        """Send nothing any more."""
+        """Stop sending and receiving."""
         self._open = False
         self.reconnect()
 
     async def _run_sender(self, name: str, peer: _Peer) -> None:
-        """Send to one member, until there is nothing to send for a while."""
+        """Send the queued frames to one node; return after IDLE_TIMEOUT_S without frames."""
         while peer.frames or await self._wait_for_frames(peer):
             if not self._descriptors.acquire(DESCRIPTOR_SHARE):
                 self._counters.add("consensus.no_descriptor")
@@ -127,15 +130,15 @@
             try:
                 await self._run_connection(name, peer)
                 continue
-            except (OSError, AddressError, ValueError, TimeoutError):  # also an address that can't be used
+            except (OSError, AddressError, ValueError, TimeoutError):  # also raised for an invalid address
                 self._counters.add("consensus.send_failed")
             finally:
                 self._descriptors.release(DESCRIPTOR_SHARE)
-            peer.clear()  # what was in flight may be lost, so what stands behind it is out of date
+            peer.clear()  # frames in flight may be lost, so the frames after them are outdated
             await asyncio.sleep(RECONNECT_DELAY_S)
 
     async def _wait_for_frames(self, peer: _Peer) -> bool:
-        """Wait for something to send; return whether there is any."""
+        """Wait up to IDLE_TIMEOUT_S for a frame to send; return whether there is one."""
         peer.has_frames.clear()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout_at(asyncio.get_running_loop().time() + IDLE_TIMEOUT_S):
@@ -151,8 +154,9 @@
             async with asyncio.timeout_at(loop.time() + IO_TIMEOUT_S):
                 await loop.sock_connect(sock, (host, port))
                 await loop.sock_sendall(sock, PREFACE + encode(self._hello(name)))
-            # The receiver sends nothing, so this ends when it has closed: a message for a dead connection would be
-            # lost without an error, and an election with a voter's first request.
+            # The receiver sends nothing, so this read completes only when the receiver has closed the connection.
+            # Otherwise a message on a dead connection would be lost without an error; if that is the first vote
+            # request of a voter, the election fails.
             closed = loop.create_task(loop.sock_recv(sock, 1))
             closed.add_done_callback(lambda _: peer.has_frames.set())
             try:
@@ -160,7 +164,7 @@
                     await self._send_frames(sock, peer)
             finally:
                 closed.cancel()
-                # Before the descriptor's number is given to another socket.
+                # Wait for the cancellation before the descriptor is closed and its number is reused by another socket.
                 await asyncio.gather(closed, return_exceptions=True)
 
     async def _send_frames(self, sock: socket.socket, peer: _Peer) -> None:
@@ -173,7 +177,7 @@
             await loop.sock_sendall(sock, data)
 
     async def _serve(self, sock: socket.socket, first_bytes: bytes) -> None:
-        """Receive from one member; the cluster's transport closes the connection."""
+        """Receive messages on one connection, which the cluster's transport closes afterwards."""
         loop = asyncio.get_running_loop()
         reader = FrameReader()
         hello: Hello | None = None
@@ -197,7 +201,7 @@
             self._counters.add("consensus.receive_failed")
 
     def _check_hello(self, message: WireMessage) -> Hello:
-        """Check a connection's first message. Raises CodecError."""
+        """Validate the first message of a connection and return it. Raises CodecError."""
         if not isinstance(message, Hello):
             raise CodecError("no_hello")
         own = self._hello("")
@@ -209,5 +213,5 @@
 
 
 def now() -> float:
-    """Return the time by the consensus clock, which is monotonic."""
+    """Return the time of the monotonic clock used by the consensus package."""
     return time.monotonic()
--- a/chutepin/testbench/checks/model_checker.py
+++ b/chutepin/testbench/checks/model_checker.py
@@ -86,7 +86,7 @@
         self.left, self._make = scope, make
         self.names = [f"v{number}" for number in range(1, scope.voters + 1)]
         self.first = Membership(tuple(self.names))
-        extra = sorted({name for change in scope.changes for name in change.everybody} - set(self.names))
+        extra = sorted({name for change in scope.changes for name in change.all_members} - set(self.names))
         self.saved = {name: PersistentState() for name in self.names + extra}
         self.nodes: dict[str, RaftNode | None] = {name: self._begin(name) for name in self.saved}
         self.network: tuple[Packet, ...] = ()
--- a/chutepin/testbench/simulators/consensus.py
+++ b/chutepin/testbench/simulators/consensus.py
@@ -229,7 +229,7 @@
                 case Send():
                     self._send(host, effect.to, effect.message)
                 case Apply() | Restore() | ReadReady():
-                    member.done(self.now, effect)
+                    member.carry_out(self.now, effect)
                     self._observe(host)
                 case RequestCompleted():
                     if (complete := host.tickets.pop(effect.ticket, None)) is not None:
@@ -302,7 +302,7 @@
         if isinstance(message, StoreAnnouncement | StoreAcknowledgement):
             self._receive_identity(host, sender, message)
         elif host.participant is not None and not isinstance(message, Hello):
-            host.participant.directory.learn(sender, 1)
+            host.participant.directory.record(sender, 1)
             host.participant.receive(self.now, sender, message)
             self._pump(host)
 
@@ -392,7 +392,7 @@
                 continue
             members = member.raft.membership
             identities = [node.identity for node in member.directory.known.values()]
-            outside = [identity for identity in identities if identity not in members.everybody]
+            outside = [identity for identity in identities if identity not in members.all_members]
             if members.learners:
                 new = Membership((*members.voters, members.learners[0]), members.learners[1:])
             elif len(members.voters) > 3 or not outside:
--- a/tests/test_consensus_codec.py
+++ b/tests/test_consensus_codec.py
@@ -1,4 +1,4 @@
-"""The codec: messages survive their frames, and hostile bytes end their connection only."""
+"""The consensus codec: messages round-trip through frames, and malformed bytes raise CodecError only."""
 
 from __future__ import annotations
 
@@ -36,26 +36,28 @@
 ]
 
 
-def test_messages_are_decoded_as_encoded_however_their_bytes_are_split() -> None:
+def test_messages_round_trip_for_any_split_of_the_byte_stream() -> None:
     data = b"".join(map(encode, MESSAGES))
     for step in (1, 7, len(data)):
         reader = FrameReader()
-        assert [word for at in range(0, len(data), step) for word in reader.feed(data[at : at + step])] == MESSAGES
+        assert [
+            message for start in range(0, len(data), step) for message in reader.feed(data[start : start + step])
+        ] == MESSAGES
 
 
 @STEPS
 @given(st.binary(max_size=60))
-def test_hostile_bytes_raise_nothing_but_codec_errors(data: bytes) -> None:
+def test_malformed_bytes_raise_only_codec_errors(data: bytes) -> None:
     with contextlib.suppress(CodecError):
         FrameReader().feed(data)
-    for word in MESSAGES:
-        frame = bytearray(encode(word)[8:])
+    for message in MESSAGES:
+        frame = bytearray(encode(message)[8:])
         if data:
             frame[len(data) % len(frame)] ^= data[0]
         with contextlib.suppress(CodecError):
             decode(bytes(frame))
 
 
-def test_frame_that_is_too_long_is_rejected_by_its_head() -> None:
+def test_frame_above_the_size_limit_is_rejected_by_its_header() -> None:
     with pytest.raises(CodecError, match="too_long"):
         FrameReader().feed((MAX_FRAME_BYTES + 1).to_bytes(4) + bytes(4))
--- a/tests/test_consensus_model_checker.py
+++ b/tests/test_consensus_model_checker.py
@@ -1,4 +1,4 @@
-"""The model checker: the Raft node keeps its invariants in small scopes and on random walks, and mutants break them."""
+"""The model checker: Raft's invariants hold in small scopes and on random walks, and mutants violate them."""
 
 from __future__ import annotations
 
@@ -18,30 +18,30 @@
 THREE = Membership(("v1", "v2", "v3"))
 
 
-class SendsBeforeDurable(RaftNode):
-    """Votes and acknowledgements leave before what they say is on the disk."""
+class SendsBeforePersist(RaftNode):
+    """A mutant that sends votes and acknowledgements before they are durable."""
 
     def drain_effects(self) -> list[Effect]:
         return sorted(super().drain_effects(), key=lambda effect: isinstance(effect, Persist))
 
 
 class VotesForAnyLog(RaftNode):
-    """Whoever asks gets the vote, however old its log."""
+    """A mutant that grants its vote to candidates with an outdated log."""
 
     def _receive_vote_request(self, now: float, sender: str, request: RequestVote) -> None:
         super()._receive_vote_request(now, sender, request._replace(last_log_term=10**9))
 
 
-class VotesTwice(RaftNode):
-    """It forgets whom it voted for."""
+class VotesTwiceInATerm(RaftNode):
+    """A mutant that grants several votes in one term."""
 
     def _receive_vote_request(self, now: float, sender: str, request: RequestVote) -> None:
         self.state.voted_for = ""
         super()._receive_vote_request(now, sender, request)
 
 
-class VoteNotDurable(RaftNode):
-    """For whom it voted is not written."""
+class DoesNotPersistVote(RaftNode):
+    """A mutant that does not persist its vote."""
 
     def drain_effects(self) -> list[Effect]:
         return [
@@ -51,7 +51,7 @@
 
 
 class ChangesTwoVoters(RaftNode):
-    """Any change of voters is taken."""
+    """A mutant that accepts a change of several voters at once."""
 
     def change_membership(self, wanted: Membership) -> int:
         self._require_leadership()
@@ -60,7 +60,7 @@
 
 
 class IgnoresPreviousEntry(RaftNode):
-    """It takes entries whatever stands before them."""
+    """A mutant that accepts entries without the check of the previous entry's term."""
 
     def _receive_append_entries(self, now: float, sender: str, message: AppendEntries) -> None:
         if message.prev_index <= self.log.last_index:
@@ -78,32 +78,32 @@
     ],
 )
 def test_invariants_hold_in_every_interleaving_of_a_small_scope(scope: Scope, states: int) -> None:
-    found = explore(scope)
-    assert found.whole and not found.broken and found.states > states, found
+    result = explore(scope)
+    assert result.whole and not result.broken and result.states > states, result
 
 
 def test_invariants_hold_in_the_first_states_of_a_larger_scope() -> None:
-    """Two elections; the whole of it, some 20,000 states, is for `lab explore`."""
-    found = explore(Scope(elections=2, proposals=0), most=3000)
-    assert not found.broken and found.states >= 3000
+    """Two elections; the complete scope of about 20,000 states is explored by `lab explore`."""
+    result = explore(Scope(elections=2, proposals=0), most=3000)
+    assert not result.broken and result.states >= 3000
 
 
 @pytest.mark.parametrize(
     ("mutant", "scope", "violation"),
     [
-        (SendsBeforeDurable, Scope(elections=2, proposals=0, crashes=1), "lead in term"),
-        (VoteNotDurable, Scope(elections=2, proposals=0, crashes=1), "lead in term"),
+        (SendsBeforePersist, Scope(elections=2, proposals=0, crashes=1), "lead in term"),
+        (DoesNotPersistVote, Scope(elections=2, proposals=0, crashes=1), "lead in term"),
         (VotesForAnyLog, Scope(elections=2, proposals=0), "without an agreed entry"),
-        (VotesTwice, Scope(elections=2, proposals=0), "lead in term"),
+        (VotesTwiceInATerm, Scope(elections=2, proposals=0), "lead in term"),
     ],
 )
 def test_mutant_is_found_by_a_shortest_path(mutant: type[RaftNode], scope: Scope, violation: str) -> None:
-    found = explore(scope, mutant)
-    assert violation in found.broken and len(found.path) <= 10
+    result = explore(scope, mutant)
+    assert violation in result.broken and len(result.path) <= 10
 
 
 WIDE = Scope(elections=8, proposals=4, beats=20, crashes=3, twice=3)
-CHANGING = Scope(
+CHANGING_MEMBERSHIP = Scope(
     elections=8,
     proposals=2,
     beats=30,
@@ -116,7 +116,7 @@
 COMPACTING = Scope(elections=8, proposals=6, beats=40, crashes=3, twice=3, snapshots=6)
 
 
-@pytest.mark.parametrize("scope", [WIDE, CHANGING, COMPACTING])
+@pytest.mark.parametrize("scope", [WIDE, CHANGING_MEMBERSHIP, COMPACTING])
 def test_invariants_hold_on_long_walks_with_crashes_and_membership_changes(scope: Scope) -> None:
     walks = [walk(scope, seed, 300) for seed in range(200)]
     assert not [walked.broken for walked in walks if walked.broken]
--- a/tests/test_consensus_simulator.py
+++ b/tests/test_consensus_simulator.py
@@ -1,4 +1,4 @@
-"""A consensus group in virtual time: invariants hold under faults of all kinds, and mutants break them."""
+"""A consensus group in virtual time: invariants hold under all kinds of faults, and mutants violate them."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 FIVE = [f"n{number}" for number in range(1, 6)]
 
 
-def parted(rng: random.Random) -> Schedule:
-    """One partition after the other, through the voters."""
+def partitions(rng: random.Random) -> Schedule:
+    """Return a schedule of successive partitions that separate one or two nodes."""
     faults, at = [], 3.0
     while at < 32:
-        mixed = rng.sample(FIVE, 5)
-        border = rng.choice((1, 2))
-        faults += [split(at, (mixed[:border], mixed[border:])), Fault(at + 3, "heal")]
+        shuffled = rng.sample(FIVE, 5)
+        boundary = rng.choice((1, 2))
+        faults += [split(at, (shuffled[:boundary], shuffled[boundary:])), Fault(at + 3, "heal")]
         at += 4
     return Schedule(5, 60.0, tuple(faults))
 
 
-def lone(rng: random.Random) -> Schedule:
-    """One voter after the other is cut off, now and then the one that leads."""
+def isolated_voters(rng: random.Random) -> Schedule:
+    """Return a schedule that isolates one voter after the other, sometimes the leader."""
     faults = [
         fault
         for number in range(5)
@@ -45,28 +45,28 @@
     return Schedule(5, 40.0, tuple(faults))
 
 
-def power(rng: random.Random) -> Schedule:
-    """One power cut after the other, of one or of all voters."""
+def power_cuts(rng: random.Random) -> Schedule:
+    """Return a schedule of successive power cuts of one, two or three nodes."""
     faults, at = [], 3.0
     while at < 32:
-        some = tuple(rng.choice((FIVE[:3], FIVE[:3], FIVE[:2], [rng.choice(FIVE)])))
-        faults += [Fault(at, "crash", some), Fault(at + rng.choice((0.05, 0.5, 2.5)), "restart", some)]
+        crashed = tuple(rng.choice((FIVE[:3], FIVE[:3], FIVE[:2], [rng.choice(FIVE)])))
+        faults += [Fault(at, "crash", crashed), Fault(at + rng.choice((0.05, 0.5, 2.5)), "restart", crashed)]
         at += rng.choice((3.0, 4.0))
     return Schedule(5, 60.0, tuple(faults))
 
 
-def blackout(rng: random.Random) -> Schedule:
-    """All voters lose their power at the same moment, again and again."""
+def simultaneous_power_cuts(rng: random.Random) -> Schedule:
+    """Return a schedule of repeated power cuts of all voters at the same moment."""
     faults = [
-        Fault(at + part, what, tuple(FIVE[:3]))
+        Fault(at + offset, kind, tuple(FIVE[:3]))
         for at in range(3, 18, 3)
-        for part, what in ((rng.random(), "crash"), (1.0, "restart"))
+        for offset, kind in ((rng.random(), "crash"), (1.0, "restart"))
     ]
     return Schedule(5, 34.0, tuple(sorted(faults, key=lambda fault: fault.at)))
 
 
-def lossy(rng: random.Random) -> Schedule:
-    """A third of all words is lost, so much is said twice, while one after the other restarts."""
+def message_loss(rng: random.Random) -> Schedule:
+    """Return a schedule that loses a third of all messages, which causes repeated requests, and restarts voters."""
     faults = [Fault(0.0, "loss", value=0.35), Fault(34.0, "loss")]
     for number in range(10):
         one = rng.choice(FIVE[:3])
@@ -74,15 +74,17 @@
     return Schedule(5, 60.0, tuple(sorted(faults, key=lambda fault: fault.at)))
 
 
-def deaf(rng: random.Random) -> Schedule:
-    """A voter hears nobody for long."""
+def one_way_partition(rng: random.Random) -> Schedule:
+    """Return a schedule in which one voter receives no messages for a long time but can send."""
     one = rng.choice(FIVE[:3])
     cuts = tuple(Fault(4.0, "cut", (name, one)) for name in FIVE if name != one)
     return Schedule(5, 60.0, (*cuts, Fault(35.0, "heal")))
 
 
-def wiped(rng: random.Random) -> Schedule:
-    """Two agree without the third; one of these loses its disk and meets the third alone."""
+def wiped_disk(rng: random.Random) -> Schedule:
+    """Return a schedule in which a voter with a wiped disk must not form a majority with an outdated voter.
+
+    Two voters commit entries without the third; one of them loses its disk and is then partitioned with the third."""
     a, b, c = rng.sample(FIVE[:3], 3)
     return Schedule(
         5,
@@ -97,24 +99,24 @@
     )
 
 
-def calm(rng: random.Random) -> Schedule:
+def no_faults(rng: random.Random) -> Schedule:
     return Schedule(5, 30.0)
 
 
 SCHEDULES = {
-    "parted": parted,
-    "lone": lone,
-    "power": power,
-    "blackout": blackout,
-    "lossy": lossy,
-    "deaf": deaf,
-    "wiped": wiped,
-    "calm": calm,
+    "partitions": partitions,
+    "isolated_voters": isolated_voters,
+    "power_cuts": power_cuts,
+    "simultaneous_power_cuts": simultaneous_power_cuts,
+    "message_loss": message_loss,
+    "one_way_partition": one_way_partition,
+    "wiped_disk": wiped_disk,
+    "no_faults": no_faults,
 }
 
 
-def played(name: str, seed: int, parts: Parts = PRODUCT) -> ConsensusHistory:
-    every, write = {"blackout": (0.02, (0.001, 0.06)), "lone": (0.015, WRITE_DURATION_S)}.get(
+def run_schedule(name: str, seed: int, parts: Parts = PRODUCT) -> ConsensusHistory:
+    every, write = {"simultaneous_power_cuts": (0.02, (0.001, 0.06)), "isolated_voters": (0.015, WRITE_DURATION_S)}.get(
         name, (0.05, WRITE_DURATION_S)
     )
     return Simulator(SCHEDULES[name](random.Random(seed)), seed, parts=parts, every=every, write=write).run()
@@ -123,7 +125,7 @@
 @pytest.mark.parametrize("name", SCHEDULES)
 @pytest.mark.parametrize("seed", range(2))
 def test_invariants_hold_under_one_kind_of_fault(name: str, seed: int) -> None:
-    history = played(name, seed)
+    history = run_schedule(name, seed)
     assert violations(history) == {}
     assert len(history.committed_sets()) > 50 and len(history.answered_reads()) > 20
 
@@ -138,7 +140,7 @@
         assert violations(history) == {}, f"seed {seed}"
 
 
-def test_one_seed_gives_one_history() -> None:
+def test_equal_seeds_give_equal_histories() -> None:
     schedule = draw(5, 5, 40.0)
     runs = [Simulator(schedule, 5, changes=4.0).run() for _ in range(2)]
     assert runs[0] == runs[1]
@@ -150,45 +152,45 @@
     assert seeds_needed(parts, schedule, invariant, 40) < 40
 
 
-def seeds_needed(parts: Parts, schedule: str, invariant: str, most: int) -> int:
-    """The first seed under which the claim is broken."""
-    for seed in range(most):
+def seeds_needed(parts: Parts, schedule: str, invariant: str, max_seeds: int) -> int:
+    """Return the first seed under which the invariant is violated; `max_seeds` if there is none."""
+    for seed in range(max_seeds):
         try:
-            found = violations(played(schedule, seed, parts))
-        except (AssertionError, JournalError):  # an invariant of the core's own was there first
+            found = violations(run_schedule(schedule, seed, parts))
+        except (AssertionError, JournalError):  # an internal check failed before the invariant
             continue
         if invariant in found:
             return seed
-    return most
+    return max_seeds
 
 
 def test_proposal_of_a_version_that_a_node_does_not_read_is_rejected() -> None:
     simulator = Simulator(Schedule(4, 12.0), 1)
-    told: list[Outcome] = []
+    outcomes: list[Outcome] = []
 
-    def ask() -> None:
+    def propose() -> None:
         host = simulator.hosts["n4"]
         assert host.participant is not None
         ticket = host.participant.propose(
             simulator.now, host.participant.new_proposal_id(), b"", simulator.now + 2.0, 2
         )
-        host.tickets[ticket] = told.append
+        host.tickets[ticket] = outcomes.append
         simulator._pump(host)
 
-    simulator._at(8.0, ask)
+    simulator._at(8.0, propose)
     simulator.run()
-    assert [(outcome.state, outcome.reason) for outcome in told] == [
+    assert [(outcome.state, outcome.reason) for outcome in outcomes] == [
         (OutcomeState.REJECTED, "n1 does not know version 2")
     ]
     leader = next(
         host.participant for host in simulator.hosts.values() if host.participant and host.participant.raft.role == 3
     )
-    assert len(leader.directory.known) == 3  # it has met all others, also those that never spoke to it by themselves
+    assert len(leader.directory.known) == 3  # includes nodes that have never connected to the leader by themselves
 
 
 def test_lagging_nodes_catch_up_by_snapshots() -> None:
-    """An observer whose upstream knows no leader any more finds another; a voter that comes late is sent a state."""
-    late = Schedule(
+    """An observer whose upstream has lost the leader chooses another; a voter that restarts late gets a snapshot."""
+    schedule = Schedule(
         14,
         60.0,
         (
@@ -197,7 +199,7 @@
             Fault(40.0, "cut", ("n1", "n4", "n5", "n6")),
         ),
     )
-    simulator = Simulator(late, 3, every=0.02)
+    simulator = Simulator(schedule, 3, every=0.02)
     history = simulator.run()
     assert violations(history) == {}
     applied = {
--- a/tests/test_consensus_subsystem.py
+++ b/tests/test_consensus_subsystem.py
@@ -1,4 +1,4 @@
-"""The consensus subsystem of one node on a store whose disk fails, fills up or is slow."""
+"""The consensus subsystem of one node on a store whose disk fails, is full or is slow."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 
 from .powercut import SimulatedFileSystem
 
-EVER = 40.0  # seconds in which anything that must come has come
+TIMEOUT_S = 40.0  # limit for any awaited condition
 
 
-async def until(holds: Callable[[], Awaitable[object]]) -> None:
-    """Wait until what is asked from outside is as it must be."""
-    by = time.monotonic() + EVER
-    while not await holds():
-        assert time.monotonic() < by, "it never came to hold"
+async def wait_until(condition: Callable[[], Awaitable[object]]) -> None:
+    """Wait until an asynchronous condition is true; fail after TIMEOUT_S."""
+    deadline = time.monotonic() + TIMEOUT_S
+    while not await condition():
+        assert time.monotonic() < deadline, "condition not met in time"
         await asyncio.sleep(0.1)
 
 
 class SingleNodeLinks:
-    """The cluster of one node."""
+    """Stand-in for the cluster links of a single node."""
 
     cluster = "fleet"
 
@@ -59,86 +59,86 @@
     )
 
 
-def test_failed_sync_halts_the_node_and_a_restart_has_what_was_committed() -> None:
+def test_failed_sync_halts_the_node_and_a_restart_recovers_committed_values() -> None:
     async def run() -> None:
         files = SimulatedFileSystem()
         store = Store.open("", files=files, segment_bytes=2**16, max_bytes=2**20)
-        part = subsystem(store)
-        part.start()
-        task = asyncio.create_task(part.run())
-        order = part.commands_with_arguments()["agree-set"]
-        await until(lambda: agreed(order, ["k", "v1"]))
+        node = subsystem(store)
+        node.start()
+        task = asyncio.create_task(node.run())
+        set_value = node.commands_with_arguments()["agree-set"]
+        await wait_until(lambda: is_committed(set_value, ["k", "v1"]))
         files.fail = lambda operation, name: OSError(5, "I/O error") if operation == "sync" else None
-        told = await order(["k", "v2"])
-        assert told.startswith("FAILURE unknown")
-        assert "I/O error" in part.commands()["agree"]() and part.commands()["agree"]().startswith(
+        answer = await set_value(["k", "v2"])
+        assert answer.startswith("FAILURE unknown")
+        assert "I/O error" in node.commands()["agree"]() and node.commands()["agree"]().startswith(
             "FAILURE takes no part"
         )
-        assert (await order(["k", "v3"])).startswith("FAILURE refused")
+        assert (await set_value(["k", "v3"])).startswith("FAILURE refused")
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        again = Store.open("", files=files.after("none"), segment_bytes=2**16, max_bytes=2**20)
-        part = subsystem(again)
-        part.start()
-        task = asyncio.create_task(part.run())
-        await until(lambda: agreed(part.commands_with_arguments()["agree-set"], ["other", "x"]))
-        assert (await part.commands_with_arguments()["agree-get"](["k"])).endswith(" v1\n")
-        with pytest.raises(ConfigError, match="the log in it is that of n1"):
-            subsystem(again, "n2")
+        recovered_store = Store.open("", files=files.after("none"), segment_bytes=2**16, max_bytes=2**20)
+        node = subsystem(recovered_store)
+        node.start()
+        task = asyncio.create_task(node.run())
+        await wait_until(lambda: is_committed(node.commands_with_arguments()["agree-set"], ["other", "x"]))
+        assert (await node.commands_with_arguments()["agree-get"](["k"])).endswith(" v1\n")
+        with pytest.raises(ConfigError, match="the log belongs to n1"):
+            subsystem(recovered_store, "n2")
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        again.close()
+        recovered_store.close()
 
     asyncio.run(run())
 
 
-def test_full_store_halts_the_node_until_there_is_room_and_a_slow_one_blocks_nothing_else() -> None:
+def test_full_store_halts_the_node_until_space_is_freed_and_a_slow_sync_does_not_block_the_event_loop() -> None:
     async def run() -> None:
         files = SimulatedFileSystem()
         store = Store.open("", files=files, segment_bytes=2**14, max_bytes=2**18)
-        part = subsystem(store)
-        part.start()
-        task = asyncio.create_task(part.run())
-        order = part.commands_with_arguments()["agree-set"]
-        await until(lambda: agreed(order, ["k", "v1"]))
-        filled: list[bytes] = []
+        node = subsystem(store)
+        node.start()
+        task = asyncio.create_task(node.run())
+        set_value = node.commands_with_arguments()["agree-set"]
+        await wait_until(lambda: is_committed(set_value, ["k", "v1"]))
+        filler_keys: list[bytes] = []
         with contextlib.suppress(StoreFullError):
             while True:
                 for size in (4000, 100):
-                    filled.append(b"%d" % len(filled))
-                    store.put(filled[-1], bytes(size), float("inf"))
+                    filler_keys.append(b"%d" % len(filler_keys))
+                    store.put(filler_keys[-1], bytes(size), float("inf"))
         value = "x" * 1000
-        await until(lambda: refused(order, ["k", value]))
-        assert part.commands()["agree"]().startswith("FAILURE takes no part")
-        for key in filled:
+        await wait_until(lambda: is_rejected(set_value, ["k", value]))
+        assert node.commands()["agree"]().startswith("FAILURE takes no part")
+        for key in filler_keys:
             store.delete(key)
-        await until(lambda: agreed(order, ["k", "v2"]))  # by itself
-        turns = 0
+        await wait_until(lambda: is_committed(set_value, ["k", "v2"]))  # without a restart of the process
+        iterations = 0
 
-        async def turn() -> None:
-            nonlocal turns
+        async def count_iterations() -> None:
+            nonlocal iterations
             while True:
                 await asyncio.sleep(0.01)
-                turns += 1
+                iterations += 1
 
         files.fail = lambda operation, name: time.sleep(1.2) if operation == "sync" else None
-        turning = asyncio.create_task(turn())
-        assert await agreed(order, ["k", "v3"])
-        assert turns > 20  # the loop went on while the disk worked
+        counter_task = asyncio.create_task(count_iterations())
+        assert await is_committed(set_value, ["k", "v3"])
+        assert iterations > 20  # the event loop kept running during the slow sync
         files.fail = lambda operation, name: None
-        turning.cancel()
+        counter_task.cancel()
         task.cancel()
-        await asyncio.gather(task, turning, return_exceptions=True)
+        await asyncio.gather(task, counter_task, return_exceptions=True)
         store.close()
 
     asyncio.run(run())
 
 
-async def refused(order: Callable[[list[str]], Awaitable[str]], words: list[str]) -> bool:
-    """It was not agreed."""
-    return not await agreed(order, words)
+async def is_rejected(set_value: Callable[[list[str]], Awaitable[str]], arguments: list[str]) -> bool:
+    """Return whether the value was not committed."""
+    return not await is_committed(set_value, arguments)
 
 
-async def agreed(order: Callable[[list[str]], Awaitable[str]], words: list[str]) -> bool:
-    """It was agreed."""
-    return (await order(words)).startswith("SUCCESS agreed")
+async def is_committed(set_value: Callable[[list[str]], Awaitable[str]], arguments: list[str]) -> bool:
+    """Return whether the value was committed."""
+    return (await set_value(arguments)).startswith("SUCCESS agreed")
