--- a/chutepin/cluster/__init__.py
+++ b/chutepin/cluster/__init__.py
@@ -1,9 +1,9 @@
-"""Cluster membership by SWIM and Lifeguard: which nodes are alive, which have departed, which links are bad.
+"""Cluster membership by SWIM with Lifeguard's extensions: live nodes, departed nodes and bad links.
 
-`detector.Detector` decides, without clock, socket or randomness of its own; `membership_view` holds what it knows,
-`messages` and `records` are its data, `frames` the wire format, `transport` the sockets, and `subsystem.Cluster` puts
-them together for a node. Imported only where the operator's file has a block `cluster`. `docs/membership.md` has the
-design, `docs/operators/cluster.md` the use."""
+`detector.Detector` is the sans-I/O protocol core and `membership_view` its state; `messages` and `records` define the
+data, `frames` the wire format and `transport` the sockets. `subsystem.Cluster` assembles them for a node. The package
+is imported only if the operator's file has a block `cluster`. `docs/membership.md` describes the design,
+`docs/operators/cluster.md` the operation."""
 
 from .detector import Answer, Detector, Send
 from .membership_view import MembershipEvent, PersistIncarnation
--- a/chutepin/cluster/budget.py
+++ b/chutepin/cluster/budget.py
@@ -1,11 +1,11 @@
 """The byte budget of dissemination and anti-entropy, a token bucket. Pure; time is an argument.
 
-Probes and acks are not limited by it: failure detection must not be late."""
+Probes and acks are exempt, so that failure detection is never delayed."""
 
 from __future__ import annotations
 
-BYTES_PER_SECOND = 6000  # sent; with what is received and with probes it stays under 16 KB a second
-BURST_S = 2.0  # of that rate, which an idle member saves up
+BYTES_PER_SECOND = 6000  # sent; keeps the total with probes and received bytes under 16 KB/s
+BURST_S = 2.0  # capacity of the bucket, in seconds at that rate
 
 
 class ByteBudget:
@@ -18,17 +18,17 @@
         self._updated_at = now
 
     def available(self, now: float) -> int:
-        """Return how many bytes may be sent now; negative after a message that was longer than that."""
+        """Return the number of bytes that may be sent now; negative after a message that exceeded the budget."""
         if now > self._updated_at:
             self._tokens = min(self._capacity, self._tokens + (now - self._updated_at) * self._rate)
             self._updated_at = now
         return int(self._tokens)
 
     def spend(self, now: float, size: int) -> None:
-        """Take so many bytes from the budget."""
+        """Subtract the bytes of a message from the budget."""
         self.available(now)
         self._tokens -= size
 
-    def delay(self, now: float, wanted: int) -> float:
-        """Return the seconds until so many bytes may be sent."""
-        return max(0.0, (wanted - self.available(now)) / self._rate)
+    def delay(self, now: float, size: int) -> float:
+        """Return the seconds until this many bytes may be sent."""
+        return max(0.0, (size - self.available(now)) / self._rate)
--- a/chutepin/cluster/context.py
+++ b/chutepin/cluster/context.py
@@ -1,4 +1,4 @@
-"""The state that all parts of the failure detector share. Pure; time is an argument."""
+"""The state that all components of the failure detector share. Pure; time is an argument."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class MemberContext:
-    """One member: its settings, its random numbers, what it knows, and how far it trusts itself."""
+    """The shared state of one member: settings, random generator, membership view, local health and byte budget."""
 
     settings: ClusterSetup
     rng: random.Random
@@ -22,19 +22,19 @@
     health: LocalHealth
     budget: ByteBudget  # of dissemination and anti-entropy
     last_active: float  # time of the last tick or packet
-    leaving: bool = False  # it has announced that it leaves
-    isolated: bool = False  # it hears less than half of the members it knows
+    leaving: bool = False  # this member has announced that it leaves
+    isolated: bool = False  # fewer than half of the known members are alive
 
     @property
     def me(self) -> Record:
-        """The member's own record."""
+        """The record of this member."""
         return self.view.me
 
     @property
     def active(self) -> bool:
-        """Whether it takes part: some member has accepted it, and no other process holds its name."""
+        """Return whether this member takes part in the protocol: it has joined, and no other process holds its name."""
         return self.view.joined and self.view.name_holder is None
 
     def scaled(self, timeout: float) -> float:
-        """A time-out in seconds, longer the worse this member's own health is (Lifeguard)."""
+        """Return the time-out in seconds, scaled by the local health of this member (Lifeguard)."""
         return timeout * self.health.timeout_multiplier
--- a/chutepin/cluster/datagram_drops.py
+++ b/chutepin/cluster/datagram_drops.py
@@ -1,4 +1,4 @@
-"""Datagrams that the system dropped because a socket's receive buffer was full, as Linux counts them."""
+"""The count of datagrams that Linux dropped because a socket's receive buffer was full."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def count_dropped(sock: socket.socket) -> int | None:
-    """Return how many datagrams for a socket were dropped since it was opened; None where the system doesn't tell."""
+    """Return the number of datagrams dropped since the socket was opened; None if the system has no such count."""
     inode = str(os.fstat(sock.fileno()).st_ino)
     for table in TABLES:
         try:
--- a/chutepin/cluster/detector.py
+++ b/chutepin/cluster/detector.py
@@ -1,10 +1,10 @@
 """The failure detector: SWIM with Lifeguard's changes and those of docs/membership.md.
 
-Pure: no clock, socket or randomness of its own. Times are seconds on a clock that does not run backwards. What is to be
-sent, stored or logged comes out as data by `drain_effects`, in order. The same object runs in the node and in the
-simulator.
+Sans-I/O: the caller supplies the time, the packets and the random generator. Times are seconds on a monotonic clock.
+`drain_effects` returns the packets to send, the values to store and the events to log, as data and in order. The node
+and the simulator run the same class.
 
-`Detector` receives packets and knows what is due when. Its parts share a `MemberContext`, and each has its own state:
+`Detector` dispatches packets and timers. Its components share a `MemberContext` and each keep their own state:
 `SendQueue` (packets, gossip), `StateExchange` (full state, anti-entropy), `LinkChecks`, `Suspicions`, `Probing`,
 `Joining` and `SenderCheck`."""
 
@@ -47,17 +47,17 @@
 __all__ = ["Answer", "Detector", "Effect", "Send"]
 
 HOUSEKEEPING_INTERVAL_S = 1.0
-LEAVE_NOTICES = 8  # members that a leaving one notifies directly
-VERIFIED_AFTER_EXCHANGE = 4  # of those that the other side of an exchange holds for dead: they are probed from here
-MAX_CORRECTIONS = 4  # sent for one packet
-STATE_MESSAGES = (Sync, BucketRecords, RecordRequest, Records)  # their updates are the sender's state, not changes
+MAX_LEAVE_NOTICES = 8  # members that a leaving member notifies directly
+MAX_VERIFIED_PER_EXCHANGE = 4  # members reported dead by the peer of a state exchange that are probed at once
+MAX_CORRECTIONS = 4  # newer records sent back in reply to one packet
+STATE_MESSAGES = (Sync, BucketRecords, RecordRequest, Records)  # carry the sender's state, not recent changes
 
 
 class Detector:
-    """One member of the cluster."""
+    """Failure detector and membership protocol of one cluster member."""
 
     def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
-        """`incarnation`: above that of every earlier process of this name, as far as that is known."""
+        """`incarnation`: higher than that of every known earlier process with this name."""
         address = f"{setup.listen.host}:{setup.listen.port}"
         me = Record(name, address, setup.region, setup.zone, incarnation, Status.ALIVE, name)
         view = MembershipView(me, setup.members, setup.remember)
@@ -71,42 +71,44 @@
         )
         self.joining = Joining(self.context, self.send_queue, self.state_exchange, self.probing, now)
         self._sender_check = SenderCheck(self.context, self.send_queue)
-        self._due = now  # when the next tick is due
+        self._next_wake_at = now  # when the next tick is due
         self._next_probe = now + setup.probe_every * rng.random()
         self._next_housekeeping = now + HOUSEKEEPING_INTERVAL_S * rng.random()
 
     @property
     def view(self) -> MembershipView:
-        """What this member knows of all."""
+        """The membership view of this member."""
         return self.context.view
 
     @property
     def health(self) -> LocalHealth:
-        """How far this member trusts itself."""
+        """The local health of this member (Lifeguard)."""
         return self.context.health
 
     @property
     def me(self) -> Record:
-        """The member's own record."""
+        """The record of this member."""
         return self.context.view.me
 
     @property
     def isolated(self) -> bool:
-        """Whether this member hears less than half of the members that it knows."""
+        """Return whether fewer than half of the known members are alive in this member's view."""
         return self.context.isolated
 
     def address(self, name: str) -> str | None:
-        """Where this member dials another one; None if that is unknown."""
+        """Return the address at which this member contacts another member; None if it is unknown."""
         return self.send_queue.address(name)
 
     def drain_effects(self) -> list[Effect]:
-        """Return what is to be done since the last call, in order."""
+        """Return the effects produced since the last call, in order."""
         return self.send_queue.drain_effects()
 
     def wake_at(self) -> float:
-        """Return when `tick` is due. To be called after every `tick` and `receive`: it tells what is late."""
-        self._due = max(self.context.last_active, self._next_due())
-        return self._due
+        """Return when `tick` is due.
+
+        Must be called after every `tick` and `receive`: the delay of the next call is measured against this time."""
+        self._next_wake_at = max(self.context.last_active, self._next_due())
+        return self._next_wake_at
 
     def _next_due(self) -> float:
         context = self.context
@@ -119,7 +121,7 @@
         return min(at, self.probing.next_due(), self.suspicions.next_due(), self.link_checks.next_due())
 
     def leave(self, now: float) -> None:
-        """Announce that this member leaves; from here on it probes nobody."""
+        """Announce that this member leaves, and stop probing."""
         context = self.context
         view = context.view
         view.me = view.me._replace(status=Status.LEFT)
@@ -127,18 +129,18 @@
         context.leaving = True
         self._cancel_pending()
         live = view.table.live()
-        for name in context.rng.sample(live, min(LEAVE_NOTICES, len(live))):
+        for name in context.rng.sample(live, min(MAX_LEAVE_NOTICES, len(live))):
             self.send_queue.send(name, Gossip(), [view.me])
 
     def restart(self, now: float, incarnation: int) -> None:
-        """Go on after another process of this node has used its name.
+        """Resume after another process of this node has acted under this member's name.
 
-        The process incarnation is above that process's one, and nothing is pending."""
+        Takes a process incarnation above that of the other process, and cancels all pending probes and checks."""
         self.view.start_process_incarnation(incarnation)
         self._cancel_pending()
         self.send_queue.restart(now)
         self.probing.restart(now)
-        self.state_exchange.pace.due = now
+        self.state_exchange.repair_schedule.due = now
         self.joining.next_attempt = now
         self._next_probe = now
         self._next_housekeeping = now + HOUSEKEEPING_INTERVAL_S
@@ -149,11 +151,11 @@
         self.link_checks.clear()
 
     def receive(self, now: float, packet: Packet, stream: bool = False) -> None:
-        """Process a packet; `stream`: it came over TCP, so that it may be answered with `Answer`."""
-        self._absorb_delay(now)
+        """Process a packet. `stream`: it was received over TCP and may be answered with `Answer`."""
+        self._compensate_delay(now)
         view = self.context.view
         view.counts["received"] += 1
-        if not self._sender_check.is_addressed_here(packet):
+        if not self._sender_check.should_process(packet):
             return
         record = self._sender_check.sender_record(packet)
         if record is None:
@@ -183,39 +185,39 @@
         self._handle(now, packet, member, sender_live)
 
     def _merge_updates(self, now: float, packet: Packet, sender: str, sender_live: bool) -> None:
-        """Merge a packet's updates, and correct a sender that has older ones.
+        """Merge a packet's updates, and send newer records to a sender whose records are stale.
 
-        Of a sender that is dead here only updates about this member count: these can be refuted, and so the sides of a
-        partition come together."""
+        From a sender that is dead in this view only updates about this member are merged: this member refutes them,
+        which lets the sides of a partition merge."""
         view = self.context.view
         corrections: list[Record | ShortRecord] = []
         full_state = isinstance(packet.body, STATE_MESSAGES)
-        spread = not isinstance(packet.body, Sync)  # what a joining member learns all others know
+        disseminate = not isinstance(packet.body, Sync)  # the rest of the cluster already holds the full state
         for update in packet.updates:
             if not sender_live and (isinstance(update, LinkReport) or update.name != view.me.name):
                 continue
             record = view.expand_record(update) if isinstance(update, ShortRecord) else update
             if record is None:
-                view.counts["unknown_updates"] += 1  # anti-entropy will bring the whole record
+                view.counts["unknown_updates"] += 1  # anti-entropy transfers the whole record later
                 continue
-            result = view.merge(now, record, full_state, spread)
+            result = view.merge(now, record, full_state, disseminate)
             if result is MergeResult.STALE and not full_state and len(corrections) < MAX_CORRECTIONS:
                 correction = self._known_record(update)
-                if correction.live or not self.context.isolated:  # cut off, it has no say on who is dead
+                if correction.live or not self.context.isolated:  # an isolated member does not spread deaths
                     corrections.append(correction)
         if corrections:
             view.counts["corrections_sent"] += 1
             self.send_queue.send(sender, Gossip(), corrections)
-        self.probing.probe_reported_suspects(now, VERIFIED_AFTER_EXCHANGE if full_state else 0)
+        self.probing.probe_reported_suspects(now, MAX_VERIFIED_PER_EXCHANGE if full_state else 0)
 
     def _known_record(self, update: Update) -> Record | ShortRecord:
-        """Return the known record of an update's subject, short if that was."""
+        """Return the known record of an update's subject, in short form if the update is short."""
         assert not isinstance(update, LinkReport)
         record = self.view.table.members[update.name].record
         return shorten(record) if isinstance(update, ShortRecord) else record
 
     def _handle(self, now: float, packet: Packet, member: Member, sender_live: bool) -> None:
-        """Do what the packet's message asks for."""
+        """Dispatch a packet to the handler of its message."""
         sender = member.record.name
         refutable = [] if member.record.live else [member.record]
         match packet.body:
@@ -237,20 +239,20 @@
             self.state_exchange.compare_digest(now, sender, packet.digest)
 
     def _handle_anti_entropy(self, now: float, packet: Packet, sender: str, sender_live: bool) -> None:
-        """Do what a message of anti-entropy asks for; other messages only carry updates."""
+        """Dispatch an anti-entropy message. All other messages only carry updates."""
         match packet.body:
             case BucketDigests() as digests:
                 self.state_exchange.handle_digests(now, sender, digests)
             case BucketRecords() as records:
                 self.state_exchange.handle_bucket_records(now, sender, records, packet.updates, sender_live)
-                self.probing.probe_reported_suspects(now, VERIFIED_AFTER_EXCHANGE)
+                self.probing.probe_reported_suspects(now, MAX_VERIFIED_PER_EXCHANGE)
             case RecordRequest() as request:
                 self.state_exchange.handle_record_request(now, sender, request)
             case _:
                 pass
 
     def _last_heard_ms(self, now: float, ping: Ping, sender: str) -> int:
-        """Return how long ago the member that wants to know was heard directly, in milliseconds; -1: not lately."""
+        """Return the milliseconds since the requester's last direct datagram; -1 if none was received."""
         requester = ping.requester or sender
         if requester == sender:
             return 0
@@ -265,8 +267,8 @@
             self.send_queue.reset_sequence()
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
-        self._absorb_delay(now)
+        """Run all timers that are due."""
+        self._compensate_delay(now)
         context = self.context
         if context.leaving:
             self.send_queue.gossip(now)
@@ -276,9 +278,9 @@
         if context.active:
             self._advance_pending(now)
             if now >= self._next_probe:
-                # Drawn, lest members that started together go on probing at the same moments.
-                drawn = 0.9 + 0.2 * context.rng.random()
-                self._next_probe = now + context.scaled(context.settings.probe_every) * drawn
+                # Jitter keeps members that started together from probing in step.
+                jitter = 0.9 + 0.2 * context.rng.random()
+                self._next_probe = now + context.scaled(context.settings.probe_every) * jitter
                 self.probing.start_scheduled(now)
             self.send_queue.gossip(now)
         else:
@@ -287,16 +289,16 @@
             self.joining.attempt(now)
         if now >= self._next_housekeeping:
             self._next_housekeeping = now + HOUSEKEEPING_INTERVAL_S
-            self._keep_house(now)
+            self._run_housekeeping(now)
 
-    def _absorb_delay(self, now: float) -> None:
-        """Shift all deadlines by the time for which this member could not act.
+    def _compensate_delay(self, now: float) -> None:
+        """Shift all deadlines by the time for which this process did not run.
 
-        What it could not hear in that time is no evidence against anybody."""
+        Packets that it did not process in that time are no evidence of a failure of other members."""
         context = self.context
-        delay = now - self._due
+        delay = now - self._next_wake_at
         context.last_active = now
-        self._due = max(now, self._due)
+        self._next_wake_at = max(now, self._next_wake_at)
         context.health.longest_delay = max(context.health.longest_delay, delay)
         if delay <= context.settings.probe_timeout / 2:
             return
@@ -309,7 +311,7 @@
         self.link_checks.postpone(delay)
 
     def _advance_pending(self, now: float) -> None:
-        """Advance the probes, suspicions and link checks that are due."""
+        """Advance the pending probes, suspicions and link checks that are due."""
         self.probing.advance(now)
         for suspicion in self.suspicions.due(now):
             if self.suspicions.advance(now, suspicion):
@@ -317,20 +319,20 @@
         for check in self.link_checks.due(now):
             self.link_checks.advance(now, check)
 
-    def _keep_house(self, now: float) -> None:
-        """Forget departed members, note isolation, and check bad links again."""
+    def _run_housekeeping(self, now: float) -> None:
+        """Remove expired members, detect isolation, and schedule rechecks of bad links."""
         context = self.context
         view = context.view
         view.expire(now)
         known = 1 + len(view.table.members) - view.table.count(Status.LEFT)
-        hears = 1 + view.table.count(Status.ALIVE)
-        if len(view.queue) * MAX_ROUTINE_REPEATS > MAX_PENDING_REPEATS:  # updates are dropped before all heard them
-            self.state_exchange.pace.hurry(now)
-        isolated = 2 * hears < known
+        reachable = 1 + view.table.count(Status.ALIVE)
+        if len(view.queue) * MAX_ROUTINE_REPEATS > MAX_PENDING_REPEATS:  # updates leave the queue before reaching all
+            self.state_exchange.repair_schedule.shorten_pause(now)
+        isolated = 2 * reachable < known
         if isolated != context.isolated:
             context.isolated = isolated
-            view.record_event("isolated" if isolated else "in_touch", view.me.name, hears=hears, known=known)
+            view.record_event("isolated" if isolated else "in_touch", view.me.name, hears=reachable, known=known)
         self.link_checks.recheck_bad_links(now)
-        # With nobody to probe no answer is missing.
+        # Without live members there is nothing to probe, so the lack of acks does not indicate isolation.
         if not view.table.live():
             context.health.last_answered_at = now
--- a/chutepin/cluster/drop_log.py
+++ b/chutepin/cluster/drop_log.py
@@ -1,4 +1,4 @@
-"""Counters and log lines of what the transport drops."""
+"""Counters and rate-limited log lines for packets that the transport drops."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 from ..counters import Counters
 from ..logs import Log
 
-LOG_INTERVAL_S = 1.0  # between log lines of one reason
+LOG_INTERVAL_S = 1.0  # between two log lines with the same reason
 
 
 class DropLog:
-    """Counts everything that is dropped, and logs it at a bounded rate."""
+    """Counter and rate-limited log of dropped packets."""
 
     def __init__(self, counters: Counters, log: Log) -> None:
         self._counters = counters
         self._log = log
-        self._logged: dict[str, tuple[float, int]] = {}  # by reason: when it was logged, drops since
+        self._logged: dict[str, tuple[float, int]] = {}  # by reason: time of the last log line, drops since
 
     def drop(self, reason: str) -> None:
-        """Count and log something received that is dropped."""
+        """Count and log a received frame that is dropped."""
         self._counters.add(f"cluster.drop.{reason}")
         self._event(reason)
 
@@ -29,7 +29,7 @@
         self._event("send_failed", why=str(error))
 
     def _event(self, reason: str, **fields: object) -> None:
-        """Log one line in an interval for each reason, with the number of drops."""
+        """Log at most one line per interval and reason, with the number of drops since the last one."""
         now = time.monotonic()
         logged_at, count = self._logged.get(reason, (-LOG_INTERVAL_S, 0))
         if now < logged_at + LOG_INTERVAL_S:
--- a/chutepin/cluster/errors.py
+++ b/chutepin/cluster/errors.py
@@ -4,4 +4,4 @@
 
 
 class ClusterError(Exception):
-    """Something received or announced by another member can't be used."""
+    """Data received from another member, or an address that it announces, is invalid."""
--- a/chutepin/cluster/joining.py
+++ b/chutepin/cluster/joining.py
@@ -1,4 +1,4 @@
-"""Joining by seeds, and contact with members that are away, so that the sides of a partition find each other. Pure."""
+"""Joining through seeds, and reconnecting to dead members so that the sides of a partition merge. Sans-I/O."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from .send_queue import SendQueue
 from .state_exchange import StateExchange
 
-CONTACTS_PER_SECOND = 12.0  # of all members together with one seed or one dead member
-SEED_CONTACT_CHANCE = 0.25  # in an attempt of a member that has joined, with few members
-MAX_RECONNECT_PROBES = 8  # at the same time, where the dead are more than the live
-REFUSED_INTERVALS = 5  # between attempts while another process holds the name
+CONTACTS_PER_SECOND = 12.0  # target rate, over all members, of contacts with one seed or one dead member
+SEED_CONTACT_CHANCE = 0.25  # per attempt of a joined member, in a small cluster
+MAX_RECONNECT_PROBES = 8  # per attempt, when dead members outnumber live ones
+REFUSED_INTERVALS = 5  # times `join-every` between attempts while another process holds the name
 
 
 class Joining:
-    """When one member contacts seeds and dead members."""
+    """The schedule by which one member contacts seeds and dead members."""
 
     def __init__(
         self,
@@ -36,18 +36,18 @@
         self._seeds = [seed for seed in settings.seeds if seed[0] != context.me.name]
         self.next_attempt = now
         if not self._seeds:
-            context.view.joined = True  # it is the first member
+            context.view.joined = True  # without seeds, this is the first member of the cluster
 
     def next_due(self) -> float:
-        """When the next attempt is due."""
+        """Return when the next attempt is due."""
         return self.next_attempt if self._seeds or self.dead_count() else math.inf
 
     def dead_count(self) -> int:
-        """Return the number of dead members, which may be back."""
+        """Return the number of dead members, which are candidates for reconnect probes."""
         return self._context.view.table.count(Status.DEAD)
 
     def attempt(self, now: float) -> None:
-        """Contact a seed that is away, and probe some of the dead."""
+        """Contact a seed that is not live in this view, and probe some dead members."""
         context = self._context
         self.next_attempt = now + context.settings.join_every * (0.75 + context.rng.random() / 2)
         self._contact_seed(now)
@@ -62,7 +62,7 @@
         chance = SEED_CONTACT_CHANCE * min(1.0, CONTACTS_PER_SECOND / view.live_count)
         if away and (not view.joined or context.rng.random() < chance):
             name, address = context.rng.choice(away)
-            self._state_exchange.contact(now, name, self._send_queue.seed_address(name, address))
+            self._state_exchange.exchange_state(now, name, self._send_queue.seed_address(name, address))
             if view.name_holder is not None:
                 self.next_attempt = now + REFUSED_INTERVALS * context.settings.join_every
 
@@ -71,7 +71,8 @@
         view = context.view
         dead = self.dead_count()
         if context.active and dead and context.rng.random() < CONTACTS_PER_SECOND * dead / view.live_count:
-            # The smaller side of a partition probes several, so that all of the larger one soon hear what to refute.
+            # The smaller side of a partition probes several members per attempt, so that all members of the larger
+            # side soon receive the records to refute.
             count = min(MAX_RECONNECT_PROBES, dead, 1 + dead // view.live_count)
             for name in context.rng.sample(view.table.with_status(Status.DEAD), count):
                 self._probing.start(now, name, ProbeReason.RECONNECT)
--- a/chutepin/cluster/link_checks.py
+++ b/chutepin/cluster/link_checks.py
@@ -1,4 +1,4 @@
-"""Link checks: does a member that only helpers can reach hear this one, and does this one hear it? Pure."""
+"""Link checks: find the failed direction of the link to a member that only indirect probes reach. Sans-I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class LinkChecks:
-    """The checks that one member makes of its own links."""
+    """The checks of one member's own links."""
 
     def __init__(self, context: MemberContext, send_queue: SendQueue) -> None:
         self._context = context
@@ -20,8 +20,8 @@
         self._subject_by_nonce: dict[int, str] = {}
         self._recheck_at: dict[str, float] = {}
 
-    def helpers(self, subject: str) -> list[str]:
-        """Draw helpers for an indirect probe: none over a link that is known to be bad, if there are others."""
+    def choose_helpers(self, subject: str) -> list[str]:
+        """Choose random helpers for an indirect probe, preferring members without known bad links."""
         view = self._context.view
         live = view.table.live()
         unreliable = {name for link in view.links.own for name in link}
@@ -31,11 +31,11 @@
         return self._context.rng.sample(others, min(self._context.settings.helpers, len(others)))
 
     def is_bad(self, subject: str) -> bool:
-        """Whether a link with this member is known to be bad."""
+        """Return whether the link to or from this subject is recorded as bad."""
         return any(subject in link for link in self._context.view.links.own)
 
     def start(self, now: float, subject: str, pings: int) -> None:
-        """Begin to check a link with so many direct pings, unless a check is under way."""
+        """Start a check of a link with so many direct pings, unless one is pending."""
         if subject in self._by_subject or len(self._by_subject) >= MAX_LINK_CHECKS:
             return
         self._by_subject[subject] = LinkCheck(subject, now, now, pings)
@@ -45,7 +45,7 @@
         return [check for check in self._by_subject.values() if now >= check.next_step_at]
 
     def advance(self, now: float, check: LinkCheck) -> None:
-        """Send one more direct ping; then ask helpers what the other side has heard; then conclude."""
+        """Run the next step: a direct ping while any are left, then PingReq to helpers, then the conclusion."""
         context = self._context
         if not context.view.table.is_live(check.subject) or check.helpers_asked:
             self._conclude(now, check)
@@ -60,18 +60,18 @@
             return
         check.helpers_asked = True
         check.next_step_at = now + context.scaled(context.settings.probe_every)
-        for helper in self.helpers(check.subject):
+        for helper in self.choose_helpers(check.subject):
             self._send_queue.send(helper, PingReq(nonce, check.subject))
 
     def handle_ack(self, now: float, nonce: int, subject: str) -> None:
-        """Take in a direct ack, if it is one to a ping of a check."""
+        """Process a direct ack, if it answers a ping of a link check."""
         if self._subject_by_nonce.get(nonce) == subject and subject in self._by_subject:
             check = self._by_subject[subject]
             check.acked = True
             self._conclude(now, check)
 
     def handle_result(self, now: float, result: ProbeResult) -> bool:
-        """Take in what a helper found; false if no check had asked for it."""
+        """Process a helper's result; return False if it belongs to no link check."""
         check = self._by_subject.get(result.subject)
         if check is None or result.nonce not in check.nonces:
             return False
@@ -81,7 +81,7 @@
         return True
 
     def _conclude(self, now: float, check: LinkCheck) -> None:
-        """End a check and record what is proven: what the other side has heard, or that it was heard here."""
+        """End a check, and record the direction or directions of the link whose state it has proven."""
         del self._by_subject[check.subject]
         for nonce in check.nonces:
             self._subject_by_nonce.pop(nonce, None)
@@ -91,24 +91,24 @@
         if check.acked:
             self.record(now, check.subject, True, True)
         elif check.last_heard_ms is not None:
-            reaches = 0 <= check.last_heard_ms <= 1000 * (now - check.started_at)
-            heard = member.last_heard >= check.started_at
-            # Where the own pings do not arrive no answer was to be expected, so silence proves nothing.
-            self.record(now, check.subject, reaches, heard if reaches or heard else None)
+            outbound_works = 0 <= check.last_heard_ms <= 1000 * (now - check.started_at)
+            inbound_works = member.last_heard >= check.started_at
+            # If the own pings do not arrive, the subject has nothing to ack, so missing acks prove nothing.
+            self.record(now, check.subject, outbound_works, inbound_works if outbound_works or inbound_works else None)
 
-    def record(self, now: float, subject: str, reaches: bool, heard: bool | None) -> None:
-        """Record the state of the link to a member (`reaches`) and of that from it (`heard`; None: not known)."""
+    def record(self, now: float, subject: str, outbound_works: bool, inbound_works: bool | None) -> None:
+        """Record the state of the link to a member and of the link from it (None: unknown)."""
         view = self._context.view
-        view.record_link(now, view.me.name, subject, not reaches)
-        if heard is not None:
-            view.record_link(now, subject, view.me.name, not heard)
+        view.record_link(now, view.me.name, subject, not outbound_works)
+        if inbound_works is not None:
+            view.record_link(now, subject, view.me.name, not inbound_works)
         if self.is_bad(subject):
             self._recheck_at[subject] = now + self._context.settings.link_every
         else:
             self._recheck_at.pop(subject, None)
 
     def recheck_bad_links(self, now: float) -> None:
-        """Begin the checks that are due of links known to be bad."""
+        """Start the due rechecks of bad links."""
         for subject, at in list(self._recheck_at.items()):
             if not self._context.view.table.is_live(subject):
                 del self._recheck_at[subject]
@@ -117,18 +117,18 @@
                 self.start(now, subject, LINK_RECHECK_PINGS)
 
     def next_due(self) -> float:
-        """When the next step of a check is due."""
+        """Return when the next step of a check is due."""
         if not self._by_subject:
             return math.inf
         return min(check.next_step_at for check in self._by_subject.values())
 
     def postpone(self, seconds: float) -> None:
-        """Shift all deadlines."""
+        """Shift all deadlines by so many seconds."""
         for check in self._by_subject.values():
             check.started_at += seconds
             check.next_step_at += seconds
 
     def clear(self) -> None:
-        """Drop all checks under way."""
+        """Cancel all pending checks."""
         self._by_subject.clear()
         self._subject_by_nonce.clear()
--- a/chutepin/cluster/link_table.py
+++ b/chutepin/cluster/link_table.py
@@ -1,4 +1,4 @@
-"""The table of bad links, each in one direction: found by this member itself, and reported by others. Pure."""
+"""The table of bad links, each in one direction: those found by this member, and those reported by others. Pure."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class LinkTable:
-    """Bad links by reporter: at most `MAX_LINKS` each. Links beyond that are counted in `unreported`."""
+    """Bad links by reporter, at most `MAX_LINKS` each. Own links beyond that are counted in `unreported`."""
 
     me: str
     process_incarnation: int
@@ -28,12 +28,12 @@
     _reports: dict[str, _PeerReport] = field(default_factory=dict)
 
     def _toggle_digest(self, reporter: str, process_incarnation: int, version: int) -> None:
-        """Add a report to the digest, or remove it. A reporter that never had a bad link adds nothing."""
+        """Add a report to the digest, or remove it. Version 0 adds nothing: its reporter never had a bad link."""
         if version:
             self.digest ^= zlib.crc32(f"{reporter} {process_incarnation} {version}".encode())
 
     def record(self, now: float, source: str, target: str, bad: bool) -> bool:
-        """Record that a link of this member is bad, or good again; whether that is a change."""
+        """Record that a link of this member is bad or good; return whether that is a change."""
         if bad == ((source, target) in self.own):
             return False
         if bad and len(self.own) >= MAX_LINKS:
@@ -52,13 +52,13 @@
         self._toggle_digest(self.me, self.process_incarnation, self.version)
 
     def set_process_incarnation(self, process_incarnation: int) -> None:
-        """Report with a new process incarnation of this member."""
+        """Use a new process incarnation of this member in its reports."""
         self._toggle_digest(self.me, self.process_incarnation, self.version)
         self.process_incarnation = process_incarnation
         self._toggle_digest(self.me, self.process_incarnation, self.version)
 
     def report(self, now: float) -> LinkReport:
-        """Return this member's own report."""
+        """Return the report of this member's own bad links."""
         return LinkReport(
             self.me,
             self.process_incarnation,
@@ -70,7 +70,7 @@
         )
 
     def merge(self, now: float, links: LinkReport) -> bool:
-        """Merge another member's report; whether it is newer than the known one."""
+        """Merge another member's report; return whether it is newer than the known one."""
         known = self._reports.get(links.reporter)
         if links.reporter == self.me or (
             known and (links.process_incarnation, links.version) <= (known.process_incarnation, known.version)
@@ -102,21 +102,21 @@
         ]
 
     def forget(self, name: str) -> bool:
-        """Forget a departed member's report and the links with it; whether this member's own report has changed."""
+        """Remove a departed member's report and the own links with it; return whether the own report has changed."""
         if (known := self._reports.pop(name, None)) is not None:
             self._toggle_digest(name, known.process_incarnation, known.version)
-        mine = [link for link in self.own if name in link]
-        for link in mine:
+        own_links = [link for link in self.own if name in link]
+        for link in own_links:
             del self.own[link]
-        if mine:
+        if own_links:
             self._advance_version()
-        return bool(mine)
+        return bool(own_links)
 
     def bad_links(self, live: set[str]) -> dict[tuple[str, str], float]:
-        """Return the bad links between live members, with the time since when, by the earliest report."""
+        """Return the bad links between live members, each with the earliest time from which it is reported bad."""
         found: dict[tuple[str, str], float] = {}
-        for since_of in [self.own, *(report.since for report in self._reports.values())]:
-            for link, since in since_of.items():
+        for since_by_link in [self.own, *(report.since for report in self._reports.values())]:
+            for link, since in since_by_link.items():
                 if link[0] in live and link[1] in live:
                     found[link] = min(since, found.get(link, since))
         return found
--- a/chutepin/cluster/member_table.py
+++ b/chutepin/cluster/member_table.py
@@ -1,4 +1,4 @@
-"""The table of all other members, bounded, with their records and what was heard of them. Pure; time is an argument."""
+"""The bounded table of all other members: their records and the state of their packets. Pure; time is an argument."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 from .records import MergeResult, Record, Status, compare_records
 
-REPLAY_WINDOW_PACKETS = 256  # packets of one sender that may arrive out of order
+REPLAY_WINDOW_PACKETS = 256  # how far behind the highest sequence number a packet may arrive
 
 
 @dataclass(slots=True)
 class ReplayWindow:
-    """Which packets of one process incarnation of a sender have arrived, so that none is processed twice."""
+    """The recent sequence numbers of one process incarnation of a sender, to detect replayed packets."""
 
     highest: int = -1
-    seen: int = 0  # a bit for each of the last sequence numbers
+    seen: int = 0  # bitmap of recent sequence numbers; bit 0 is the highest
 
     def accept(self, sequence: int) -> bool:
-        """Note a sequence number; false for one that came before, or is too old to tell."""
+        """Record a sequence number; return False for a duplicate, or one too old for the window."""
         if sequence > self.highest:
             self.seen = (self.seen << min(sequence - self.highest, REPLAY_WINDOW_PACKETS) | 1) & (
                 (1 << REPLAY_WINDOW_PACKETS) - 1
@@ -35,91 +35,91 @@
 
 @dataclass(slots=True)
 class Member:
-    """One other member, and what was heard of it."""
+    """The state kept for one other member."""
 
     record: Record
-    changed_at: float  # when the record was merged
-    digest: int = 0  # of the record, in the digest of the view; 0 while it is not live
-    position: int = -1  # in the list of live members; -1 while it is not live
-    process_incarnation: int = 0  # of the process that was heard last
-    last_heard: float = -math.inf  # when its last datagram came directly
-    stale_notice_sent_at: float = -math.inf  # that a later process of its name is known
-    suspected_by: tuple[str, ...] = ()  # members that suspect it at this incarnation
-    window: ReplayWindow | None = None  # None before its first datagram: most members are rarely heard directly
+    changed_at: float  # when the record was last replaced
+    digest: int = 0  # the record's part of the view digest; 0 while the member is not live
+    position: int = -1  # index in the list of live members; -1 while the member is not live
+    process_incarnation: int = 0  # the highest one received from this member
+    last_heard: float = -math.inf  # when the last datagram from this member arrived
+    stale_notice_sent_at: float = -math.inf  # when the last StaleProcess notice was sent to this member
+    suspected_by: tuple[str, ...] = ()  # members that suspect this one at its current incarnation
+    window: ReplayWindow | None = None  # created with the first datagram, as most members rarely send any to this one
 
     def set_process_incarnation(self, process_incarnation: int) -> None:
-        """Note that another process uses its name, with its own sequence numbers."""
+        """Set the process incarnation, and reset the replay window: the new process has its own sequence numbers."""
         self.process_incarnation = process_incarnation
         self.window = None
 
     def accept_sequence(self, sequence: int) -> bool:
-        """Note a datagram's sequence number; false for one that came before, or is too old to tell."""
+        """Record a datagram's sequence number; return False for a duplicate, or one too old for the window."""
         if self.window is None:
             self.window = ReplayWindow()
         return self.window.accept(sequence)
 
 
 def digest_of(record: Record) -> int:
-    """Return what a live record adds to the digest of a view. A suspicion adds nothing, as it ends by itself."""
+    """Return a live record's part of the view digest. It ignores suspicions, which end on their own."""
     text = f"{record.name} {record.address} {record.region} {record.zone} {record.incarnation}"
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=7).digest())
 
 
-LEFT_RETENTION_S = 300.0  # for which members that left are remembered, at the most: restarts take less
+LEFT_RETENTION_S = 300.0  # upper limit of the retention of members that left; a restart takes less
 _GROUPED = (Status.SUSPECT, Status.DEAD, Status.LEFT)
 
 
 class MemberTable:
     """All other members by name.
 
-    The time of an operation does not grow with the table, but for those that return lists."""
+    Operations take constant time, except those that return lists."""
 
-    def __init__(self, max_names: int, remember: float) -> None:
-        """`max_names`: departed members included. `remember`: seconds for which the dead are remembered."""
+    def __init__(self, max_names: int, dead_retention_s: float) -> None:
+        """`max_names`: limit that includes departed members. `dead_retention_s`: retention of dead members."""
         self._max_names = max_names
-        self._retention_s = {Status.DEAD: remember, Status.LEFT: min(remember, LEFT_RETENTION_S)}
+        self._retention_s = {Status.DEAD: dead_retention_s, Status.LEFT: min(dead_retention_s, LEFT_RETENTION_S)}
         self.members: dict[str, Member] = {}
-        self.digest = 0  # of the live members
-        self.rejected = 0  # names that found no room
-        # Members that are not alive, by status, in the order in which they got it.
+        self.digest = 0  # XOR of the digests of the live members
+        self.rejected = 0  # records rejected because the table was full
+        # Names of members that are not alive, by status, in the order in which they changed to it.
         self._groups: dict[Status, dict[str, None]] = {status: {} for status in _GROUPED}
         self._live: list[str] = []
 
     def live(self) -> list[str]:
-        """Return the names of all that are alive or suspect. Not to be changed."""
+        """Return the names of all alive or suspect members. The caller must not modify the list."""
         return self._live
 
     def is_live(self, name: str) -> bool:
-        """Whether a member is alive or suspect."""
+        """Return whether a member is alive or suspect."""
         member = self.members.get(name)
         return member is not None and member.position >= 0
 
     def with_status(self, status: Status) -> list[str]:
-        """Return the names of all with this status."""
+        """Return the names of all members with this status."""
         if status is Status.ALIVE:
             return [name for name in self._live if name not in self._groups[Status.SUSPECT]]
         return list(self._groups[status])
 
     def count(self, status: Status) -> int:
-        """Return how many have this status."""
+        """Return the number of members with this status."""
         if status is Status.ALIVE:
             return len(self._live) - len(self._groups[Status.SUSPECT])
         return len(self._groups[status])
 
     def put(self, now: float, record: Record) -> MergeResult:
-        """Merge a record, if it takes precedence over the known one; REJECTED also where there is no room."""
+        """Merge a record that takes precedence over the known one; REJECTED also if the table is full."""
         member = self.members.get(record.name)
         if member is None:
             if not self._make_room():
                 self.rejected += 1
                 return MergeResult.REJECTED
             self.members[record.name] = member = Member(record, now)
-            self._enter(member)
+            self._index(member)
             return MergeResult.ACCEPTED
         old = member.record
         result = compare_records(record, old)
         if result is MergeResult.ACCEPTED:
-            if record.address != old.address:  # another process: what was heard of the old one does not count
+            if record.address != old.address:  # another process: reset the packet state of the old one
                 member.set_process_incarnation(0)
                 member.last_heard = -math.inf
             if (record.incarnation, record.address) != (old.incarnation, old.address) or not record.live:
@@ -129,33 +129,33 @@
         return result
 
     def replace(self, member: Member, record: Record) -> None:
-        """Replace a member's record, and keep groups, list and digest consistent with it."""
+        """Replace a member's record, and update the groups, the live list and the digest."""
         old = member.record
         if old.status in _GROUPED:
             del self._groups[old.status][old.name]
         member.record = record
-        if member.position >= 0 and record.live and old[:5] == record[:5]:  # a suspicion, or the end of one
-            self._group(record)
+        if member.position >= 0 and record.live and old[:5] == record[:5]:  # only alive <-> suspect
+            self._add_to_group(record)
             return
-        self._leave(member)
-        self._enter(member)
+        self._unindex(member)
+        self._index(member)
 
-    def _group(self, record: Record) -> None:
+    def _add_to_group(self, record: Record) -> None:
         if record.status in _GROUPED:
             self._groups[record.status][record.name] = None
 
-    def _enter(self, member: Member) -> None:
-        """Add a record to its group, and a live one to the list and the digest."""
+    def _index(self, member: Member) -> None:
+        """Add a member to the group of its status and, if live, to the live list and the digest."""
         record = member.record
-        self._group(record)
+        self._add_to_group(record)
         if record.live:
             member.position = len(self._live)
             self._live.append(record.name)
             member.digest = digest_of(record)
             self.digest ^= member.digest
 
-    def _leave(self, member: Member) -> None:
-        """Remove a record from the list of live members and from the digest; the last of the list takes its place."""
+    def _unindex(self, member: Member) -> None:
+        """Remove a member from the live list and the digest. The last entry of the list takes its place."""
         if member.position < 0:
             return
         last = self._live.pop()
@@ -166,7 +166,7 @@
         member.position, member.digest = -1, 0
 
     def _make_room(self) -> bool:
-        """Whether one more name fits, after forgetting the oldest departed member if need be."""
+        """Make room for one more name, removing the oldest departed member if needed; return whether there is room."""
         if len(self.members) < self._max_names:
             return True
         oldest = [next(iter(self._groups[status])) for status in (Status.DEAD, Status.LEFT) if self._groups[status]]
@@ -176,18 +176,18 @@
         return True
 
     def remove(self, name: str) -> None:
-        """Forget a name."""
+        """Remove a name from the table."""
         member = self.members[name]
         self._groups.get(member.record.status, {}).pop(name, None)
-        self._leave(member)
+        self._unindex(member)
         del self.members[name]
 
     def expired(self, now: float) -> list[str]:
-        """Return the departed members whose retention is over."""
+        """Return the names of departed members whose retention time has passed."""
         found = []
         for status, retention_s in self._retention_s.items():
             for name in self._groups[status]:
                 if now - self.members[name].changed_at <= retention_s:
-                    break  # the rest departed later
+                    break  # the group is ordered by time of departure
                 found.append(name)
         return found
--- a/chutepin/cluster/membership_view.py
+++ b/chutepin/cluster/membership_view.py
@@ -1,7 +1,7 @@
-"""The membership view: what one member knows of all, itself included, and the updates that it spreads.
+"""The membership view: the records of all members that one member knows, its own included, and its gossip queue.
 
-Merges records by the rules of docs/membership.md. Whom to probe and to suspect is for the detector. Pure; time is an
-argument."""
+Merges records by the rules of docs/membership.md. The detector decides which members to probe and to suspect. Pure;
+time is an argument."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipEvent:
-    """Something that happened to a member, for the log and for operators."""
+    """A change in the state of a member or a link, for the log and for operators."""
 
     kind: str
     member: str
@@ -27,28 +27,28 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistIncarnation:
-    """Store this incarnation, so that it is known after a restart."""
+    """An effect: store this incarnation durably, for use after a restart."""
 
     incarnation: int
 
 
-MAX_STATE_BYTES = MAX_STREAM_FRAME_BYTES - 2048  # of the updates of a full state
+MAX_STATE_BYTES = MAX_STREAM_FRAME_BYTES - 2048  # of the updates in a full-state message
 MAX_SUSPECTED_BY = 8  # members recorded as suspecting one incarnation
-# After so long a suspicion a state exchange may bring the death that this member has missed: by then a live member has
-# refuted the suspicion, as gossip and every ping tell it.
+# Once a suspicion is this old, a death received by state exchange is accepted: a live member would have refuted the
+# suspicion by then, as it receives it by gossip and with every ping.
 ACCEPT_DEATH_AFTER_S = 6.0
-RECORD_KNOWN_S = LEFT_RETENTION_S / 2  # after that others may have forgotten a departed member
+RECORD_RETAINED_S = LEFT_RETENTION_S / 2  # after this time other members may have expired a departed member
 
 
 def _is_routine(old: Record | None, new: Record) -> bool:
-    """Whether a change is expected, so that it is not urgent: a member joins, leaves, or is back after leaving."""
+    """Return whether a change is routine, hence not urgent: a member joins, leaves, or rejoins after leaving."""
     if new.status is Status.LEFT:
         return True
     return new.status is Status.ALIVE and (old is None or old.status in (Status.ALIVE, Status.LEFT))
 
 
 def fit_updates(updates: Iterable[Update], room: int) -> tuple[list[Update], int]:
-    """Return the first updates that fit into `room` bytes and into one frame, and the bytes that are left."""
+    """Return the leading updates that fit into `room` bytes and into one frame, and the remaining bytes."""
     chosen: list[Update] = []
     for update in updates:
         size = update_bytes(update)
@@ -60,22 +60,22 @@
 
 
 class MembershipView:
-    """The view of one member.
+    """The membership view of one member.
 
-    The incarnation of `me` rises with each refutation; `process_incarnation` only when another process of this name was
-    known, or the name was taken."""
+    The incarnation of `me` rises with each refutation; `process_incarnation` rises only if other members know another
+    process of this name, or the name was held by one."""
 
-    def __init__(self, me: Record, max_names: int, remember: float) -> None:
+    def __init__(self, me: Record, max_names: int, dead_retention_s: float) -> None:
         self.me = me
         self.process_incarnation = me.incarnation
-        self.table = MemberTable(max_names, remember)
+        self.table = MemberTable(max_names, dead_retention_s)
         self.links = LinkTable(me.name, me.incarnation)
         self.queue = UpdateQueue()
         self.counts: Counter[str] = Counter()
         self.events: list[MembershipEvent | PersistIncarnation] = []
         self.name_holder: Record | None = None  # another process that holds this member's name
-        self.joined = False  # some member has accepted this one
-        self.refutation_count = 0  # times that this member refuted a suspicion
+        self.joined = False  # at least one member has accepted this one
+        self.refutation_count = 0  # records of this member as suspect, dead or left that it refuted
         self.reported_suspects: list[tuple[str, str]] = []  # (suspect, suspecting member), not yet verified
 
     def record_event(self, kind: str, member: str, **fields: object) -> None:
@@ -85,86 +85,87 @@
 
     @property
     def live_count(self) -> int:
-        """Number of live members, this one included."""
+        """The number of live members, this one included."""
         return len(self.table.live()) + 1
 
     @property
     def digest(self) -> int:
-        """Digest of the view: equal where views differ in suspicions and departed members only."""
+        """The digest of the view. It does not cover suspicions and departed members."""
         return self.table.digest ^ self.links.digest ^ (digest_of(self.me) if self.me.live else 0)
 
     def repeats(self) -> int:
-        """Return how often each urgent update is sent."""
+        """Return the number of times that an urgent update is sent."""
         return repeats(self.live_count)
 
     def pick_updates(self, room: int) -> list[Update]:
-        """Pick the updates that a packet with so many bytes of room carries."""
+        """Pick the updates to piggyback on a packet with so many bytes of room."""
         allowed = limits(self.repeats(), len(self.queue))
         return self.queue.pick(room, allowed.urgent, allowed.routine)
 
     def expand_record(self, short: ShortRecord) -> Record | None:
-        """Return the whole record of a short one; None where its member is not known, or was at another place."""
+        """Return the whole record of a short one; None if the member is unknown or has another known location."""
         if short.name == self.me.name:
             return expand(short, self.me)
         member = self.table.members.get(short.name)
         return expand(short, member.record) if member is not None else None
 
     def merge(
-        self, now: float, update: Record | LinkReport, full_state: bool = False, spread: bool = True
+        self, now: float, update: Record | LinkReport, full_state: bool = False, disseminate: bool = True
     ) -> MergeResult:
-        """Merge an update of a live sender.
+        """Merge an update received from a live sender.
 
-        `full_state`: it comes from a state exchange, where a member that is dead for the other side of a partition may
-        still answer here. `spread`: gossip it further, if it is new."""
+        `full_state`: the update is from a state exchange, whose sender may have been on the other side of a partition
+        and may list members as dead that are alive on this side. `disseminate`: gossip the update if it is new."""
         if isinstance(update, LinkReport):
-            self.merge_links(now, update)
+            self.merge_link_report(now, update)
             return MergeResult.UNCHANGED
         if update.name == self.me.name:
-            self.merge_own(now, update)
+            self.merge_own_record(now, update)
             return MergeResult.UNCHANGED
         member = self.table.members.get(update.name)
         if full_state and update.status is Status.DEAD and member is not None and member.record.live:
             if member.record.address != update.address or update.incarnation < member.record.incarnation:
                 return MergeResult.STALE
             if not (member.record.status is Status.SUSPECT and now - member.changed_at >= ACCEPT_DEATH_AFTER_S):
-                # Not spread: after a partition each side holds all of the other for dead, and probes them itself.
-                update, spread = update._replace(status=Status.SUSPECT), False
+                # Not disseminated: after a partition each side considers the whole other side dead. Each member
+                # verifies that with its own probes.
+                update, disseminate = update._replace(status=Status.SUSPECT), False
         old, since = (member.record, member.changed_at) if member is not None else (None, now)
         result = self.table.put(now, update)
         if result is MergeResult.ACCEPTED:
-            if spread:
-                self._spread(now, old, since, update)
+            if disseminate:
+                self._disseminate(now, old, since, update)
             self._record_change(now, old, update)
         elif result is MergeResult.UNCHANGED and update.status is Status.SUSPECT and member is not None:
             self._confirm_suspicion(member, update)
         return result
 
-    def _spread(self, now: float, old: Record | None, since: float, new: Record) -> None:
-        """Queue a new record: short where the others can be expected to hold the rest, else whole."""
-        known = old is not None and old[:4] == new[:4] and (old.live or now - since < RECORD_KNOWN_S)
+    def _disseminate(self, now: float, old: Record | None, since: float, new: Record) -> None:
+        """Queue a new record for gossip: short if other members can be expected to hold the rest, else whole."""
+        known = old is not None and old[:4] == new[:4] and (old.live or now - since < RECORD_RETAINED_S)
         self.queue.add(shorten(new) if known else new, urgent=not _is_routine(old, new))
 
     def _record_change(self, now: float, old: Record | None, new: Record) -> None:
-        """Emit the event of a new record, and forget the links of a departed member."""
-        before = old.status if old is not None else None
+        """Emit the event for an accepted record, and remove the links of a departed member."""
+        old_status = old.status if old is not None else None
         if new.status is Status.SUSPECT:
             self.table.members[new.name].suspected_by = (new.by,)
             self.reported_suspects.append((new.name, new.by))
-            if before is not Status.SUSPECT:
+            if old_status is not Status.SUSPECT:
                 self.record_event("suspect", new.name, by=new.by, incarnation=new.incarnation)
         elif new.status is Status.DEAD:
-            self.forget_links(now, new.name)
-            if before is not Status.DEAD:
+            self.forget_links_with(now, new.name)
+            if old_status is not Status.DEAD:
                 self.record_event("dead", new.name, by=new.by, incarnation=new.incarnation)
         elif new.status is Status.LEFT:
-            self.forget_links(now, new.name)
-            if before is not Status.LEFT:
+            self.forget_links_with(now, new.name)
+            if old_status is not Status.LEFT:
                 self.record_event("left", new.name, incarnation=new.incarnation)
         else:
             self._record_alive(old, new)
 
     def _record_alive(self, old: Record | None, new: Record) -> None:
-        """Emit the event of a record that says alive."""
+        """Emit the event for an accepted record with the status alive."""
         if old is None:
             self.record_event("joined", new.name, incarnation=new.incarnation, address=new.address)
         elif old.status is Status.SUSPECT:
@@ -175,15 +176,17 @@
             self.record_event("moved", new.name, incarnation=new.incarnation, address=new.address)
 
     def _confirm_suspicion(self, member: Member, update: Record) -> None:
-        """Note that one more member suspects the suspect; spread as long as confirmations shorten the time-out."""
+        """Add a confirmation of a suspicion by another member, and gossip it, up to `MAX_SUSPECTED_BY` of them."""
         if update.by in member.suspected_by or len(member.suspected_by) >= MAX_SUSPECTED_BY:
             return
         member.suspected_by += (update.by,)
         self.queue.add(shorten(update))
         self.record_event("confirmed", update.name, by=update.by, incarnation=update.incarnation)
 
-    def merge_own(self, now: float, record: Record) -> None:
-        """Merge a record of this member's own name: refute it, rise above it, or give way to the holder of the name."""
+    def merge_own_record(self, now: float, record: Record) -> None:
+        """Merge a record of this member's own name.
+
+        Refutes it, raises the own incarnation above it, or yields the name to the process that holds it."""
         if record.address != self.me.address:
             if not record.live:
                 if record.incarnation >= self.me.incarnation:
@@ -196,13 +199,13 @@
         elif not self.me.live:
             return
         elif record.live and record.status is Status.ALIVE:
-            if record.incarnation > self.me.incarnation:  # an earlier process, by a clock that was ahead
+            if record.incarnation > self.me.incarnation:  # an earlier process whose clock was ahead
                 self.raise_incarnation_above(record.incarnation)
         elif record.incarnation >= self.me.incarnation:
             self.refute(record)
 
     def refute(self, record: Record) -> None:
-        """Refute a record that says suspect, dead or left, by a higher incarnation."""
+        """Refute a record of this member as suspect, dead or left, by raising the incarnation above it."""
         self.refutation_count += 1
         self.raise_incarnation_above(record.incarnation)
         self.record_event(
@@ -210,24 +213,24 @@
         )
 
     def raise_incarnation_above(self, incarnation: int) -> None:
-        """Continue with an incarnation above this one, spread and stored."""
+        """Raise the own incarnation above the given one, gossip it and have it stored."""
         self.me = self.me._replace(incarnation=max(incarnation, self.me.incarnation) + 1)
         self.queue.add(self.me)
         self.events.append(PersistIncarnation(self.me.incarnation))
 
     def start_process_incarnation(self, above: int) -> None:
-        """Begin a new process incarnation, above one that others know of a later process of this name."""
+        """Start a new process incarnation, above that of a later process of this name which other members know."""
         self.raise_incarnation_above(max(above, self.process_incarnation))
         self.process_incarnation = self.me.incarnation
         self.links.set_process_incarnation(self.process_incarnation)
 
     def reject_name(self, holder: Record) -> None:
-        """Note that another process holds this member's name."""
+        """Record that another process holds this member's name, and leave the joined state."""
         if self.name_holder is None or self.name_holder.address != holder.address:
             self.record_event("refused", self.me.name, holder=holder.address, incarnation=holder.incarnation)
         self.name_holder, self.joined = holder, False
 
-    def merge_links(self, now: float, links: LinkReport) -> None:
+    def merge_link_report(self, now: float, links: LinkReport) -> None:
         """Merge another member's report of its bad links."""
         reporter = self.table.members.get(links.reporter)
         if reporter is None or not reporter.record.live:
@@ -236,7 +239,7 @@
             self.queue.add(links)
 
     def record_link(self, now: float, source: str, target: str, bad: bool) -> None:
-        """Record whether a link of this member is bad, and spread it if that has changed."""
+        """Record whether a link of this member is bad, and gossip the report if that has changed."""
         if self.links.record(now, source, target, bad):
             self.record_event(
                 "link_bad" if bad else "link_good",
@@ -246,28 +249,28 @@
             )
             self.queue.add(self.links.report(now))
 
-    def forget_links(self, now: float, name: str) -> None:
-        """Forget the links of a member that has departed."""
+    def forget_links_with(self, now: float, name: str) -> None:
+        """Remove the links with a departed member."""
         if self.links.forget(name):
             self.queue.add(self.links.report(now))
 
     def full_state(self, now: float) -> list[Update]:
-        """Return the updates of the full state: all records, and the reports of bad links."""
+        """Return the updates of the full state: records of all members, and the reports of bad links."""
         table = self.table
         records = [table.members[name].record for name in table.live()]
         records += [
             table.members[name].record for status in (Status.DEAD, Status.LEFT) for name in table.with_status(status)
         ]
-        updates, room = fit_updates(records, MAX_STATE_BYTES)  # anti-entropy brings the rest
+        updates, room = fit_updates(records, MAX_STATE_BYTES)  # anti-entropy transfers the rest
         return (updates + self.link_reports(now, room))[:MAX_UPDATES]
 
     def link_reports(self, now: float, room: int) -> list[Update]:
-        """Return the known reports of bad links, as many as fit into `room` bytes."""
+        """Return the reports of bad links, this member's own first, as many as fit into `room` bytes."""
         reports = [self.links.report(now)] if self.links.version else []
         return fit_updates(reports + self.links.reports(now), room)[0]
 
     def expire(self, now: float) -> None:
-        """Forget departed members whose retention is over."""
+        """Remove departed members whose retention time has passed."""
         for name in self.table.expired(now):
             self.record_event("forgotten", name)
             self.table.remove(name)
--- a/chutepin/cluster/messages.py
+++ b/chutepin/cluster/messages.py
@@ -1,4 +1,4 @@
-"""The messages between members, as data. `frames` encodes and decodes them."""
+"""The messages between members, as data types. `frames` encodes and decodes them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,9 @@
 
 
 class Ping(NamedTuple):
-    """A direct probe, answered by Ack. `requester`, `requester_nonce`: of the PingReq on whose behalf it is sent."""
+    """A direct probe, answered by Ack.
+
+    `requester` and `requester_nonce` identify the PingReq that a relayed ping serves."""
 
     nonce: int
     requester: str = ""
@@ -17,24 +19,24 @@
 
 
 class Ack(NamedTuple):
-    """The answer to a ping.
+    """The answer to a Ping.
 
-    `last_heard_ms`: milliseconds since its sender last heard the requester of the ping (or the pinger, if it has
-    none) directly; -1 if not lately."""
+    `last_heard_ms`: milliseconds since the sender of the ack last received a datagram from the requester (or from the
+    sender of the ping, if the ping has no requester); -1 if there was none."""
 
     nonce: int
     last_heard_ms: int
 
 
 class PingReq(NamedTuple):
-    """A request to ping `subject`: an indirect probe."""
+    """A request to a helper to ping `subject`: an indirect probe."""
 
     nonce: int
     subject: str
 
 
 class ProbeResult(NamedTuple):
-    """The answer to a PingReq: an ack of `subject`, or a nack (`answered` false). `last_heard_ms` as in Ack."""
+    """The helper's answer to a PingReq: `answered` is False for a nack. `last_heard_ms` as in the subject's Ack."""
 
     nonce: int
     subject: str
@@ -43,15 +45,14 @@
 
 
 class Gossip(NamedTuple):
-    """A packet that only carries updates; not answered."""
+    """A message that only carries updates and is not answered."""
 
 
 class Sync(NamedTuple):
-    """The full state of the sender, in the updates.
+    """A request for the full state (`reply_requested`), or the answer, with the state in the updates. Over TCP only.
 
-    `reply_requested`: it wants that of the receiver. `joined`: some member has accepted the sender before.
-    `referred`: in an answer, that the updates are a few members, one of which is to be asked for the full state; in
-    a request, that the sender follows such a referral. Over TCP only."""
+    `joined`: the sender has been accepted by a member before. `referred`: an answer is a referral, whose updates are a
+    few members to request the full state from; a request follows such a referral."""
 
     reply_requested: bool
     joined: bool
@@ -59,7 +60,7 @@
 
 
 class BucketDigests(NamedTuple):
-    """Anti-entropy, the first request: a digest of four bytes for each bucket of names, and that of the bad links.
+    """The first anti-entropy request: a digest of four bytes per bucket of names, and the digest of the bad links.
 
     Over TCP only."""
 
@@ -70,9 +71,9 @@
 class BucketRecords(NamedTuple):
     """The answer to BucketDigests.
 
-    `buckets` has a bit for each of `bucket_count` buckets, set where digests differ; the updates are the sender's
-    records of these, the first `settled` of them older than dissemination takes. `links` is the digest of its bad
-    links. Over TCP only."""
+    `buckets` is a bitmap of `bucket_count` bits, set for the differing buckets included. The updates are the sender's
+    records in these buckets; the first `settled` of them are older than the dissemination time. `links` is the digest
+    of the sender's bad links. Over TCP only."""
 
     bucket_count: int
     buckets: bytes
@@ -81,7 +82,7 @@
 
 
 class RecordRequest(NamedTuple):
-    """Anti-entropy, the second request: for the whole records of `names`; the updates are what is newer at the sender.
+    """The second anti-entropy request: for the whole records of `names`. The updates are the sender's newer records.
 
     Over TCP only."""
 
@@ -89,15 +90,15 @@
 
 
 class Records(NamedTuple):
-    """The answer to RecordRequest: whole records. Over TCP only."""
+    """The answer to RecordRequest: whole records, in the updates. Over TCP only."""
 
 
 class NameTaken(NamedTuple):
-    """A notice that another live process holds the receiver's name: the one update is its record. Over TCP only."""
+    """A notice that another live process holds the receiver's name. The only update is its record. Over TCP only."""
 
 
 class StaleProcess(NamedTuple):
-    """A notice that a later process of the receiver's name is known, with its process incarnation."""
+    """A notice that a later process of the receiver's name is known, with that process's incarnation."""
 
     process_incarnation: int
 
@@ -120,11 +121,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Packet:
-    """One message, with what every message carries.
+    """One message with the fields that are common to all messages.
 
-    `sender` is the sender's own record, short where the receiver is expected to hold it. `process_incarnation` numbers
-    the processes of the sender's name, `sequence` the packets of one process incarnation. `digest` is that of the
-    sender's view, in pings and acks; 0 elsewhere."""
+    `sender` is the sender's own record, short if the receiver is expected to hold the whole one. `process_incarnation`
+    distinguishes successive processes of the sender's name; `sequence` numbers the packets of one process incarnation.
+    `digest` is that of the sender's view in pings and acks, 0 in other messages."""
 
     to: str
     sender: SenderRecord
@@ -136,6 +137,6 @@
 
     @property
     def expects_answer(self) -> bool:
-        """Whether it is a request, which the receiver answers over the same TCP connection."""
+        """Return whether the packet is a request that the receiver answers over the same TCP connection."""
         body = self.body
         return isinstance(body, (BucketDigests, RecordRequest)) or (isinstance(body, Sync) and body.reply_requested)
--- a/chutepin/cluster/operator_commands.py
+++ b/chutepin/cluster/operator_commands.py
@@ -1,4 +1,4 @@
-"""The answers to the operators' commands about membership: `members`, `links`, `changes` and `view`."""
+"""The operators' commands about membership: `members`, `links`, `changes` and `view`."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from .membership_view import MembershipEvent
 from .records import Record, Status
 
-MAX_CHANGES = 512  # events that operators can still list
-# The fields of an event in the answer to `changes`, in this order.
+MAX_CHANGES = 512  # most recent events kept for `changes`
+# The event fields shown in the answer to `changes`, in this order.
 EVENT_FIELDS = ("by", "was", "source", "target", "holder", "hears", "known", "address")
 
 
 class Change(NamedTuple):
-    """An event with its number and time."""
+    """A membership event with its number and its time on the monotonic clock."""
 
     number: int
     at: float
@@ -25,7 +25,7 @@
 
 
 class OperatorCommands:
-    """What operators see of one member. Each command returns its whole answer."""
+    """The operators' commands of one member. Each command returns its complete answer."""
 
     def __init__(self, cluster: str, detector: Detector) -> None:
         self._cluster = cluster
@@ -34,16 +34,16 @@
         self._change_count = 0
 
     def handlers(self) -> dict[str, Callable[[], str]]:
-        """Return the commands by name."""
+        """Return the command handlers by name."""
         return {"members": self.members, "links": self.links, "changes": self.changes, "view": self.view}
 
     def record(self, event: MembershipEvent) -> None:
-        """Record an event for `changes`."""
+        """Record an event for the command `changes`."""
         self._change_count += 1
         self._changes.append(Change(self._change_count, time.monotonic(), event))
 
     def members(self) -> str:
-        """NAME STATE INCARNATION REGION ZONE ADDRESS of each member."""
+        """Return a line `NAME STATE INCARNATION REGION ZONE ADDRESS` for each member."""
         view = self._detector.view
         if (holder := view.name_holder) is not None:
             return f"FAILURE refused: the name {view.me.name} is held by {holder.address}\n"
@@ -53,19 +53,19 @@
         return _answer(f"total {len(records)} alive {alive}", lines)
 
     def links(self) -> str:
-        """FROM TO SECONDS of each bad link."""
+        """Return a line `FROM TO SECONDS` for each bad link."""
         now = time.monotonic()
         live = {record.name for record in self._records() if record.live}
         bad = sorted(self._detector.view.links.bad_links(live).items())
         return _answer("", [f"{source} {target} {max(0.0, now - since):.1f}" for (source, target), since in bad])
 
     def changes(self) -> str:
-        """NUMBER AGE-ms WHAT MEMBER INCARNATION and then field=value of each event, the oldest first."""
+        """Return a line `NUMBER AGE-ms WHAT MEMBER INCARNATION FIELD=VALUE…` for each event, the oldest first."""
         now = time.monotonic()
-        return _answer("", [_change_line(now, change) for change in self._changes])
+        return _answer("", [_format_change(now, change) for change in self._changes])
 
     def view(self) -> str:
-        """The state of this member."""
+        """Return the state of this member, a line per field."""
         detector = self._detector
         view = detector.view
         return _answer(
@@ -85,7 +85,7 @@
         return sorted([view.me, *(member.record for member in view.table.members.values())])
 
 
-def _change_line(now: float, change: Change) -> str:
+def _format_change(now: float, change: Change) -> str:
     event = change.event
     fields = " ".join(
         f"{name}={event.fields[name]}" for name in EVENT_FIELDS if event.fields.get(name) not in (None, "")
--- a/chutepin/cluster/probe_state.py
+++ b/chutepin/cluster/probe_state.py
@@ -1,4 +1,4 @@
-"""The state of probes, suspicions and link checks under way, and the time-out of a suspicion. Pure data."""
+"""The state of pending probes, suspicions and link checks, and the suspicion time-out. Pure data."""
 
 from __future__ import annotations
 
@@ -6,20 +6,22 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-WITNESS_COUNT = 3  # members that verify a suspicion at once; so many confirmations shorten its time-out fully
-LINK_CHECK_PINGS = 8  # of a first check of a link: at 30% loss all are lost once in 15,000 checks
-LINK_RECHECK_PINGS = 3  # of a check of a link that is known to be bad
-MAX_LINK_CHECKS = 16  # under way at the same time
-MAX_RELAYED_PROBES = 256  # under way at the same time
+# About this many members probe a suspect reported by another one. As many confirmations reduce the time-out to its
+# minimum.
+EXPECTED_CONFIRMATIONS = 3
+LINK_CHECK_PINGS = 8  # pings of a first check: at 30% loss all eight are lost in one of 15,000 checks
+LINK_RECHECK_PINGS = 3  # pings of a recheck of a bad link
+MAX_LINK_CHECKS = 16  # pending at the same time
+MAX_RELAYED_PROBES = 256  # pending at the same time
 
 
 def suspicion_timeout(min_timeout: float, max_factor: int, members: int, confirmations: int) -> float:
-    """Seconds for which a suspect may refute, with so many confirmations by other members.
+    """Return the seconds within which a suspect may refute, with so many confirmations by other members.
 
-    Shrinks from `max_factor` times to one time the minimum with the logarithm of the confirmations (Lifeguard). The
-    minimum itself grows with the logarithm of the number of members, as dissemination takes that long."""
+    The time-out shrinks with the logarithm of the confirmations, from `max_factor` times the minimum to the minimum
+    (Lifeguard). The minimum grows with the logarithm of the member count, as the time of dissemination does."""
     shortest = min_timeout * max(1.0, math.log10(members))
-    expected = min(WITNESS_COUNT, members - 2)
+    expected = min(EXPECTED_CONFIRMATIONS, members - 2)
     if expected < 1:
         return shortest
     longest = shortest * max_factor
@@ -27,37 +29,37 @@
 
 
 class ProbeReason(Enum):
-    """Why a member is probed."""
+    """The reason for a probe."""
 
-    SCHEDULED = 1  # its turn in the round, or another member suspects it
-    VERIFICATION = 2  # this member suspects it
-    RECONNECT = 3  # it is dead here: does it answer again?
+    SCHEDULED = 1  # next in round-robin order, or suspected by another member
+    VERIFICATION = 2  # suspected by this member
+    RECONNECT = 3  # dead in this member's view; tests whether it answers again
 
 
 @dataclass(slots=True)
 class Probe:
-    """A probe of one member: a direct ping and, without an ack, indirect probes through helpers."""
+    """A probe of one member: a direct ping and, if no ack arrives, indirect probes through helpers."""
 
     nonce: int
     subject: str
     reason: ProbeReason
-    indirect_at: float  # when helpers are asked
+    indirect_at: float  # when PingReq is sent to helpers
     deadline: float
     indirect_started: bool = False
     helper_count: int = 0
     nack_count: int = 0
     acked: bool = False  # by the subject itself
-    acked_indirectly: bool = False  # as a helper reports
+    acked_indirectly: bool = False  # reported by a helper
 
     @property
     def answered(self) -> bool:
-        """Whether there was a round trip."""
+        """Return whether the subject has answered, directly or through a helper."""
         return self.acked or self.acked_indirectly
 
 
 @dataclass(slots=True)
 class RelayedProbe:
-    """An indirect probe: this member pings the subject for another one."""
+    """An indirect probe that this member carries out for a requester."""
 
     requester: str
     requester_nonce: int
@@ -67,19 +69,19 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    """The member's own suspicion, after its own probe has failed."""
+    """A suspicion that this member raised after its own probe failed."""
 
     subject: str
     incarnation: int
     started_at: float
     verify_at: float
     next_check_at: float
-    verifications: int = 0  # probes begun since
+    verifications: int = 0  # verification probes started so far
 
 
 @dataclass(slots=True)
 class LinkCheck:
-    """A check of the link to a member that answers through helpers only."""
+    """A check of the link to a member that answers only indirect probes."""
 
     subject: str
     started_at: float
@@ -88,4 +90,4 @@
     nonces: list[int] = field(default_factory=list)
     helpers_asked: bool = False
     acked: bool = False  # by the subject itself
-    last_heard_ms: int | None = None  # since the subject heard this member; -1: not lately; None: not known
+    last_heard_ms: int | None = None  # since the subject last received from this member; -1: never; None: unknown
--- a/chutepin/cluster/records.py
+++ b/chutepin/cluster/records.py
@@ -1,4 +1,4 @@
-"""Records of members and links, and which of two records takes precedence. Pure; no time, sockets or wire format."""
+"""Records of members and links, and the order of precedence between records. No time, sockets or wire format."""
 
 from __future__ import annotations
 
@@ -8,27 +8,29 @@
 from typing import NamedTuple
 
 MAX_NAME = 64  # characters of a member's name, an address, a region, a zone
-MAX_LINKS = 16  # bad links that one member reports; it counts those beyond
-MAX_NUMBER = 2**63 - 1  # of an incarnation
+MAX_LINKS = 16  # bad links in one member's report; further ones are only counted
+MAX_NUMBER = 2**63 - 1  # largest incarnation, sequence number, nonce or age on the wire
 
 
 class Status(IntEnum):
-    """The state of a member. At the same incarnation the greater one takes precedence."""
+    """The state of a member. At the same incarnation the greater value takes precedence."""
 
     ALIVE = 0
-    SUSPECT = 1  # a probe failed; it may refute that
-    DEAD = 2  # it did not refute in time
-    LEFT = 3  # it announced that it leaves
+    SUSPECT = 1  # a probe failed; the member may refute the suspicion
+    DEAD = 2  # the suspicion was not refuted in time
+    LEFT = 3  # the member announced that it leaves
 
 
 LIVE = frozenset({Status.ALIVE, Status.SUSPECT})
 
 
 class Record(NamedTuple):
-    """One member. `by` is the origin of its status: who suspects it or declared it dead, else the member itself."""
+    """The state of one member.
+
+    `by` is the origin of the status: the member that suspects this one or declared it dead, else the member itself."""
 
     name: str
-    address: str  # host:port that the member announces
+    address: str  # host:port announced by the member
     region: str
     zone: str
     incarnation: int
@@ -37,47 +39,47 @@
 
     @property
     def live(self) -> bool:
-        """Whether it is alive or suspect."""
+        """Return whether the status is alive or suspect."""
         return self.status in LIVE
 
 
 class ShortRecord(NamedTuple):
-    """The variable part of a record, for receivers that are expected to hold the whole one.
+    """The variable part of a record, sent to receivers that are expected to hold the whole record.
 
-    `check` stands for address, region and zone. `by` is empty where it is the member itself."""
+    `checksum` is that of address, region and zone. `by` is empty if it is the member itself."""
 
     name: str
     incarnation: int
     status: Status
-    check: int
+    checksum: int
     by: str = ""
 
     @property
     def live(self) -> bool:
-        """Whether it is alive or suspect."""
+        """Return whether the status is alive or suspect."""
         return self.status in LIVE
 
 
-CHECK_BITS = 16  # a move goes unnoticed once in 65,536 moves, until anti-entropy finds it
-_PLACE_CACHE_SIZE = 4096  # places whose checks are cached
+LOCATION_CHECKSUM_BITS = 16  # one location change in 65,536 goes undetected until anti-entropy transfers it
+_LOCATION_CACHE_SIZE = 4096  # locations (address, region, zone) whose checksums are cached
 
 
-@lru_cache(maxsize=_PLACE_CACHE_SIZE)
-def place_check(address: str, region: str, zone: str) -> int:
-    """Return the check of a member's address, region and zone in its short record."""
-    return zlib.crc32(f"{address} {region} {zone}".encode()) & ((1 << CHECK_BITS) - 1)
+@lru_cache(maxsize=_LOCATION_CACHE_SIZE)
+def location_checksum(address: str, region: str, zone: str) -> int:
+    """Return the checksum of a member's address, region and zone, as its short record carries it."""
+    return zlib.crc32(f"{address} {region} {zone}".encode()) & ((1 << LOCATION_CHECKSUM_BITS) - 1)
 
 
 def shorten(record: Record) -> ShortRecord:
-    """Return the short record of a whole one."""
-    check = place_check(record.address, record.region, record.zone)
+    """Return the short form of a whole record."""
+    checksum = location_checksum(record.address, record.region, record.zone)
     by = "" if record.by == record.name else record.by
-    return ShortRecord(record.name, record.incarnation, record.status, check, by)
+    return ShortRecord(record.name, record.incarnation, record.status, checksum, by)
 
 
 def expand(short: ShortRecord, known: Record) -> Record | None:
-    """Return the whole record, with the rest from the known one; None where that is at another place."""
-    if short.check != place_check(known.address, known.region, known.zone):
+    """Return the whole record, completed from the known one; None if the known one has another location."""
+    if short.checksum != location_checksum(known.address, known.region, known.zone):
         return None
     return Record(
         known.name,
@@ -91,7 +93,7 @@
 
 
 class BadLink(NamedTuple):
-    """A link in one direction: `target` does not hear `source`, for `age` milliseconds."""
+    """A failed link in one direction: for `age` milliseconds `target` has not received datagrams from `source`."""
 
     source: str
     target: str
@@ -101,7 +103,7 @@
 class LinkReport(NamedTuple):
     """All bad links that a member reports.
 
-    Of two reports of a member the one with the greater (process_incarnation, version) takes precedence."""
+    Of two reports by a member, the one with the greater (process_incarnation, version) takes precedence."""
 
     reporter: str
     process_incarnation: int
@@ -116,14 +118,14 @@
 class MergeResult(IntEnum):
     """The result of merging a received record with the known one."""
 
-    ACCEPTED = 1  # it replaces the known one
-    UNCHANGED = 2  # it says what is known
-    STALE = 3  # the known one is newer, and the sender should get it
-    REJECTED = 4  # another process holds the name, or there is no room
+    ACCEPTED = 1  # the received record replaces the known one
+    UNCHANGED = 2  # the received record adds nothing
+    STALE = 3  # the known record is newer and should be sent back
+    REJECTED = 4  # another process holds the name, or the table is full
 
 
 def compare_records(new: Record, old: Record) -> MergeResult:
-    """Return what merging `new` into `old`, of the same name, results in; the table is in docs/membership.md."""
+    """Return the result of merging `new` into `old`, a record of the same name; docs/membership.md has the table."""
     if new.address != old.address:
         if new.live and old.live:
             return MergeResult.ACCEPTED if new.incarnation < old.incarnation else MergeResult.REJECTED
--- a/chutepin/cluster/send_queue.py
+++ b/chutepin/cluster/send_queue.py
@@ -1,6 +1,6 @@
-"""What a member sends: packets, the updates they carry along, and when gossip is due. Pure.
+"""Outgoing packets: their numbering, piggybacked updates, and the time of gossip rounds. Sans-I/O.
 
-Effects are data, in the order in which they are to be carried out."""
+Effects are data, in the order in which the caller must carry them out."""
 
 from __future__ import annotations
 
@@ -15,14 +15,16 @@
 from .messages import Ack, Body, Gossip, Packet, Ping
 from .records import LinkReport, Status, Update, shorten
 
-MAX_HEADER_BYTES = 160  # of a datagram, without records and updates
-INTRODUCTION_S = 60.0  # after which all members are expected to hold a member's whole record, so that it sends it short
-GOSSIP_OVERHEAD_BYTES = 64  # of a gossip packet, without its updates
+MAX_HEADER_BYTES = 160  # upper limit of a datagram's bytes besides records and updates
+# A member sends its whole record for this time after a join. Then all members are expected to hold it, and the short
+# record is sent.
+WHOLE_RECORD_PERIOD_S = 60.0
+GOSSIP_OVERHEAD_BYTES = 64  # size of a gossip packet without updates, charged to the byte budget
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send a packet: as a datagram, or (`stream`) as a request over TCP whose answer is given to `receive`."""
+    """An effect: send a packet as a datagram, or (`stream`) as a request over TCP, whose answer goes to `receive`."""
 
     address: str
     packet: Packet
@@ -31,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Answer the request over TCP that was received last, on its own connection."""
+    """An effect: answer the TCP request received last, on its own connection."""
 
     packet: Packet
 
@@ -40,7 +42,7 @@
 
 
 class SendQueue:
-    """The packets of one member, numbered, with piggybacked updates as far as room and byte budget allow."""
+    """The outgoing packets of one member, with as many piggybacked updates as room and byte budget allow."""
 
     def __init__(self, context: MemberContext, now: float) -> None:
         self._context = context
@@ -49,10 +51,10 @@
         self._nonce = 0
         self._effects: list[Effect] = []
         self._last_gossip = -math.inf
-        self._introduced_at = now + INTRODUCTION_S
+        self._whole_record_until = now + WHOLE_RECORD_PERIOD_S
 
     def drain_effects(self) -> list[Effect]:
-        """Return what is to be done since the last call, in order."""
+        """Return the effects produced since the last call, in order."""
         events = self._context.view.events
         effects = self._effects
         self._effects = []
@@ -62,61 +64,63 @@
         return effects
 
     def address(self, name: str) -> str | None:
-        """Where this member dials another one: as configured, else as that one announces; None if unknown."""
+        """Return the address at which this member contacts another: configured, else announced; None if unknown."""
         if (configured := self._configured_addresses.get(name)) is not None:
             return configured
         member = self._context.view.table.members.get(name)
         return member.record.address if member is not None else None
 
     def seed_address(self, name: str, address: str) -> str:
-        """Where this member dials a seed that is listed with this address."""
+        """Return the address at which this member contacts a seed: configured, else as the seed is listed."""
         return self._configured_addresses.get(name, address)
 
-    def introduce(self, now: float) -> None:
-        """Send the whole own record for some time: the other members may not hold it."""
-        self._introduced_at = now + INTRODUCTION_S
+    def start_whole_record_period(self, now: float) -> None:
+        """Send the whole own record for `WHOLE_RECORD_PERIOD_S`, as other members may not hold it yet."""
+        self._whole_record_until = now + WHOLE_RECORD_PERIOD_S
 
     def reset_sequence(self) -> None:
-        """Number packets from the beginning, as a new process incarnation does."""
+        """Restart the sequence numbers, for a new process incarnation."""
         self._sequence = 0
 
     def restart(self, now: float) -> None:
-        """Begin a new process incarnation."""
+        """Start a new process incarnation."""
         self.reset_sequence()
         self._last_gossip = -math.inf
-        self.introduce(now)
+        self.start_whole_record_period(now)
 
     def next_nonce(self) -> int:
-        """Return a number that no ping of this process had."""
+        """Return a nonce that is unique within this process."""
         self._nonce += 1
         return self._nonce
 
-    def send(self, to: str, body: Body, first: Iterable[Update] = (), introduce: bool = False) -> None:
-        """Send a datagram, with the updates in `first` before any others; nothing without an address."""
+    def send(self, to: str, body: Body, leading_updates: Iterable[Update] = (), whole_record: bool = False) -> None:
+        """Send a datagram that carries `leading_updates` before any others. Does nothing if the address is unknown."""
         address = self.address(to)
         if address is not None:
-            self._effects.append(Send(address, self._packet(to, body, first, introduce=introduce)))
+            self._effects.append(Send(address, self._packet(to, body, leading_updates, whole_record=whole_record)))
 
-    def ping(self, to: str, nonce: int, requester: str = "", requester_nonce: int = 0, introduce: bool = True) -> None:
-        """Ping a member, for this one or for a requester.
+    def ping(
+        self, to: str, nonce: int, requester: str = "", requester_nonce: int = 0, whole_record: bool = True
+    ) -> None:
+        """Ping a member, on the own behalf or for a requester.
 
-        If it is not alive here it gets that record first, so that it can refute."""
+        If the member is not alive in this view, the ping carries its record first, so that it can refute it."""
         view = self._context.view
         member = view.table.members.get(to)
         refutable = [member.record] if member is not None and member.record.status is not Status.ALIVE else []
         view.counts["pings"] += 1
-        self.send(to, Ping(nonce, requester, requester_nonce), refutable, introduce)
+        self.send(to, Ping(nonce, requester, requester_nonce), refutable, whole_record)
 
     def request(self, to: str, address: str, body: Body, updates: Iterable[Update] = ()) -> None:
         """Send a request over TCP."""
         self._effects.append(Send(address, self._packet(to, body, updates, stream=True), True))
 
     def answer(self, to: str, body: Body, updates: Iterable[Update] = ()) -> None:
-        """Answer the request over TCP that was received last."""
+        """Answer the TCP request received last."""
         self._effects.append(Answer(self._packet(to, body, updates, stream=True)))
 
     def gossip(self, now: float) -> None:
-        """Send a round of gossip packets, if it is due and the budget allows it."""
+        """Send a round of gossip packets to random live members, if one is due and the byte budget allows it."""
         context = self._context
         queue = context.view.queue
         live = context.view.table.live()
@@ -130,31 +134,36 @@
             self.send(name, Gossip())
 
     def gossip_due(self) -> float:
-        """When the next round of gossip packets may go out."""
+        """Return when the next round of gossip packets is due."""
         view = self._context.view
         urgent = view.queue.urgent > 0
         return self._last_gossip + gossip_interval(self._context.settings.gossip_every, view.live_count, urgent)
 
     def _packet(
-        self, to: str, body: Body, first: Iterable[Update] = (), stream: bool = False, introduce: bool = False
+        self,
+        to: str,
+        body: Body,
+        leading_updates: Iterable[Update] = (),
+        stream: bool = False,
+        whole_record: bool = False,
     ) -> Packet:
-        """Build a packet; with `introduce` it has this member's whole record."""
+        """Build a packet. With `whole_record` the sender field is this member's whole record."""
         view = self._context.view
         self._sequence += 1
-        introduce = introduce or stream or self._context.last_active < self._introduced_at
-        sender = view.me if introduce else shorten(view.me)
-        updates = list(first)
+        whole_record = whole_record or stream or self._context.last_active < self._whole_record_until
+        sender = view.me if whole_record else shorten(view.me)
+        updates = list(leading_updates)
         if not stream and view.queue:
             room = MAX_DATAGRAM_BYTES - MAX_HEADER_BYTES - update_bytes(sender) - len(to)
             updates += self._piggyback(room, updates)
         digest = view.digest if isinstance(body, (Ping, Ack)) else 0
         return Packet(to, sender, view.process_incarnation, self._sequence, digest, body, tuple(updates))
 
-    def _piggyback(self, room: int, first: list[Update]) -> list[Update]:
-        """Pick updates for the room in bytes that a datagram has behind its first ones."""
+    def _piggyback(self, room: int, leading_updates: list[Update]) -> list[Update]:
+        """Pick updates for the bytes of a datagram that its leading updates leave free."""
         context = self._context
-        room -= sum(map(update_bytes, first))
-        included = {update.name for update in first if not isinstance(update, LinkReport)}
+        room -= sum(map(update_bytes, leading_updates))
+        included = {update.name for update in leading_updates if not isinstance(update, LinkReport)}
         picked = context.view.pick_updates(min(room, context.budget.available(context.last_active)))
         context.budget.spend(context.last_active, sum(map(update_bytes, picked)))
         return [update for update in picked if isinstance(update, LinkReport) or update.name not in included]
--- a/chutepin/cluster/sender_check.py
+++ b/chutepin/cluster/sender_check.py
@@ -1,7 +1,6 @@
-"""Whether a packet is for this process to answer.
+"""Checks of a packet's receiver and sender, before its content is processed.
 
-It is not if it is misdirected, comes from a process of the same name, or is a notice that this process's name is
-taken."""
+They detect misdirected packets, stale processes, and conflicts between processes of the same name."""
 
 from __future__ import annotations
 
@@ -11,25 +10,25 @@
 from .records import Record, ShortRecord, expand
 from .send_queue import SendQueue
 
-STALE_NOTICE_INTERVAL_S = 1.0  # between notices to one member
+STALE_NOTICE_INTERVAL_S = 1.0  # between StaleProcess notices to one member
 
 
 class SenderCheck:
-    """Drops and counts packets that are not to be processed, and notifies their senders where that helps."""
+    """The checks that drop and count packets which must not be processed, and send notices to their senders."""
 
     def __init__(self, context: MemberContext, send_queue: SendQueue) -> None:
         self._context = context
         self._send_queue = send_queue
 
-    def is_addressed_here(self, packet: Packet) -> bool:
-        """Whether a packet is for this process to answer.
+    def should_process(self, packet: Packet) -> bool:
+        """Return whether the packet's message is to be processed.
 
-        It is not if it is misdirected, comes from a process of the same name, or says that this name is taken."""
+        A misdirected packet, one from a process of the same name and a NameTaken notice are handled here instead."""
         view = self._context.view
         if packet.to and packet.to != view.me.name:
             view.counts["drop.misdirected"] += 1
         elif packet.sender.name == view.me.name:
-            self._handle_namesake(packet)
+            self._handle_duplicate_name(packet)
         elif isinstance(packet.body, NameTaken):
             self._handle_name_taken(packet)
         elif view.name_holder is not None and not isinstance(packet.body, Sync):
@@ -39,7 +38,7 @@
         return False
 
     def sender_record(self, packet: Packet) -> Record | None:
-        """Return the sender's whole record; None for a short one whose member is not known, or at another place."""
+        """Return the sender's whole record; None for a short one of an unknown member or of another location."""
         if isinstance(packet.sender, Record):
             return packet.sender
         record = self._context.view.expand_record(packet.sender)
@@ -48,9 +47,9 @@
         return record
 
     def is_stale_process(self, now: float, member: Member, record: Record, packet: Packet, stream: bool) -> bool:
-        """Whether a later process of the sender's name is known.
+        """Return whether a later process of the sender's name is known.
 
-        The sender is notified, as it may be a restart with a clock that was set back."""
+        The sender is notified, as it may be a restarted process whose clock was set back."""
         if record.address != member.record.address or packet.process_incarnation >= member.process_incarnation:
             return False
         self._context.view.counts["drop.stale_process"] += 1
@@ -63,10 +62,10 @@
         return True
 
     def is_name_conflict(self, member: Member, record: Record, packet: Packet) -> bool:
-        """Whether the sender's name is held by a live process at another address.
+        """Return whether a live process at another address holds the sender's name.
 
-        Of two that the sides of a partition had accepted the earlier one holds it; one that has not joined yet holds
-        nothing."""
+        Of two processes accepted on different sides of a partition, the one with the lower incarnation holds the name.
+        A process that has not joined yet holds no name."""
         if not member.record.live or member.record.address == record.address:
             return False
         joined = not isinstance(packet.body, Sync) or packet.body.joined
@@ -77,8 +76,8 @@
         self._context.view.counts["drop.name_taken"] += 1
         return True
 
-    def _handle_namesake(self, packet: Packet) -> None:
-        """The sender has this member's name. At the same address it is the other process of an upgrade."""
+    def _handle_duplicate_name(self, packet: Packet) -> None:
+        """Handle a packet whose sender has this member's name. At the same address it is an upgrade's other process."""
         me = self._context.me
         record = expand(packet.sender, me) if isinstance(packet.sender, ShortRecord) else packet.sender
         if record is not None and record.address == me.address:
--- a/chutepin/cluster/streams.py
+++ b/chutepin/cluster/streams.py
@@ -1,6 +1,6 @@
-"""Exchanges over TCP: one request and its answer on each connection, bounded in number, rate and time.
+"""Exchanges over TCP: one request and one answer per connection, bounded in number, rate and time.
 
-The same listener takes connections of other protocols between members, which begin with a preface of their own."""
+The listener also accepts connections of other protocols between members, each marked by its own preface."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 from .messages import Packet
 
 DESCRIPTOR_SHARE = "cluster"  # in the descriptor budget
-MAX_OUTGOING = 4  # exchanges that this member has begun, at the same time
-MAX_SERVED_PER_SECOND = 50  # exchanges that others begin: each may cost milliseconds in a large cluster
+MAX_OUTGOING = 4  # concurrent exchanges started by this member
+MAX_SERVED_PER_SECOND = 50  # exchanges started by others; one may take milliseconds in a large cluster
 EXCHANGE_TIMEOUT_S = 3.0
 READ_BYTES = 65536
-PREFACE_BYTES = 4  # show what a connection is for: the length of a frame, or the preface of another protocol
+PREFACE_BYTES = 4  # distinguish protocols: the length of a frame, or the preface of another protocol
 
 Deliver = Callable[[Packet, bool], Packet | None]
 StreamHandler = Callable[[socket.socket, bytes], Coroutine[Any, Any, None]]
 
 
 class StreamExchanges:
-    """The exchanges of one member. It is the gate of its own acceptor."""
+    """The exchanges of one member, and the admission gate of its TCP acceptor."""
 
     def __init__(
         self,
@@ -47,39 +47,43 @@
         self._drops = drops
         self._tasks: set[asyncio.Task[None]] = set()
         self._outgoing = 0
-        self._second_started = 0.0
-        self._served = 0  # in this second
+        self._second_started_at = 0.0
+        self._served_this_second = 0  # exchanges
         self.acceptor = Acceptor(self, b"", counters, log)
-        self.delivering = False  # packets are delivered
-        self.handlers: dict[bytes, StreamHandler] = {}  # of other protocols, by preface
+        self.delivering = False  # whether received packets are delivered
+        self.handlers: dict[bytes, StreamHandler] = {}  # handlers of other protocols, by preface
 
     def decide(self, address: bytes, short: bool) -> AcceptDecision:
-        """Accept a connection if there is room beside the exchanges that this member may begin itself."""
+        """Accept a connection if descriptors remain beyond those reserved for this member's own exchanges."""
         now = time.monotonic()
-        if now >= self._second_started + 1.0:
-            self._second_started = now
-            self._served = 0
+        if now >= self._second_started_at + 1.0:
+            self._second_started_at = now
+            self._served_this_second = 0
         reserved = MAX_OUTGOING - self._outgoing
-        if short or self._served >= MAX_SERVED_PER_SECOND or self._descriptors.available(DESCRIPTOR_SHARE) <= reserved:
+        if (
+            short
+            or self._served_this_second >= MAX_SERVED_PER_SECOND
+            or self._descriptors.available(DESCRIPTOR_SHARE) <= reserved
+        ):
             self._counters.add("cluster.rejected_connections")
             return AcceptDecision.DROP
         return AcceptDecision.SERVE
 
     def serve(self, sock: socket.socket, address: bytes) -> None:
         """Answer one exchange."""
-        self._served += 1
+        self._served_this_second += 1
         self._descriptors.parts[DESCRIPTOR_SHARE].in_use += 1
         self._spawn(sock, self._serve(sock))
 
     def begin(self, address: tuple[str, int], packet: Packet) -> None:
-        """Begin an exchange with this request; its answer is delivered."""
+        """Start an exchange with this request; the answer is delivered."""
         if self._outgoing >= MAX_OUTGOING or not self._descriptors.acquire(DESCRIPTOR_SHARE):
             self._counters.add("cluster.send_failed")
             return
         self._outgoing += 1
         sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
-        self._spawn(sock, self._exchange(sock, address, packet)).add_done_callback(self._ended)
+        self._spawn(sock, self._exchange(sock, address, packet)).add_done_callback(self._on_exchange_done)
 
     def close(self) -> None:
         """Close the listener and cancel all exchanges."""
@@ -87,21 +91,21 @@
         for task in self._tasks:
             task.cancel()
 
-    def _ended(self, _: asyncio.Task[None]) -> None:
+    def _on_exchange_done(self, _: asyncio.Task[None]) -> None:
         self._outgoing -= 1
 
     def _spawn(self, sock: socket.socket, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Run work on a connection, which is closed and its descriptor released at the end."""
+        """Run work on a connection; at the end close the socket and release its descriptor."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
 
-        def ended(task: asyncio.Task[None]) -> None:
+        def on_done(task: asyncio.Task[None]) -> None:
             sock.close()
             self._descriptors.release(DESCRIPTOR_SHARE)
             self.acceptor.descriptor_freed()
             self._tasks.discard(task)
 
-        task.add_done_callback(ended)
+        task.add_done_callback(on_done)
         return task
 
     async def _serve(self, sock: socket.socket) -> None:
@@ -139,7 +143,7 @@
             self._counters.add("cluster.failed_exchanges")
 
     async def _receive(self, sock: socket.socket, received: bytes = b"") -> Packet:
-        """Read the one frame of the other side, of which this much was read. Raises FrameError, OSError."""
+        """Read the peer's only frame; `received` are the bytes read so far. Raises FrameError, OSError."""
         reader = StreamReader()
         data = received
         while (frame := reader.feed(data)) is None:
@@ -149,12 +153,12 @@
     async def _read(self, sock: socket.socket) -> bytes:
         data = await asyncio.get_running_loop().sock_recv(sock, READ_BYTES)
         if not data:
-            raise FrameError(DropReason.TRUNCATED, "the connection was closed before the end of the frame")
+            raise FrameError(DropReason.TRUNCATED, "connection closed before the end of the frame")
         self._counters.add("cluster.stream_bytes_in", len(data))
         return data
 
     async def _send(self, sock: socket.socket, packet: Packet) -> None:
-        """Send the one frame of this side. Raises OSError."""
+        """Send this member's only frame. Raises OSError."""
         frame = stream_frame(packet, self._cluster)
         await asyncio.get_running_loop().sock_sendall(sock, frame)
         self._counters.add("cluster.stream_bytes_out", len(frame))
--- a/chutepin/cluster/subsystem.py
+++ b/chutepin/cluster/subsystem.py
@@ -1,4 +1,4 @@
-"""The membership subsystem of a node: the detector on its transport, with its timer, log and stored incarnation."""
+"""The membership subsystem of a node: the detector with its transport, timer, log and stored incarnation."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from ..logs import Log
 from ..subsystem import CommandHandler
 from .detector import Answer, Detector, Effect, Send
-from .incarnation import Incarnations
+from .incarnation import IncarnationStore
 from .membership_view import MembershipEvent, PersistIncarnation
 from .messages import Packet
 from .operator_commands import OperatorCommands
@@ -27,11 +27,11 @@
     from ..store import Store
 
 LISTEN_RETRY_S = 1.0  # while another process of this node still holds the address
-TICK_RETRY_S = 1.0  # after an error in a tick
+TICK_RETRY_S = 1.0  # after an exception in a tick
 
 
 class Cluster:
-    """The node's part in the cluster (`subsystem.Subsystem`)."""
+    """The cluster membership of a node (implements `subsystem.Subsystem`)."""
 
     def __init__(
         self,
@@ -46,31 +46,31 @@
         self._setup = setup
         self._name = name
         self._log = log
-        self._incarnations = Incarnations(name, store)
+        self._incarnation_store = IncarnationStore(name, store)
         incarnation = self._first_incarnation(store)
         self._detector = Detector(setup, name, incarnation, time.monotonic(), random.Random(seed))
         self._transport = Transport(setup.name, setup.listen, self._deliver, descriptors, counters, log)
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at = 0.0
         self._operator_commands = OperatorCommands(setup.name, self._detector)
-        self._wanted = asyncio.Event()  # this process acts for the node
-        self._yielded = asyncio.Event()  # a successor process does
+        self._start_requested = asyncio.Event()  # this process acts for the node
+        self._yielded = asyncio.Event()  # a successor process acts for the node
         self._active = False  # the address is bound, and the detector runs
         self._left = False
 
     def _first_incarnation(self, store: Store | None) -> int:
-        """Return this process's first incarnation. Raises ConfigError for a store that can't keep it."""
+        """Return this process's first incarnation. Raises ConfigError if it cannot be stored."""
         if store is None:
-            return self._incarnations.begin()
+            return self._incarnation_store.allocate()
         from ..store import StoreError
 
         try:
-            return self._incarnations.begin()
+            return self._incarnation_store.allocate()
         except StoreError as error:
             raise ConfigError(f"store.directory: {error}") from None
 
     def adopt(self, sockets: list[socket.socket]) -> list[socket.socket]:
-        """Take over this member's sockets among those of a predecessor; return the others."""
+        """Take over this member's sockets from those of a predecessor process; return the others."""
         return self._transport.adopt(sockets)
 
     def sockets(self) -> list[socket.socket]:
@@ -78,14 +78,14 @@
         return self._transport.sockets()
 
     def start(self) -> None:
-        """Join the cluster, as soon as the address is free."""
-        self._wanted.set()
+        """Request to join the cluster; `run` does so once the listen address is free."""
+        self._start_requested.set()
 
     async def run(self) -> None:
-        """Join, and work until cancelled. Binding is retried while another process holds the address."""
+        """Join and run until cancelled. Binding is retried while another process holds the address."""
         try:
             while True:
-                await self._wanted.wait()
+                await self._start_requested.wait()
                 await self._open()
                 self._active = True
                 self._log.event(
@@ -124,32 +124,32 @@
             self._timer = None
 
     def yield_ownership(self) -> None:
-        """Stop: a successor process acts for this member."""
+        """Stop, as a successor process acts for this member now."""
         self._stop()
         self._transport.pause()
-        self._wanted.clear()
+        self._start_requested.clear()
         self._yielded.set()
 
     def resume_ownership(self) -> None:
-        """Start again, with a process incarnation above the successor's."""
+        """Start again after a successor has failed, with a process incarnation above the successor's."""
         if not self._left:
             self._detector.restart(time.monotonic(), time.time_ns() // 1_000_000)
             self._yielded.clear()
-            self._wanted.set()
+            self._start_requested.set()
 
     def leave(self) -> None:
-        """Announce that this member leaves; until the process ends it goes on answering."""
+        """Announce that this member leaves. It keeps answering packets until the process ends."""
         if self._active and not self._left:
             self._left = True
             self._detector.leave(time.monotonic())
-            self._carry_out(self._detector.drain_effects())
+            self._apply_effects(self._detector.drain_effects())
 
     def commands_with_arguments(self) -> dict[str, CommandHandler]:
-        """Return the commands with arguments: none."""
+        """Return the operators' commands that take arguments; membership has none."""
         return {}
 
     def metrics(self) -> dict[str, int]:
-        """Return the counters of the detector."""
+        """Return the counters and gauges of the detector and the transport."""
         view, health = self._detector.view, self._detector.health
         counts = {f"cluster.{name}": count for name, count in sorted(view.counts.items())}
         return counts | {
@@ -165,19 +165,19 @@
         }
 
     def address(self, name: str) -> str | None:
-        """Return where this node dials a member; None if that is unknown."""
+        """Return the address at which this node contacts a member; None if it is unknown."""
         return self._detector.address(name)
 
     def alive(self) -> list[str]:
-        """Return the members that are alive or suspect, this one included."""
+        """Return the names of the alive and suspect members, this one included."""
         return sorted([self._name, *self._detector.view.table.live()])
 
     def add_stream_handler(self, preface: bytes, handler: StreamHandler) -> None:
-        """Hand over connections that begin with these four bytes, and what was read behind them."""
+        """Register a handler for TCP connections with this four-byte preface; it also gets the bytes read after it."""
         self._transport.add_stream_handler(preface, handler)
 
     def commands(self) -> dict[str, Callable[[], str]]:
-        """Return the operators' commands."""
+        """Return the operators' commands by name."""
         return self._operator_commands.handlers()
 
     @property
@@ -187,26 +187,25 @@
 
     def _deliver(self, packet: Packet, stream: bool) -> Packet | None:
         self._detector.receive(time.monotonic(), packet, stream)
-        return self._carry_out(self._detector.drain_effects())
+        return self._apply_effects(self._detector.drain_effects())
 
     def _tick(self) -> None:
         self._timer = None
         if not self._active:
             return
-        if self._transport.overrun:  # what is lost in a flood is no evidence against others
+        if self._transport.overrun:  # datagrams lost in a flood are no evidence of a failure of other members
             self._transport.overrun = False
             self._detector.health.degrade()
         try:
             self._detector.tick(time.monotonic())
-            self._carry_out(self._detector.drain_effects())
+            self._apply_effects(self._detector.drain_effects())
         finally:
-            if (
-                self._timer is None and self._active
-            ):  # an error in one tick, which the node logs, must not be the last tick
+            # Reschedule after an exception, which the node logs: one failed tick must not stop the detector.
+            if self._timer is None and self._active:
                 self._timer = asyncio.get_running_loop().call_later(TICK_RETRY_S, self._tick)
 
-    def _carry_out(self, effects: Iterable[Effect]) -> Packet | None:
-        """Carry out the detector's effects and set its timer; return the answer to a request, if there is one."""
+    def _apply_effects(self, effects: Iterable[Effect]) -> Packet | None:
+        """Carry out the detector's effects and set its timer; return the answer to a TCP request, if any."""
         answer = None
         for effect in effects:
             match effect:
@@ -215,7 +214,7 @@
                 case Answer():
                     answer = effect.packet
                 case PersistIncarnation():
-                    self._incarnations.store(effect.incarnation)
+                    self._incarnation_store.persist(effect.incarnation)
                 case MembershipEvent():
                     self._record_event(effect)
         at = self._detector.wake_at()
--- a/chutepin/cluster/transport.py
+++ b/chutepin/cluster/transport.py
@@ -1,6 +1,6 @@
 """The sockets of a member: datagrams and exchanges over TCP at one address, bounded in work and in time.
 
-Whatever is received is decoded and delivered; the transport decides nothing but what there is no room for."""
+The transport decodes and delivers received packets. It drops only invalid frames and input above its rate limits."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 from .send_queue import Send
 from .streams import DESCRIPTOR_SHARE, Deliver, StreamExchanges, StreamHandler
 
-READS_PER_TURN = 64  # datagrams read in a turn of the event loop, so that the front has its turn in between
-SLICE_S = 0.05
-# In a slice: datagrams that are read (3 µs each), and frames of this protocol that are decoded (30 µs each). A flood
-# above that waits in the kernel's buffer and is lost there, while the node goes on serving.
-MAX_READ_PER_SLICE = 1000
-MAX_DECODED_PER_SLICE = 200
-RECEIVE_BUFFER_BYTES = 2**20  # requested of the kernel
+MAX_READS_PER_CALLBACK = 64  # datagrams per event-loop callback, so that client connections are served in between
+SLICE_S = 0.05  # time slice of the rate limits
+# Limits per slice on datagrams read (3 µs each) and on frames of this protocol decoded (30 µs each). A flood above them
+# fills the kernel's receive buffer and is dropped there, while the node keeps serving clients.
+MAX_DATAGRAMS_PER_SLICE = 1000
+MAX_DECODED_FRAMES_PER_SLICE = 200
+RECEIVE_BUFFER_BYTES = 2**20  # requested from the kernel
 
 
 class Transport:
@@ -41,7 +41,7 @@
         counters: Counters,
         log: Log,
     ) -> None:
-        """`deliver(packet, stream)` takes what was received; for a request over TCP it returns the answer."""
+        """`deliver(packet, stream)` processes a received packet; for a TCP request it returns the answer."""
         self._cluster = cluster_id(cluster)
         self._listen = listen
         self._deliver = deliver
@@ -50,15 +50,15 @@
         self._drops = DropLog(counters, log)
         self._streams = StreamExchanges(self._cluster, deliver, descriptors, counters, log, self._drops)
         self._udp: socket.socket | None = None
-        self._slice_started = 0.0
-        self._read = 0  # datagrams in this slice
-        self._decoded = 0  # frames in this slice
-        self._reading_paused: asyncio.TimerHandle | None = None
+        self._slice_started_at = 0.0
+        self._datagrams_in_slice = 0  # read in the current slice
+        self._frames_in_slice = 0  # decoded in the current slice
+        self._resume_timer: asyncio.TimerHandle | None = None
         self._open = False
-        self.overrun = False  # datagrams had to wait; reset by whoever has taken note
+        self.overrun = False  # a rate limit has paused reading; the reader of this flag resets it
 
     def add_stream_handler(self, preface: bytes, handler: StreamHandler) -> None:
-        """Hand over TCP connections that begin with this preface, and what was read behind it."""
+        """Register a handler for TCP connections with this preface; it also gets the bytes read after the preface."""
         self._streams.handlers[preface] = handler
 
     def adopt(self, sockets: list[socket.socket]) -> list[socket.socket]:
@@ -81,7 +81,7 @@
         return datagrams + self._streams.acceptor.sockets
 
     async def open(self) -> None:
-        """Bind what was not adopted, and receive from now on. Raises OSError."""
+        """Bind the sockets that were not adopted, and start receiving. Raises OSError."""
         host = self._listen.host.strip("[]")
         port = self._listen.port
         if self._udp is None:
@@ -94,7 +94,7 @@
             self._streams.acceptor.resume()
         else:
             await self._streams.acceptor.listen(host, port, AddressSharing.NONE)
-        asyncio.get_running_loop().add_reader(self._udp, self._readable)
+        asyncio.get_running_loop().add_reader(self._udp, self._on_readable)
         self._set_open(True)
 
     @staticmethod
@@ -108,17 +108,17 @@
         return sock
 
     def dropped_by_system(self) -> int:
-        """Return how many datagrams the system dropped for want of buffer; 0 where it doesn't tell."""
+        """Return the number of datagrams dropped because the receive buffer was full; 0 if the system has no count."""
         return (count_dropped(self._udp) or 0) if self._udp is not None else 0
 
     def pause(self) -> None:
-        """Receive nothing: another process of this node reads the same sockets."""
+        """Stop receiving, as another process of this node reads the same sockets."""
         if self._open and self._udp is not None:
             asyncio.get_running_loop().remove_reader(self._udp)
             self._streams.acceptor.pause()
-            if self._reading_paused is not None:
-                self._reading_paused.cancel()
-                self._reading_paused = None
+            if self._resume_timer is not None:
+                self._resume_timer.cancel()
+                self._resume_timer = None
         self._set_open(False)
 
     def close(self) -> None:
@@ -130,7 +130,9 @@
             self._udp = None
 
     def send(self, effect: Send) -> None:
-        """Send a datagram, or begin an exchange. A failure counts as loss: an announced address may be nonsense."""
+        """Send a datagram, or start an exchange.
+
+        Errors are counted and treated as packet loss, as a member may announce an invalid address."""
         try:
             address = parse_address(effect.address)
             if effect.stream:
@@ -148,48 +150,51 @@
         self._open = is_open
         self._streams.delivering = is_open
 
-    def _readable(self) -> None:
+    def _on_readable(self) -> None:
         now = time.monotonic()
-        if now >= self._slice_started + SLICE_S:
-            self._slice_started = now
-            self._read = 0
-            self._decoded = 0
+        if now >= self._slice_started_at + SLICE_S:
+            self._slice_started_at = now
+            self._datagrams_in_slice = 0
+            self._frames_in_slice = 0
         assert self._udp is not None
-        for _ in range(READS_PER_TURN):
-            if not self._open:  # what was delivered has ended this process's part
+        for _ in range(MAX_READS_PER_CALLBACK):
+            if not self._open:  # a delivered packet has paused the transport
                 return
-            if self._read >= MAX_READ_PER_SLICE or self._decoded >= MAX_DECODED_PER_SLICE:
+            if (
+                self._datagrams_in_slice >= MAX_DATAGRAMS_PER_SLICE
+                or self._frames_in_slice >= MAX_DECODED_FRAMES_PER_SLICE
+            ):
                 self._pause_reading()
                 return
             try:
                 data = self._udp.recv(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
-            except OSError:  # an error that belongs to an earlier send
+            except OSError:  # the error of an earlier send
                 continue
-            self._read += 1
+            self._datagrams_in_slice += 1
             self._counters.add("cluster.bytes_in", len(data))
             self._receive(data)
 
     def _pause_reading(self) -> None:
-        """Leave further datagrams in the kernel's buffer until the next slice."""
+        """Stop reading until the next slice; datagrams stay in the kernel's receive buffer."""
         self._counters.add("cluster.overrun")
         self.overrun = True
         loop = asyncio.get_running_loop()
         assert self._udp is not None
         loop.remove_reader(self._udp)
-        delay = max(0.0, self._slice_started + SLICE_S - time.monotonic())
-        self._reading_paused = loop.call_later(delay, self._resume_reading)
+        delay = max(0.0, self._slice_started_at + SLICE_S - time.monotonic())
+        self._resume_timer = loop.call_later(delay, self._resume_reading)
 
     def _resume_reading(self) -> None:
-        self._reading_paused = None
+        self._resume_timer = None
         if self._open and self._udp is not None:
-            asyncio.get_running_loop().add_reader(self._udp, self._readable)
+            asyncio.get_running_loop().add_reader(self._udp, self._on_readable)
 
     def _receive(self, data: bytes) -> None:
         try:
             if len(data) > 2 and data[:2] == b"cp":
-                self._decoded += 1
+                self._frames_in_slice += 1
             packet = decode(data, self._cluster, False)
         except FrameError as error:
             self._drops.drop(error.reason.value)
--- a/tests/cluster_helper.py
+++ b/tests/cluster_helper.py
@@ -15,20 +15,20 @@
 
 
 def record(number: int, incarnation: int = 1, status: Status = Status.ALIVE, zone: str = "a") -> Record:
-    """One of many members."""
+    """Return the record of the member `n<number>`."""
     name = f"n{number}"
     return Record(name, f"10.0.0.{number}:7301", "r1", zone, incarnation, status, name)
 
 
 def gossip_packet(update: Record | ShortRecord) -> Packet:
-    """A gossip packet from n1 to n2 that carries one update."""
+    """Return a gossip packet from n1 to n2 that carries one update."""
     return Packet("n2", shorten(record(1)), 1, 1, 0, Gossip(), (update,))
 
 
 def make_detector(number: int, *others: int) -> Detector:
-    """A member that knows others."""
+    """Return a detector of the member `n<number>` whose table holds the other members."""
     setup = ClusterSetup("fleet", "r1", "a", Address(f"10.0.0.{number}", 7301), members=8192)
-    made = Detector(setup, f"n{number}", 1, 0.0, random.Random(number))
+    detector = Detector(setup, f"n{number}", 1, 0.0, random.Random(number))
     for other in others:
-        made.view.table.put(0.0, record(other))
-    return made
+        detector.view.table.put(0.0, record(other))
+    return detector
--- a/tests/cluster_mutants.py
+++ b/tests/cluster_mutants.py
@@ -1,11 +1,11 @@
-"""Mutants of the detector, each a subclass with one deliberate error that a named invariant must catch."""
+"""Mutants of the detector: subclasses with one deliberate fault each, which a certain invariant must catch."""
 
 from __future__ import annotations
 
 import random
 
 from chutepin.cluster import Detector, Record, Status
-from chutepin.cluster.anti_entropy import RepairPace
+from chutepin.cluster.anti_entropy import RepairSchedule
 from chutepin.cluster.budget import ByteBudget
 from chutepin.cluster.joining import Joining
 from chutepin.cluster.local_health import LocalHealth
@@ -17,7 +17,7 @@
 
 
 class NoRefutation(Detector):
-    """It does not refute suspicions of itself."""
+    """A detector that does not refute suspicions of itself."""
 
     def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
         super().__init__(setup, name, incarnation, now, rng)
@@ -25,7 +25,7 @@
 
 
 class IncarnationNotRaised(Detector):
-    """It refutes without raising its incarnation."""
+    """A detector that refutes without raising its incarnation."""
 
     def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
         super().__init__(setup, name, incarnation, now, rng)
@@ -33,26 +33,26 @@
 
 
 class NoHelpers(Detector):
-    """It makes no indirect probes."""
+    """A detector without indirect probes."""
 
     def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
         super().__init__(setup, name, incarnation, now, rng)
-        self.link_checks.helpers = lambda subject: []  # type: ignore[method-assign]
+        self.link_checks.choose_helpers = lambda subject: []  # type: ignore[method-assign]
 
 
 class _AlwaysHealthy(LocalHealth):
-    def degrade(self, by: int = 1) -> None:
-        """Stay healthy."""
+    def degrade(self, amount: int = 1) -> None:
+        """Ignore local faults."""
 
 
 class NoLocalHealth(Detector):
-    """It has no local health, and takes its own pauses for the silence of others."""
+    """A detector without local health that blames other members for its own delays."""
 
     def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
         super().__init__(setup, name, incarnation, now, rng)
         self.context.health = _AlwaysHealthy()
 
-    def _absorb_delay(self, now: float) -> None:
+    def _compensate_delay(self, now: float) -> None:
         pass
 
 
@@ -62,15 +62,15 @@
 
 
 class UnboundedRepeats(Detector):
-    """It gossips each update without bound."""
+    """A detector that gossips each update without bound."""
 
     def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
         super().__init__(setup, name, incarnation, now, rng)
         self.context.view = _UnboundedRepeatsView(self.view.me, setup.members, setup.remember)
 
 
-class NoTimeToRefute(Detector):
-    """It declares a suspect dead at once."""
+class NoSuspicionTimeout(Detector):
+    """A detector that declares a suspect dead without a suspicion time-out."""
 
     def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
         super().__init__(setup, name, incarnation, now, rng)
@@ -91,24 +91,24 @@
             super()._contact_seed(now)
 
 
-class ForgetsTheDead(Detector):
-    """It never contacts a dead member again."""
+class NoReconnectProbes(Detector):
+    """A detector that never contacts a dead member again."""
 
     def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
         super().__init__(setup, name, incarnation, now, rng)
         self.joining = _NoReconnect(self.context, self.send_queue, self.state_exchange, self.probing, now)
 
 
-class EveryLinkIsWell(Detector):
-    """It records no bad link."""
+class NoLinkReports(Detector):
+    """A detector that records no bad links."""
 
     def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
         super().__init__(setup, name, incarnation, now, rng)
-        self.link_checks.record = lambda now, subject, reaches, heard: None  # type: ignore[method-assign]
+        self.link_checks.record = lambda now, subject, outbound_works, inbound_works: None  # type: ignore[method-assign]
 
 
-class SlowToAccuse(Detector):
-    """It suspects for ten times as long."""
+class SlowSuspicion(Detector):
+    """A detector whose suspicion time-out is ten times as long."""
 
     def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
         super().__init__(setup, name, incarnation, now, rng)
@@ -123,49 +123,49 @@
         member = self.members.get(record.name)
         if member is None or record.status is not Status.ALIVE:
             return super().put(now, record)
-        news = record.incarnation != member.record.incarnation
+        changed = record.incarnation != member.record.incarnation
         self.replace(member, record)
-        return MergeResult.ACCEPTED if news else MergeResult.UNCHANGED
+        return MergeResult.ACCEPTED if changed else MergeResult.UNCHANGED
 
 
-class TakesBackNews(Detector):
-    """It merges the last record, whatever the incarnation."""
+class LastWriteWins(Detector):
+    """A detector that merges the last received alive record, whatever its incarnation."""
 
     def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
         super().__init__(setup, name, incarnation, now, rng)
         self.view.table = _LastWriteWinsTable(setup.members, setup.remember)
 
 
-class RepairsMoveWholeTables(Detector):
-    """Its digests of buckets differ from everybody's, so that all records are moved."""
+class DigestsAlwaysDiffer(Detector):
+    """A detector whose bucket digests are random, so that each repair transfers all records."""
 
     def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
         super().__init__(setup, name, incarnation, now, rng)
-        digests = self.state_exchange.digests
-        self.state_exchange.digests = lambda count: bytes(  # type: ignore[method-assign]
-            rng.randrange(256) for _ in digests(count)
+        bucket_digests = self.state_exchange.bucket_digests
+        self.state_exchange.bucket_digests = lambda count: bytes(  # type: ignore[method-assign]
+            rng.randrange(256) for _ in bucket_digests(count)
         )
 
 
 class NoRepair(Detector):
-    """It ignores digests that differ."""
+    """A detector that ignores differing digests."""
 
     def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
         super().__init__(setup, name, incarnation, now, rng)
         self.state_exchange.compare_digest = lambda now, sender, digest: None  # type: ignore[method-assign]
 
 
-class _UnpacedRepairs(RepairPace):
-    def compare(self, now: float, mine: int, theirs: int, patience: float) -> bool:
-        return mine != theirs
+class _AlwaysRepair(RepairSchedule):
+    def compare(self, now: float, own: int, peer: int, dissemination_time: float) -> bool:
+        return own != peer
 
 
-class RepairsWithoutPause(Detector):
-    """It repairs at each digest that differs, also where gossip is still under way."""
+class NoRepairPause(Detector):
+    """A detector that repairs at each differing digest, even during dissemination by gossip."""
 
     def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
         super().__init__(setup, name, incarnation, now, rng)
-        self.state_exchange.pace = _UnpacedRepairs(now, setup.sync_every)
+        self.state_exchange.repair_schedule = _AlwaysRepair(now, setup.sync_every)
 
 
 class _UnlimitedBudget(ByteBudget):
@@ -178,8 +178,8 @@
         return self.queue.pick(room, 10**9)
 
 
-class NoBudget(Detector):
-    """It gossips each update without bound, and has no byte budget."""
+class NoByteBudget(Detector):
+    """A detector that gossips each update without bound and has no byte budget."""
 
     def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
         super().__init__(setup, name, incarnation, now, rng)
@@ -187,8 +187,8 @@
         self.context.budget = _UnlimitedBudget(now)
 
 
-class NeverForgets(Detector):
-    """It never forgets members that left."""
+class NoExpiry(Detector):
+    """A detector that never removes members that left."""
 
     def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
         super().__init__(setup, name, incarnation, now, rng)
@@ -201,17 +201,17 @@
     NoHelpers,
     NoLocalHealth,
     UnboundedRepeats,
-    NoTimeToRefute,
-    ForgetsTheDead,
-    EveryLinkIsWell,
-    SlowToAccuse,
-    TakesBackNews,
+    NoSuspicionTimeout,
+    NoReconnectProbes,
+    NoLinkReports,
+    SlowSuspicion,
+    LastWriteWins,
 )
 
-DISSEMINATION_S: tuple[type[Detector], ...] = (
-    RepairsMoveWholeTables,
+DISSEMINATION: tuple[type[Detector], ...] = (
+    DigestsAlwaysDiffer,
     NoRepair,
-    RepairsWithoutPause,
-    NoBudget,
-    NeverForgets,
+    NoRepairPause,
+    NoByteBudget,
+    NoExpiry,
 )
--- a/tests/test_cluster_config.py
+++ b/tests/test_cluster_config.py
@@ -26,7 +26,7 @@
         (BLOCK.replace("127.0.0.1", "0.0.0.0") % "", "cluster.listen: 0.0.0.0 is no address that others could dial"),
     ],
 )
-def test_invalid_cluster_block_is_a_one_line_error(text: str, message: str, tmp_path: Path) -> None:
+def test_invalid_cluster_block_raises_one_line_error(text: str, message: str, tmp_path: Path) -> None:
     path = tmp_path / "node.kdl"
     path.write_text(text)
     with pytest.raises(ConfigError) as error:
--- a/tests/test_cluster_delays.py
+++ b/tests/test_cluster_delays.py
@@ -1,4 +1,4 @@
-"""What tells a late event loop from lost datagrams, where a member took others for dead."""
+"""Metrics that distinguish a delayed event loop from dropped datagrams as the cause of a false death."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from .cluster_helper import make_detector
 
 
-def test_longest_delay_is_that_of_the_latest_tick() -> None:
+def test_longest_delay_is_maximum_tick_delay() -> None:
     detector = make_detector(1, 2, 3)
     now = 0.0
     for lateness in (0.0, 0.04, 0.3, 0.1):
@@ -19,7 +19,7 @@
     assert abs(detector.health.longest_delay - 0.3) < 1e-6
 
 
-def test_datagrams_that_overflow_the_receive_buffer_are_counted() -> None:
+def test_receive_buffer_overflow_is_counted() -> None:
     with (
         socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as receiver,
         socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender,
@@ -31,6 +31,6 @@
         for _ in range(200):
             sender.sendto(b"x" * 1000, receiver.getsockname())
         after = count_dropped(receiver)
-        if before is not None:  # a system that does not tell is told apart from one that lost nothing
+        if before is not None:  # None means that the system has no count, unlike 0
             assert after is not None
             assert 100 < after <= 200
--- a/tests/test_cluster_frames.py
+++ b/tests/test_cluster_frames.py
@@ -1,4 +1,4 @@
-"""The wire format: round trips, damage, hostile input, compression."""
+"""The wire format: round trips, damaged frames, hostile input and compression."""
 
 from __future__ import annotations
 
@@ -41,57 +41,61 @@
 from .helper import STEPS
 
 WORDS = st.text(st.characters(codec="utf-8", categories=("L", "N")), min_size=1, max_size=64)
-WHOLES = st.integers(0, 2**63 - 1)
+UNSIGNED = st.integers(0, 2**63 - 1)
 AGES = st.integers(-1, 2**63 - 1)
-ANY_RECORD = st.builds(Record, WORDS, WORDS, WORDS, WORDS, WHOLES, st.sampled_from(Status), WORDS)
-LINKS = st.builds(
-    LinkReport, WORDS, WHOLES, WHOLES, st.lists(st.builds(BadLink, WORDS, WORDS, WHOLES), max_size=16).map(tuple)
+RECORDS = st.builds(Record, WORDS, WORDS, WORDS, WORDS, UNSIGNED, st.sampled_from(Status), WORDS)
+LINK_REPORTS = st.builds(
+    LinkReport, WORDS, UNSIGNED, UNSIGNED, st.lists(st.builds(BadLink, WORDS, WORDS, UNSIGNED), max_size=16).map(tuple)
 )
 BODIES = st.one_of(
-    st.builds(Ping, WHOLES, st.just("") | WORDS, WHOLES),
-    st.builds(Ack, WHOLES, AGES),
-    st.builds(PingReq, WHOLES, WORDS),
-    st.builds(ProbeResult, WHOLES, WORDS, st.booleans(), AGES),
+    st.builds(Ping, UNSIGNED, st.just("") | WORDS, UNSIGNED),
+    st.builds(Ack, UNSIGNED, AGES),
+    st.builds(PingReq, UNSIGNED, WORDS),
+    st.builds(ProbeResult, UNSIGNED, WORDS, st.booleans(), AGES),
     st.just(Gossip()),
     st.builds(Sync, st.booleans(), st.booleans()),
     st.just(NameTaken()),
-    st.builds(StaleProcess, WHOLES),
-    st.builds(BucketDigests, st.binary(max_size=64), WHOLES),
-    st.builds(BucketRecords, WHOLES, st.binary(max_size=64), WHOLES, WHOLES),
+    st.builds(StaleProcess, UNSIGNED),
+    st.builds(BucketDigests, st.binary(max_size=64), UNSIGNED),
+    st.builds(BucketRecords, UNSIGNED, st.binary(max_size=64), UNSIGNED, UNSIGNED),
     st.builds(RecordRequest, st.lists(WORDS, max_size=3).map(tuple)),
     st.just(Records()),
 )
-ANY_SHORT = st.builds(
-    ShortRecord, WORDS, WHOLES, st.sampled_from(Status), st.integers(0, 2**16 - 1), st.just("") | WORDS
+SHORT_RECORDS = st.builds(
+    ShortRecord, WORDS, UNSIGNED, st.sampled_from(Status), st.integers(0, 2**16 - 1), st.just("") | WORDS
 )
 STREAM_BODIES = (Sync, NameTaken, BucketDigests, BucketRecords, RecordRequest, Records)
 PACKETS = st.builds(
     Packet,
     st.just("") | WORDS,
-    ANY_RECORD | ANY_SHORT,
-    WHOLES,
-    WHOLES,
+    RECORDS | SHORT_RECORDS,
+    UNSIGNED,
+    UNSIGNED,
     st.integers(0, 2**56 - 1),
     BODIES,
-    st.lists(ANY_RECORD | ANY_SHORT | LINKS, max_size=4).map(tuple),
+    st.lists(RECORDS | SHORT_RECORDS | LINK_REPORTS, max_size=4).map(tuple),
 )
 
 
 @STEPS
 @given(PACKETS, st.data())
-def test_packet_round_trips_and_damaged_frame_is_rejected(packet: Packet, data: st.DataObject) -> None:
+def test_packet_round_trips_and_damaged_frames_are_rejected(packet: Packet, data: st.DataObject) -> None:
     frame = encode(packet, FLEET)
     assert decode(frame, FLEET, True) == packet
-    spot = data.draw(st.integers(0, len(frame) - 1))
-    for spoilt in (frame[:spot], frame[:spot] + bytes([frame[spot] ^ 0x40]) + frame[spot + 1 :], frame + b"x"):
+    position = data.draw(st.integers(0, len(frame) - 1))
+    for damaged in (
+        frame[:position],
+        frame[:position] + bytes([frame[position] ^ 0x40]) + frame[position + 1 :],
+        frame + b"x",
+    ):
         with pytest.raises(FrameError):
-            decode(spoilt, FLEET, True)
+            decode(damaged, FLEET, True)
     if isinstance(packet.body, STREAM_BODIES) or len(frame) > MAX_DATAGRAM_BYTES:
         with pytest.raises(FrameError):
             decode(frame, FLEET, False)
-    reader, whole = StreamReader(), stream_frame(packet, FLEET)
-    assert reader.feed(whole[:spot]) is None or spot >= len(whole)
-    assert reader.feed(whole[spot:]) == frame
+    reader, stream_data = StreamReader(), stream_frame(packet, FLEET)
+    assert reader.feed(stream_data[:position]) is None or position >= len(stream_data)
+    assert reader.feed(stream_data[position:]) == frame
 
 
 @pytest.mark.parametrize(
@@ -138,6 +142,6 @@
     head = frame[:7] + zlib.crc32(bomb).to_bytes(4)
     with pytest.raises(FrameError, match="too_long"):
         decode(head + bomb, FLEET, True)
-    cut = bomb[:-9]
+    truncated = bomb[:-9]
     with pytest.raises(FrameError, match=r"too_long|malformed"):
-        decode(frame[:7] + zlib.crc32(cut).to_bytes(4) + cut, FLEET, True)
+        decode(frame[:7] + zlib.crc32(truncated).to_bytes(4) + truncated, FLEET, True)
--- a/tests/test_cluster_member_table.py
+++ b/tests/test_cluster_member_table.py
@@ -1,4 +1,4 @@
-"""The member table and the view on it: bounded, and no packet is accepted twice."""
+"""The member table and the membership view: bounded size, retention and replay detection."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 @STEPS
 @given(st.lists(st.integers(0, 700), max_size=60))
-def test_no_sequence_number_is_accepted_twice(numbers: list[int]) -> None:
-    window, seen = ReplayWindow(), set()
-    for number in numbers:
+def test_sequence_number_is_not_accepted_twice(sequences: list[int]) -> None:
+    window, accepted = ReplayWindow(), set()
+    for number in sequences:
         if window.accept(number):
-            assert number not in seen
-            seen.add(number)
+            assert number not in accepted
+            accepted.add(number)
         else:
-            assert number in seen or number <= max(seen) - 256
+            assert number in accepted or number <= max(accepted) - 256
 
 
 def test_table_is_bounded_and_forgets_departed_members_first() -> None:
@@ -41,10 +41,10 @@
     )
 
 
-def test_names_of_a_day_of_restarts_take_the_room_of_minutes() -> None:
+def test_table_holds_only_recent_names_after_a_day_of_restarts() -> None:
     view = MembershipView(record(0), 8192, 86400.0)
     for number in range(1, 2001):
-        view.merge(0.0, record(number), spread=False)
+        view.merge(0.0, record(number), disseminate=False)
     largest = 0
     for number in range(2001, 72001):
         now = (number - 2000) * 86400.0 / 70000
--- a/tests/test_cluster_records.py
+++ b/tests/test_cluster_records.py
@@ -1,4 +1,4 @@
-"""Records: which of two takes precedence, and what short ones stand for."""
+"""Records: precedence between two records, and expansion of short records."""
 
 from __future__ import annotations
 
@@ -32,25 +32,25 @@
 
 @STEPS
 @given(RECORDS, RECORDS)
-def test_of_two_records_at_most_one_takes_precedence(a: Record, b: Record) -> None:
+def test_at_most_one_of_two_records_takes_precedence(a: Record, b: Record) -> None:
     assert (compare_records(a, b), compare_records(b, a)) != (MergeResult.ACCEPTED, MergeResult.ACCEPTED)
     if a.address == b.address:
         newer = max(a, b, key=lambda record: (record.incarnation, record.status))
         older = a if newer is b else b
         same = (a.incarnation, a.status) == (b.incarnation, b.status)
         assert compare_records(newer, older) is (MergeResult.UNCHANGED if same else MergeResult.ACCEPTED)
-    elif a.live and b.live:  # two processes of one name: the earlier holds it
+    elif a.live and b.live:  # two processes of one name: the one with the lower incarnation holds it
         assert (compare_records(a, b) is MergeResult.ACCEPTED) == (a.incarnation < b.incarnation)
 
 
-def test_short_record_expands_only_at_the_same_place() -> None:
+def test_short_record_expands_only_at_same_location() -> None:
     new = record(7, 5, Status.LEFT)
     assert expand(shorten(new), record(7)) == new
     assert expand(shorten(new), record(7, zone="b")) is None
     assert len(encode(gossip_packet(shorten(new)), FLEET)) + 15 < len(encode(gossip_packet(new), FLEET))
 
 
-def test_short_update_of_an_unknown_or_moved_member_changes_nothing() -> None:
+def test_short_update_of_unknown_or_moved_member_is_ignored() -> None:
     member = make_detector(2, 1, 3)
     for number, update in enumerate((record(9), record(3, 8, zone="b"))):
         member.receive(1.0, Packet("n2", shorten(record(1)), 1, number, 0, Gossip(), (shorten(update),)))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Membership of several real processes with faults between them, asserted by what they show from outside."""
+"""Membership of several real processes under faults, checked through their operators' sockets and logs."""
 
 from __future__ import annotations
 
@@ -25,21 +25,21 @@
 from .test_operation import call
 
 NAMES = [f"n{number}" for number in range(1, 6)]
-REST = NAMES[:4]
-SLACK = 1.5  # of bounds, as the machine runs other tests at the same time
-DEADLINE_S = 60.0  # in which any condition must hold
+OTHERS = NAMES[:4]
+BOUND_SLACK = 1.5  # factor on time bounds, as other tests run on the machine at the same time
+DEADLINE_S = 60.0  # time limit for any awaited condition
 
 
-def five(seconds: float, *faults: Fault) -> Schedule:
+def five_members(seconds: float, *faults: Fault) -> Schedule:
     return Schedule(5, seconds, faults)
 
 
-def stops(at: float, lasts: float, *names: str) -> tuple[Fault, Fault]:
+def stop_and_wake(at: float, lasts: float, *names: str) -> tuple[Fault, Fault]:
     return Fault(at, "stop", names), Fault(at + lasts, "wake", names)
 
 
 SCHEDULES = {
-    "crash, restart, a clock an hour back and one forward": five(
+    "crash, restart, clocks an hour back and forward": five_members(
         62,
         Fault(1, "crash", ("n5",)),
         Fault(18, "restart", ("n5",)),
@@ -50,15 +50,21 @@
         Fault(33, "leave", ("n3",)),
         Fault(42, "restart", ("n3",)),
     ),
-    "stops of one": five(62, *stops(1, 1, "n2"), *stops(6, 3, "n2"), *stops(14, 10, "n2"), *stops(34, 10, "n1", "n2")),
-    "a stop of all, a starved one": five(
-        60, *stops(1, 10, *NAMES), Fault(20, "slow", ("n3",), 0.9), Fault(36, "slow", ("n3",))
+    "stops of one member": five_members(
+        62,
+        *stop_and_wake(1, 1, "n2"),
+        *stop_and_wake(6, 3, "n2"),
+        *stop_and_wake(14, 10, "n2"),
+        *stop_and_wake(34, 10, "n1", "n2"),
+    ),
+    "stop of all members, slow member": five_members(
+        60, *stop_and_wake(1, 10, *NAMES), Fault(20, "slow", ("n3",), 0.9), Fault(36, "slow", ("n3",))
     ),
-    "partitions 3|2 and 4|1": five(
+    "partitions 3|2 and 4|1": five_members(
         66, split(1, (NAMES[:3], NAMES[3:])), Fault(18, "heal"), split(30, (NAMES[:4], NAMES[4:])), Fault(48, "heal")
     ),
-    "partition 2|2|1": five(44, split(1, (NAMES[:2], NAMES[2:4], NAMES[4:])), Fault(25, "heal")),
-    "one link, one way and both": five(
+    "partition 2|2|1": five_members(44, split(1, (NAMES[:2], NAMES[2:4], NAMES[4:])), Fault(25, "heal")),
+    "one link, one way and both": five_members(
         70,
         Fault(1, "cut", ("n1", "n2")),
         Fault(19, "mend", ("n1", "n2")),
@@ -66,9 +72,9 @@
         Fault(31, "cut", ("n2", "n1")),
         Fault(50, "heal"),
     ),
-    "one that hears nobody": five(55, *(Fault(1, "cut", (name, "n5")) for name in REST), Fault(35, "heal")),
-    "one that nobody hears": five(55, Fault(1, "cut", ("n5", *REST)), Fault(35, "heal")),
-    "loss of 10, 30 and 50%": five(
+    "member receives nothing": five_members(55, *(Fault(1, "cut", (name, "n5")) for name in OTHERS), Fault(35, "heal")),
+    "member sends nothing": five_members(55, Fault(1, "cut", ("n5", *OTHERS)), Fault(35, "heal")),
+    "loss of 10, 30 and 50%": five_members(
         64,
         Fault(1, "duplicate", value=0.2),
         Fault(1, "delay", value=0.03),
@@ -85,56 +91,56 @@
 
 
 @pytest.mark.parametrize("name", SCHEDULES)
-def test_every_invariant_holds_of_real_processes(name: str) -> None:
+def test_every_invariant_holds_for_real_processes(name: str) -> None:
     history = asyncio.run(play(SCHEDULES[name], 1))
-    found = broken(history, SLACK)
+    found = broken(history, BOUND_SLACK)
     assert not found, found
     assert len(history.shown) > 100 and history.packets > 500
     crashed = any(fault.what == "crash" for fault in history.done)
     assert not crashed or any(seen.what == "dead" and seen.subject == "n5" for seen in history.seen)
 
 
-def test_rig_catches_a_detector_without_time_to_refute() -> None:
-    """A detector that is given no time to be refuted is caught on real processes too."""
+def test_process_without_suspicion_timeout_violates_invariant() -> None:
+    """A detector without a suspicion time-out must violate an invariant on real processes, too."""
 
     async def run() -> set[str]:
         schedule = Schedule(3, 14.0, (Fault(0.5, "loss", value=0.7), Fault(12.0, "loss")))
         async with AsyncExitStack() as stack:
             fleet = Fleet(schedule, 1)
             fleet.extra = " probe-every (ms)50\n probe-timeout (ms)10\n suspect-least (ms)100\n suspect-most (times)1\n"
-            return set(broken(await fleet.run(stack), SLACK))
+            return set(broken(await fleet.run(stack), BOUND_SLACK))
 
     assert "no_live_member_is_declared_dead" in asyncio.run(run())
 
 
-async def until(holds: Callable[[], object]) -> None:
-    """Wait for a condition."""
+async def wait_until(holds: Callable[[], object]) -> None:
+    """Wait until a condition holds."""
     by = time.monotonic() + DEADLINE_S
     while not holds():
-        assert time.monotonic() < by, "it never came to hold"
+        assert time.monotonic() < by, "condition not met in time"
         await asyncio.sleep(0.05)
 
 
-def test_members_join_after_seeds_were_down_and_through_a_wave_of_restarts() -> None:
+def test_members_join_after_seed_outage_and_rolling_restart() -> None:
     async def run() -> None:
         names = [f"n{number}" for number in range(1, 23)]
         async with AsyncExitStack() as stack:
             fleet = Fleet(Schedule(22, 1.0), 1)
-            fleet.late = ["n1", "n2"]  # all seeds are down
+            fleet.late = ["n1", "n2"]  # all seeds, which are down
             await fleet.open(stack)
             states = await asyncio.gather(*(fleet.processes[name].ask("members") for name in names[2:]))
-            assert all(lines[0] == "SUCCESS total 1 alive 1" for lines in states)  # each alone, and well
+            assert all(lines[0] == "SUCCESS total 1 alive 1" for lines in states)  # each is alone and alive
             await fleet.restart(stack, "n1")
-            await fleet.joined(names[2:] + names[:1])  # one seed is enough; twenty joined at once
+            await fleet.joined(names[2:] + names[:1])  # one seed suffices for twenty concurrent joins
             await fleet.restart(stack, "n2")
             await fleet.joined(names)
             before = {row[0]: row[2] for row in await fleet.members("n1")}
-            for name in names[1:21]:  # 90%, one after the other, each under its name
+            for name in names[1:21]:  # 90% of the members, one after another under the same names
                 fleet.processes[name].signal(signal.SIGKILL)
                 await fleet.restart(stack, name)
             await fleet.joined(names)
-            # Alive is what n22 showed of each before its end was noticed, too: the new life must come to be known.
-            await until_members(
+            # n22 may show a member as alive before it detects the crash, so the incarnation must rise, too.
+            await wait_until_members(
                 fleet,
                 "n22",
                 lambda rows: all(rows[name][1] == "alive" and rows[name][2] > before[name] for name in names[1:21]),
@@ -145,7 +151,7 @@
 
 
 def flood(address: str, seconds: float) -> int:
-    """Send garbage and valid frames of unknown members for some time; return how many."""
+    """Send garbage and valid frames of unknown members for some seconds; return the number of datagrams sent."""
     host, _, port = address.rpartition(":")
     rng = random.Random(1)
     me = Record("stranger", "127.0.0.1:9", "r", "z", 1, Status.ALIVE, "stranger")
@@ -163,7 +169,7 @@
     return sent
 
 
-def test_clients_are_served_during_a_flood_of_datagrams() -> None:
+def test_clients_are_served_during_datagram_flood() -> None:
     async def run() -> None:
         async with AsyncExitStack() as stack:
             fleet = Fleet(Schedule(3, 1.0), 1)
@@ -184,10 +190,10 @@
             await client.close()
             process.signal(signal.SIGUSR1)
             reasons = ("garbage", "cluster", "version", "checksum", "replayed")
-            await until(lambda: all(f"cluster.drop.{reason}=" in fleet.log("n1") for reason in reasons))
+            await wait_until(lambda: all(f"cluster.drop.{reason}=" in fleet.log("n1") for reason in reasons))
             await fleet.joined()
             fleet.processes["n3"].signal(signal.SIGKILL)
-            await until_members(fleet, "n1", lambda rows: rows["n3"][1] == "dead")
+            await wait_until_members(fleet, "n1", lambda rows: rows["n3"][1] == "dead")
             code, output = await command(process.ops, "members")
             assert code == 1 and {row["name"]: row["state"] for row in json.loads(output)} | {"stranger": "dead"} == {
                 "n1": "alive",
@@ -204,11 +210,11 @@
 
 
 async def command(ops: int, *words: str) -> tuple[int, str]:
-    """`cluster …` as an operator calls it: exit code and output, without what it says on the standard error."""
+    """Run a `cluster` command as an operator does; return its exit code and standard output."""
     return await run_command("cluster", *words, "--ops", f"127.0.0.1:{ops}", stderr=asyncio.subprocess.DEVNULL)
 
 
-def test_successor_takes_over_and_another_process_of_the_name_is_rejected() -> None:
+def test_successor_takes_over_and_duplicate_name_is_rejected() -> None:
     async def run() -> None:
         async with AsyncExitStack() as stack:
             fleet = Fleet(Schedule(4, 1.0), 1)
@@ -217,26 +223,26 @@
             old = fleet.processes["n4"]
             before = {row[0]: row for row in await fleet.members("n1")}["n4"]
             new = await fleet.beside(stack, "n4", old.address, old.world.port)
-            await until_members(fleet, "n1", lambda rows: rows["n4"][2] > before[2])
+            await wait_until_members(fleet, "n1", lambda rows: rows["n4"][2] > before[2])
             old.signal(signal.SIGTERM)
             assert old.world.process is not None and await old.world.process.wait() == 0
-            await asyncio.sleep(4.0)  # longer than a suspicion lasts: an observation over time, not a wait
+            await asyncio.sleep(4.0)  # longer than a suspicion time-out: observes that no suspicion arises
             for name in ("n1", "n2", "n3"):
-                told = "\n".join(await fleet.processes[name].ask("changes"))
-                assert not any(f"{what} n4" in told for what in ("suspect", "dead", "left")), told
+                changes = "\n".join(await fleet.processes[name].ask("changes"))
+                assert not any(f"{what} n4" in changes for what in ("suspect", "dead", "left")), changes
                 assert {row[0]: row[1] for row in await fleet.members(name)}["n4"] == "alive"
             stranger = await fleet.beside(stack, "n4")
-            refused = await answered(stranger.ask, lambda lines: "refused" in lines[0])
+            refused = await wait_for_answer(stranger.ask, lambda lines: "refused" in lines[0])
             assert refused[0] == f"FAILURE refused: the name n4 is held by {old.address}"
             assert {row[0]: row[1] for row in await fleet.members("n1")}["n4"] == "alive"
-            new.signal(signal.SIGKILL)  # the name comes free
-            await answered(stranger.ask, lambda lines: lines[0].startswith("SUCCESS total"))
-            await until_members(fleet, "n1", lambda rows: rows["n4"][1] == "alive")
+            new.signal(signal.SIGKILL)  # frees the name
+            await wait_for_answer(stranger.ask, lambda lines: lines[0].startswith("SUCCESS total"))
+            await wait_until_members(fleet, "n1", lambda rows: rows["n4"][1] == "alive")
 
     asyncio.run(run())
 
 
-def test_predecessor_resumes_membership_and_reload_ignores_the_cluster_block() -> None:
+def test_predecessor_resumes_membership_and_reload_ignores_cluster_block() -> None:
     async def run() -> None:
         async with AsyncExitStack() as stack:
             fleet = Fleet(Schedule(4, 1.0, regions=2), 1)
@@ -245,14 +251,14 @@
             old = fleet.processes["n4"]
             before = {row[0]: row for row in await fleet.members("n1")}["n4"]
             new = await fleet.beside(stack, "n4", old.address, old.world.port)
-            await until_members(fleet, "n1", lambda rows: rows["n4"][2] > before[2])
+            await wait_until_members(fleet, "n1", lambda rows: rows["n4"][2] > before[2])
             between = {row[0]: row for row in await fleet.members("n1")}["n4"]
-            new.signal(signal.SIGKILL)  # it has spoken for n4 already; the predecessor is still there
-            await until_members(fleet, "n1", lambda rows: rows["n4"][1] == "alive" and rows["n4"][2] > between[2])
+            new.signal(signal.SIGKILL)  # it has acted for n4 already; the predecessor still runs
+            await wait_until_members(fleet, "n1", lambda rows: rows["n4"][1] == "alive" and rows["n4"][2] > between[2])
             await fleet.joined()
             for name in ("n1", "n2", "n3"):
-                told = "\n".join(await fleet.processes[name].ask("changes"))
-                assert not any(f"{what} n4" in told for what in ("dead", "left")), told
+                changes = "\n".join(await fleet.processes[name].ask("changes"))
+                assert not any(f"{what} n4" in changes for what in ("dead", "left")), changes
             setup = fleet.setup(old)
             was = setup.read_text()
             for text, logged in (
@@ -261,7 +267,7 @@
             ):
                 setup.write_text(text)
                 old.signal(signal.SIGHUP)
-                await until(lambda logged=logged: logged in fleet.log("n4"))  # type: ignore[misc]
+                await wait_until(lambda logged=logged: logged in fleet.log("n4"))  # type: ignore[misc]
             rows = [line.split() for line in (await old.ask("members"))[1:-1]]
             assert [(row[0], row[3], row[4]) for row in rows] == [
                 ("n1", "r1", "a"),
@@ -274,16 +280,18 @@
     asyncio.run(run())
 
 
-async def until_members(fleet: Fleet, name: str, holds: Callable[[dict[str, tuple[str, str, int]]], object]) -> None:
-    """Wait for a condition on the members that a process shows."""
+async def wait_until_members(
+    fleet: Fleet, name: str, holds: Callable[[dict[str, tuple[str, str, int]]], object]
+) -> None:
+    """Wait until a condition holds for the members that a process shows."""
     by = time.monotonic() + DEADLINE_S
     while not holds({row[0]: row for row in await fleet.members(name)}):
-        assert time.monotonic() < by, "it never came to hold"
+        assert time.monotonic() < by, "condition not met in time"
         await asyncio.sleep(0.1)
 
 
-async def answered(ask: Callable[[str], object], holds: Callable[[list[str]], object]) -> list[str]:
-    """Return the first answer to `members` that fulfils a condition."""
+async def wait_for_answer(ask: Callable[[str], object], holds: Callable[[list[str]], object]) -> list[str]:
+    """Wait for an answer to `members` that meets a condition, and return it."""
     by = time.monotonic() + DEADLINE_S
     while True:
         lines: list[str] = await ask("members")  # type: ignore[misc]
@@ -293,7 +301,7 @@
         await asyncio.sleep(0.1)
 
 
-def test_commands_fail_without_the_cluster_block() -> None:
+def test_commands_fail_without_cluster_block() -> None:
     async def test(world: Standins, stack: AsyncExitStack) -> None:
         await world.start(stack, ops=True)
         for name in (b"members\n", b"links\n", b"changes\n", b"view\n"):
