--- a/chutepin/broker/__init__.py
+++ b/chutepin/broker/__init__.py
@@ -1,7 +1,8 @@
 """The broker: requests, attempts and their outcomes, and exactly one final answer for each request.
 
-It knows no wire and no stream; what it needs of the outside are the ports. Decisions are the decision module's, behind
-`facade`; the broker owns attempts, idempotency keys with kept results, timers and counts."""
+The broker is independent of wire formats and streams and reaches the outside through its ports. The decision module,
+behind `facade`, makes the decisions; the broker owns attempts, idempotency keys with kept results, timers and
+counters."""
 
 from .core import Broker
 from .ports import Caller, Executor, Records, Timer
--- a/chutepin/broker/actions.py
+++ b/chutepin/broker/actions.py
@@ -1,4 +1,4 @@
-"""What the decision module can have done (`facade.Core`)."""
+"""The actions of the decision module (`facade.Core`), carried out on attempts, ports and timers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class DecisionActions:
-    """Carries out the decision module's actions."""
+    """The implementation of `facade.Core` over one broker's attempts and ports."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         environment: Environment,
         announces_value: bool,
     ) -> None:
-        """`announces_value`: the free value goes out to callers."""
+        """Create the actions. `announces_value`: the load signal value is sent to callers with every answer."""
         self._attempts = attempts
         self._idempotent = idempotent
         self._schedule = schedule
@@ -42,7 +42,7 @@
         self._announces_value = announces_value
 
     def run(self, id: str) -> None:
-        """Start a queued request."""
+        """Start the run of a queued request, unless it arrived after the drain grace or its key may not run."""
         attempt = self._attempts.by_id[id]
         request = attempt.request
         is_in_time = self._counters.check_invariant(not self._drain.is_too_late(request), "no run after the grace")
@@ -51,20 +51,20 @@
             return
         attempt.phase = Phase.RUNNING
         self._counters.add("runs")
-        self._attempts.run_sent()
+        self._attempts.count_run()
         self._executor.exec(id, request.cls, request.body, attempt.idempotency is Idempotency.IDEMPOTENT)
 
     def stop(self, id: str) -> None:
-        """Stop a run."""
+        """Stop a run; the attempt stays open until the executor reports the end of the run."""
         attempt = self._attempts.by_id.get(id)
         if attempt is not None and attempt.phase is Phase.RUNNING:
             attempt.phase = Phase.STOPPED
             self._executor.kill(id)
 
     def reject(self, id: str, retry_after: float, no_other_node: bool) -> None:
-        """Reject a request. That promises that it never ran: what did is failed instead."""
+        """Reject a request that never ran, or fail one that did: a rejection guarantees that no run was started."""
         attempt = self._attempts.by_id.get(id)
-        if attempt is None:  # answered when it was overdue
+        if attempt is None:  # the broker has already answered it as overdue
             return
         if attempt.phase is Phase.QUEUED and not self._idempotent.has_run(attempt.request):
             self._attempts.reject(attempt, retry_after, no_other_node)
@@ -72,22 +72,22 @@
             self._attempts.fail(attempt, retry_after, no_other_node)
 
     def fail(self, id: str) -> None:
-        """Answer with an error; what still runs stays open until it ends."""
+        """Answer with an error; an attempt whose run goes on stays open until the run ends."""
         if (attempt := self._attempts.by_id.get(id)) is not None:
             self._attempts.fail(attempt)
 
     def call(self, id: str, deadline: float) -> None:
-        """Make the call that a run wants."""
+        """Call the records service for a run that waits for the call."""
         attempt = self._attempts.by_id[id]
         if not self._counters.check_invariant(attempt.phase is Phase.CALL_WANTED, "call only at a call"):
             return
         attempt.phase = Phase.CALLING_DEPENDENCY
-        attempt.call_since = self._clock.now()
+        attempt.call_started_at = self._clock.now()
         self._counters.add("calls")
         self._records.call(id, deadline, attempt.call_body, attempt.idempotency is Idempotency.IDEMPOTENT)
 
     def skip_call(self, id: str) -> None:
-        """Let a run go on without its call."""
+        """Resume a run without the call that it asked for."""
         attempt = self._attempts.by_id[id]
         if not self._counters.check_invariant(attempt.phase is Phase.CALL_WANTED, "skip only at a call"):
             return
@@ -96,34 +96,34 @@
         self._executor.bypass(id, attempt.call_notice)
 
     def keep_key(self, id: str, until: float) -> None:
-        """Reserve the key of an attempt."""
+        """Reserve the idempotency key of an attempt until a time."""
         self._idempotent.reserve(self._attempts.by_id[id], until)
 
     def forget_key(self, id: str) -> None:
-        """Free the key of an attempt that never ran."""
+        """Release the idempotency key of an attempt that never ran."""
         if (attempt := self._attempts.by_id.get(id)) is not None:
             self._idempotent.release(attempt.request)
 
     def share(self, id: str) -> None:
-        """Answer with the result of the attempt that ran, now or once its run ends."""
+        """Answer with the result of the key's run, now or when that run ends."""
         self._idempotent.share_result(self._attempts.by_id[id])
 
     def set_health(self, good: bool) -> None:
-        """Set how health checks are answered."""
+        """Set the answer to health checks."""
         self._status.is_healthy = good
 
     def announce(self, value: float) -> None:
-        """Set the free value."""
+        """Set the load signal value that is sent with every answer."""
         self._status.value = value if self._announces_value else None
 
     def set_idle(self, after: float) -> None:
-        """Have connections closed that were idle this long."""
+        """Set the idle time, in seconds, after which connections are closed."""
         self._status.idle_timeout_s = after
 
     def set_timer(self, token: int, at: float) -> None:
-        """Have the module ticked at this time."""
+        """Set a timer that ticks the decision module with this token."""
         self._schedule.set_timer(token, at)
 
     def log_line(self, text: str) -> None:
-        """Write a line of the module to the log."""
+        """Log a line of the decision module."""
         self._log.event("module", text=text)
--- a/chutepin/broker/attempts.py
+++ b/chutepin/broker/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: open requests, how far each has come, and the one place where they are answered."""
+"""Attempts: open requests with their phases, and the only place that answers them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Phase(Enum):
-    """Where an attempt stands."""
+    """The phase of an attempt."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -22,43 +22,43 @@
     CALL_WANTED = "call wanted"
     CALLING_DEPENDENCY = "calling dependency"
     SHARING_RESULT = "sharing result"
-    REQUESTING_KEY = "requesting key"  # from the node's other process; the decision module does not know of it yet
+    REQUESTING_KEY = "requesting key"  # from the peer process; the attempt has not reached the decision module yet
 
 
-# Nothing runs: such an attempt is over once its caller awaits no response.
+# Phases without a run of their own: the attempt is over as soon as its caller awaits no response.
 NOT_STARTED = (Phase.QUEUED, Phase.SHARING_RESULT, Phase.REQUESTING_KEY)
 AT_CALL = (Phase.CALL_WANTED, Phase.CALLING_DEPENDENCY)
 
-# The columns of `ClassCounts` by verdict.
+# Columns of `ClassCounts`, by verdict.
 METRIC_COLUMNS = {Verdict.SERVED: "answered", Verdict.REJECTED: "deferred", Verdict.FAILED: "errored"}
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One open request, from its reading until it is answered and its run is over."""
+    """One open request, from its receipt until it is answered and its run has ended."""
 
     request: Request
     caller: Caller
     idempotency: Idempotency
     phase: Phase = Phase.QUEUED
     awaiting_response: bool = True
-    call_notice: int = 0  # number of the executor's notice that wants the call
+    call_notice: int = 0  # number of the executor's notice that asked for the call
     call_body: bytes = b""
-    call_since: float = 0.0
-    answer_deadline: float = 0.0  # when the broker itself answers; supersedes earlier ones
+    call_started_at: float = 0.0
+    answer_deadline: float = 0.0  # when the broker itself answers; replaces earlier deadlines
 
 
 @dataclass(slots=True)
 class NodeStatus:
-    """What the decision module has the fronts announce."""
+    """Settings of the decision module that the listeners announce to callers."""
 
     idle_timeout_s: float
-    value: float | None = None  # the free value that goes out with every answer; None where the site uses none
+    value: float | None = None  # load signal value sent with every answer; None if the site uses no load signal
     is_healthy: bool = True
 
 
 class OpenAttempts:
-    """All attempts of one process. Each is answered exactly once, and forgotten once its run is over too."""
+    """All attempts of one process. Each is answered exactly once, and removed after its run has ended."""
 
     def __init__(self, executor: Executor, counters: Counters, metrics: RequestMetrics, status: NodeStatus) -> None:
         self._executor = executor
@@ -66,60 +66,61 @@
         self._metrics = metrics
         self._status = status
         self.by_id: dict[str, Attempt] = {}
-        self.on_keyed_forgotten: Callable[[Request], None]  # a keyed attempt is over, maybe before it was decided
+        self.on_keyed_attempt_removed: Callable[[Request], None]  # also if it was not admitted
 
     def answer(self, attempt: Attempt, answer: Answer) -> None:
-        """Answer an open attempt; a second answer is dropped."""
+        """Answer an open attempt; drop the answer if there was one before."""
         if not attempt.awaiting_response:
             return
         attempt.awaiting_response = False
-        self.answer_now(attempt.request.cls, attempt.caller, answer)
-        self.stop_if_unwatched(attempt)
+        self.send_answer(attempt.request.cls, attempt.caller, answer)
+        self.kill_orphaned_run(attempt)
         if attempt.phase in NOT_STARTED:
-            self.forget(attempt.request.id)
+            self.remove(attempt.request.id)
 
     def serve(self, attempt: Attempt, result: bytes) -> None:
-        """Answer with a result."""
+        """Answer an attempt with a result."""
         self.answer(attempt, Answer(Verdict.SERVED, result, value=self._status.value))
 
     def reject(self, attempt: Attempt, retry_after: float = 0.0, no_other_node: bool = False) -> None:
-        """Answer that the request never ran here."""
+        """Answer an attempt that its request never ran on this node."""
         self.answer(attempt, Answer(Verdict.REJECTED, b"", retry_after, no_other_node, self._status.value))
 
     def fail(self, attempt: Attempt, retry_after: float = 0.0, no_other_node: bool = False) -> None:
-        """Answer with an error."""
+        """Answer an attempt with an error."""
         self.answer(attempt, Answer(Verdict.FAILED, b"", retry_after, no_other_node, self._status.value))
 
-    def answer_now(self, cls: str, caller: Caller, answer: Answer) -> None:
-        """Answer and count a request, whether or not it became an attempt."""
+    def send_answer(self, cls: str, caller: Caller, answer: Answer) -> None:
+        """Send the answer to a request and count it, whether or not the request became an attempt."""
         self._metrics.request_ended(cls, METRIC_COLUMNS[answer.verdict])
         self._counters.add(f"answers.{answer.verdict.value}")
         caller.answer(answer)
 
-    def run_sent(self) -> None:
-        """Count a run that goes to the executor."""
+    def count_run(self) -> None:
+        """Count a run that is sent to the executor."""
         self._metrics.runs_sent += 1
 
     def withdraw(self, attempt: Attempt) -> None:
-        """Note that the caller has disconnected: no answer is due."""
+        """Record that the caller has disconnected and no answer is due."""
         attempt.awaiting_response = False
         self._metrics.request_ended(attempt.request.cls, "withdrawn")
-        self.stop_if_unwatched(attempt)
+        self.kill_orphaned_run(attempt)
 
-    def stop_if_unwatched(self, attempt: Attempt) -> None:
-        """Stop a run at a call whose request is over, where the executor cannot see that for itself.
+    def kill_orphaned_run(self, attempt: Attempt) -> None:
+        """Kill a run that waits for a call, if its request is over and the executor cannot detect that.
 
-        Its callers are not on the executor's machine then; else the run would keep its memory and its place."""
+        The executor cannot detect it if the caller is not on its machine; without the kill the run would keep its
+        memory and its slot."""
         if attempt.phase in AT_CALL and not attempt.awaiting_response and not attempt.request.watched:
             self._executor.kill(attempt.request.id)
 
-    def forget(self, id: str) -> None:
-        """Remove an attempt that is over."""
+    def remove(self, id: str) -> None:
+        """Remove an attempt that is over; answer with an error if it was left without an answer."""
         attempt = self.by_id.pop(id, None)
         if attempt is None:
             return
         if attempt.idempotency is Idempotency.KEYED:
-            self.on_keyed_forgotten(attempt.request)
+            self.on_keyed_attempt_removed(attempt.request)
         if not self._counters.check_invariant(not attempt.awaiting_response, "answered before forgotten"):
             answer = Answer(Verdict.FAILED, value=self._status.value)
-            self.answer_now(attempt.request.cls, attempt.caller, answer)
+            self.send_answer(attempt.request.cls, attempt.caller, answer)
--- a/chutepin/broker/core.py
+++ b/chutepin/broker/core.py
@@ -1,4 +1,4 @@
-"""The broker of one node: admits requests, follows their runs and calls, and keeps time."""
+"""The broker of one node: admission of requests, progress of their runs and calls, deadlines and sweeps."""
 
 from __future__ import annotations
 
@@ -32,21 +32,21 @@
 from .peer_exchange import PeerExchange
 from .ports import Caller, Environment, Executor, Records, Timer
 from .requests import Answer, Request, Verdict, fingerprint
-from .schedule import OVERDUE_ANSWER_S, Schedule
+from .schedule import ANSWER_GRACE_S, Schedule
 
 MAX_REQUESTS = 2048  # open at a time; each holds a body of up to 2 KiB
-KEY_MEMORY_SHARE = 1 / 3  # of the node's own memory that the table of keys may take
-UNWATCHED_RUN_LIMIT_S = 60.0  # past its due time, for a run whose end the executor cannot see
-MAX_CLOCK_LEAD_S = 1.0  # by which a caller's times may be beyond what its class and our clock allow
-KEY_REQUEST_TIMEOUT_S = 0.5  # for the node's other process to say whether a key may be taken
+KEY_MEMORY_SHARE = 1 / 3  # of the node's own memory, for the table of idempotency keys
+UNWATCHED_RUN_LIMIT_S = 60.0  # past the due time, for a run whose request's end the executor cannot detect
+MAX_CLOCK_LEAD_S = 1.0  # by which a caller's times may exceed the node's clock and the deadline of its class
+KEY_REQUEST_TIMEOUT_S = 0.5  # for the peer process to grant or deny a key
 SWEEP_INTERVAL_S = 1.0
 
 
 class Broker:
-    """One node's requests: every one gets exactly one final answer.
+    """The broker of one node; gives each request exactly one final answer.
 
-    Listeners call `pick` and `caller_disconnected`, the executor's and the records' links what has happened to runs
-    and calls, the timer `tick`."""
+    Listeners call `submit` and `caller_disconnected`; the links to the executor and to the records service report
+    events of runs and calls; the timer calls `tick`."""
 
     def __init__(
         self,
@@ -60,14 +60,14 @@
         timer: Timer,
         memory: int,
     ) -> None:
-        """`memory`: bytes that the node itself may use."""
+        """Create a broker that waits for its executor. `memory`: bytes that the node itself may use."""
         self.classes: dict[str, RequestClass] = {cls.name: cls for cls in settings.classes}
         self.metrics = RequestMetrics(self.classes)
         self.status = NodeStatus(settings.max_idle_time)
-        self.load_signal = settings.signal  # how callers read the announced value
+        self.load_signal = settings.signal  # how callers interpret the announced value
         self.keys = IdempotencyTable(int(memory * KEY_MEMORY_SHARE))
-        self.started = False  # the executor has come up
-        self.on_started: Callable[[], None] = lambda: None  # called once the executor is up
+        self.started = False  # whether the executor has started
+        self.on_started: Callable[[], None] = lambda: None  # called when the executor starts for the first time
         self.peer: PeerProcess = NoPeerProcess()
         self._clock = clock
         self._counters = counters
@@ -84,7 +84,7 @@
         self._attempts = OpenAttempts(executor, counters, self.metrics, self.status)
         self._schedule = Schedule(clock, timer, self._attempts.by_id)
         self._idempotent = IdempotentRequests(self.keys, self._attempts, reports, self.classes, counters)
-        self._attempts.on_keyed_forgotten = self._idempotent.release
+        self._attempts.on_keyed_attempt_removed = self._idempotent.release
         self.actions = DecisionActions(
             self._attempts,
             self._idempotent,
@@ -98,73 +98,75 @@
         self._facade = Facade(settings, seed, self.actions)
         self._decisions = DecisionQueue(self._facade, reports, self._attempts, clock)
         self.peer_exchange = PeerExchange(
-            self.keys, self._idempotent, self._attempts, self._decisions, clock, counters, self._offer
+            self.keys, self._idempotent, self._attempts, self._decisions, clock, counters, self._request_admission
         )
 
-    # For the fronts and the node:
+    # Called by listeners and the node:
 
     @property
     def value(self) -> float | None:
-        """The free value that goes out with every answer; None where the site uses none."""
+        """Return the load signal value that is sent with every answer; None if the site uses no load signal."""
         return self.status.value
 
     @property
     def awaiting_response_count(self) -> int:
-        """Requests whose callers await a response."""
+        """Return the number of requests whose callers await a response."""
         return self.metrics.current
 
     @property
     def has_open_attempts(self) -> bool:
-        """A caller awaits a response, or a run goes on."""
+        """Return whether any caller awaits a response or any run is in progress."""
         return bool(self._attempts.by_id)
 
     @property
     def last_arrival(self) -> float | None:
-        """What arrives later than this is not run; None while no drain was asked for."""
+        """Return the arrival time after which a request is not run; None before a drain."""
         return self._drain.last_arrival
 
-    def pick(self, request: Request, caller: Caller) -> None:
-        """Take a request; its caller gets exactly one answer, unless it disconnects first."""
+    def submit(self, request: Request, caller: Caller) -> None:
+        """Submit a request. Its caller gets exactly one answer, unless the caller disconnects first."""
         self._counters.add("requests")
         self.metrics.request_received(request.cls)
         now = self._clock.now()
         cls = self.classes.get(request.cls)
         if cls is None or not self._is_well_formed(request, cls, now):
-            self._refuse(request, caller, Verdict.FAILED, "requests.malformed")
+            self._answer_without_attempt(request, caller, Verdict.FAILED, "requests.malformed")
             return
         is_keyed = cls.idempotency is Idempotency.KEYED
         record = self.keys.find(request.key, request.arrived) if is_keyed else None
         if record is not None and record.fingerprint != fingerprint(request):
-            # Another request under a key that is taken: it must not get a result that no run made for it.
-            self._refuse(request, caller, Verdict.FAILED, "requests.malformed")
+            # A different request under the same key must not get a result that was computed for another body.
+            self._answer_without_attempt(request, caller, Verdict.FAILED, "requests.malformed")
             return
         is_new_key = is_keyed and record is None
         is_full = len(self._attempts.by_id) >= MAX_REQUESTS or (is_new_key and self.keys.is_full)
         if not self.started or is_full or (is_keyed and request.key is None):
-            # Before the executor is up nothing can run; a full table could not keep a run from being
-            # repeated; without a key nothing tells a repeat.
+            # No run is possible before the executor starts; a full table could not prevent a second run of the
+            # key; a keyed request without a key cannot be recognised as a retry.
             verdict = Verdict.FAILED if self._idempotent.has_run(request) else Verdict.REJECTED
-            self._refuse(request, caller, verdict, "requests.full" if is_full else "requests.not_taken")
+            self._answer_without_attempt(request, caller, verdict, "requests.full" if is_full else "requests.not_taken")
             return
-        if self._schedule.stop is not None and now >= self._schedule.stop:
-            # The process may end before a run does; who still sends here is told that nothing ran.
+        if self._schedule.stop_at is not None and now >= self._schedule.stop_at:
+            # A run started now could outlive the process, so the request is rejected, or failed if its key has run.
             verdict = Verdict.FAILED if self._idempotent.has_run(request) else Verdict.REJECTED
-            self._refuse(request, caller, verdict, "requests.past_stop")
+            self._answer_without_attempt(request, caller, verdict, "requests.past_stop")
             return
         ownership = self.peer.ownership(now) if is_new_key else KeyOwnership.OWNED
         if ownership is KeyOwnership.IN_DOUBT:
-            self._refuse(request, caller, Verdict.FAILED, "keys.in_doubt")
+            self._answer_without_attempt(request, caller, Verdict.FAILED, "keys.in_doubt")
             return
-        # Guards what the module learns from the wait, and the windows of keys, against times that cannot be.
+        # Impossible arrival times would distort the learned waiting times and the windows of keys.
         request.arrived = max(now - cls.deadline, min(now, request.arrived))
         attempt = self._attempts.by_id[request.id] = Attempt(request, caller, cls.idempotency)
         if ownership is KeyOwnership.ASK_PEER:
             self._request_key(attempt, now, cls.window)
             return
-        self._offer(attempt, record)
+        self._request_admission(attempt, record)
 
     def _is_well_formed(self, request: Request, cls: RequestClass, now: float) -> bool:
-        """A caller may send this request. What only comes late may be sent, and is answered as late."""
+        """Return whether the request's tenant, times and id are valid; a late request is valid and answered as late.
+
+        Fill in the due time if the caller did not pass one."""
         if request.due == math.inf or (not self._callers_pass_deadline and request.due == request.arrived):
             request.due = request.arrived + cls.deadline
         if self._tenants and request.tenant not in self._tenants:
@@ -175,21 +177,21 @@
             return False
         return request.id not in self._attempts.by_id
 
-    def _refuse(self, request: Request, caller: Caller, verdict: Verdict, counter: str) -> None:
-        """Answer a request that does not become an attempt."""
+    def _answer_without_attempt(self, request: Request, caller: Caller, verdict: Verdict, counter: str) -> None:
+        """Count and answer a request that does not become an attempt."""
         self._counters.add(counter)
-        self._attempts.answer_now(request.cls, caller, Answer(verdict, value=self.status.value))
+        self._attempts.send_answer(request.cls, caller, Answer(verdict, value=self.status.value))
 
     def _request_key(self, attempt: Attempt, now: float, window_s: float) -> None:
-        """Ask the node's other process for an attempt's key."""
+        """Request an attempt's key from the peer process."""
         request = attempt.request
         attempt.phase = Phase.REQUESTING_KEY
         self._schedule.set_answer_deadline(attempt, min(request.due, now + KEY_REQUEST_TIMEOUT_S))
         expires_at = request.arrived + window_s
         self.peer.request_key(KeyRequest(request.id, request.key or "", fingerprint(request), expires_at))
 
-    def _offer(self, attempt: Attempt, record: IdempotencyRecord | None) -> None:
-        """Let the decision module decide about a request."""
+    def _request_admission(self, attempt: Attempt, record: IdempotencyRecord | None) -> None:
+        """Pass a request to the decision module and set its answer deadline."""
         request = attempt.request
         now = self._clock.now()
         pending = PendingRequest(
@@ -208,11 +210,11 @@
         self._decisions.run(lambda: self._facade.pick(now, pending))
         if request.id in self._attempts.by_id:
             deadline = self.classes[request.cls].deadline
-            answer_deadline = max(now, min(request.due, now + deadline)) + OVERDUE_ANSWER_S
+            answer_deadline = max(now, min(request.due, now + deadline)) + ANSWER_GRACE_S
             self._schedule.set_answer_deadline(self._attempts.by_id[request.id], answer_deadline)
 
     def caller_disconnected(self, id: str) -> None:
-        """Note that a caller no longer waits: no answer is due."""
+        """Record that a caller has disconnected and no answer is due."""
         attempt = self._attempts.by_id.get(id)
         if attempt is None or not attempt.awaiting_response:
             return
@@ -220,33 +222,35 @@
         self._attempts.withdraw(attempt)
         self._decisions.report(CallerDisconnected(id))
 
-    def drain(self, stop: float, notice: float) -> None:
-        """Drain the node: all that was read is answered by `stop`. `notice`: when it was told to leave."""
-        self._drain.begin(notice)
-        self._schedule.stop = stop
+    def drain(self, stop_at: float, notified_at: float) -> None:
+        """Drain the node: answer every received request by `stop_at`. `notified_at`: when the drain was requested."""
+        self._drain.begin(notified_at)
+        self._schedule.stop_at = stop_at
         if self.started:
-            self._decisions.report(DrainNotice(stop, notice))
+            self._decisions.report(DrainNotice(stop_at, notified_at))
 
-    def finish(self, stop: float) -> None:
-        """Answer all by `stop` without a drain: a successor takes what comes."""
-        self._schedule.stop = stop
+    def finish(self, stop_at: float) -> None:
+        """Answer every request by `stop_at` without a drain, since a successor accepts new requests."""
+        self._schedule.stop_at = stop_at
         self._schedule.arm()
 
-    # For the executor's link:
+    # Called by the link to the executor:
+
+    def executor_started(self, cold: bool, started_at: float) -> None:
+        """Start the decision module when the executor starts for the first time; ignore later starts.
 
-    def executor_started(self, cold: bool, born: float) -> None:
-        """Note that the executor is up; only the first time begins the life of the decision module."""
+        `cold`: the executor is still warming up. `started_at`: when the executor started."""
         if self.started:
             return
         self.started = True
-        self._decisions.run(lambda: self._facade.start(self._clock.now(), born, cold))
+        self._decisions.run(lambda: self._facade.start(self._clock.now(), started_at, cold))
         self.on_started()
-        notice = self._drain.notice
-        if self._schedule.stop is not None and notice is not None:
-            self._decisions.report(DrainNotice(self._schedule.stop, notice))
+        notified_at = self._drain.notified_at
+        if self._schedule.stop_at is not None and notified_at is not None:
+            self._decisions.report(DrainNotice(self._schedule.stop_at, notified_at))
 
     def run_ended(self, id: str, end: End, elapsed: float, result: bytes) -> None:
-        """Settle the end of a run."""
+        """Answer and remove the attempt of a run that has ended."""
         attempt = self._attempts.by_id.get(id)
         if attempt is None:
             self._counters.add("runs.unknown")
@@ -259,12 +263,12 @@
             self._attempts.serve(attempt, result)
         elif end is End.ERROR:
             self._attempts.fail(attempt)
-        # Reported before it is forgotten: after a cancelled run the module itself fails what still awaits a response.
+        # Reported before the attempt is removed: after a cancelled run the decision module fails a waiting request.
         self._decisions.report(RunEnded(id, end, elapsed))
-        self._attempts.forget(id)
+        self._attempts.remove(id)
 
     def call_wanted(self, id: str, notice: int, body: bytes) -> None:
-        """Note that a run wants to call the records service."""
+        """Report to the decision module that a run waits for a call to the records service."""
         attempt = self._attempts.by_id.get(id)
         if attempt is None:
             self._counters.add("runs.unknown")
@@ -273,27 +277,27 @@
         attempt.call_notice = notice
         attempt.call_body = body
         self._decisions.report(CallNeeded(id))
-        self._attempts.stop_if_unwatched(attempt)
+        self._attempts.kill_orphaned_run(attempt)
 
     def command_not_carried_out(self, command: str, id: str) -> None:
-        """Note that the executor did not carry out a command: a run that it never began has not run."""
+        """Record that the executor did not carry out a command; end a run that was never started."""
         self._counters.add("executor.bad")
         self._log.event("executor.not_carried_out", command=command, id=id)
         attempt = self._attempts.by_id.get(id)
-        # Also where the run was stopped meanwhile: else it would never end, and look like a hang.
+        # A run that was stopped meanwhile is ended too; its attempt would otherwise never end and look like a hang.
         if command == "EXEC" and attempt is not None and attempt.phase in (Phase.RUNNING, Phase.STOPPED):
             self.run_ended(id, End.NEVER, 0.0, b"")
 
     def gauges_received(self, values: tuple[float, ...]) -> None:
-        """Take fresh gauges, and deliver the timers that wait for them."""
+        """Store the gauges and deliver the timers that wait for them."""
         if len(values) == self._gauge_count:
             self._gauges = values
         self._deliver_timers()
 
-    # For the records service:
+    # Called by the link to the records service:
 
     def call_ended(self, id: str, end: End, reply: bytes) -> None:
-        """Settle the end of a call; after OK the run goes on with the reply, unchanged."""
+        """Process the end of a call; after OK resume the run with the unchanged reply."""
         attempt = self._attempts.by_id.get(id)
         if attempt is None or attempt.phase is not Phase.CALLING_DEPENDENCY:
             self._counters.add("calls.unknown")
@@ -304,23 +308,25 @@
             attempt.phase = Phase.RUNNING
             attempt.call_body = b""
             self._executor.give_back(id, reply)
-        self._decisions.report(CallReturned(id, end, self._clock.now() - attempt.call_since))
+        self._decisions.report(CallReturned(id, end, self._clock.now() - attempt.call_started_at))
 
-    # Time:
+    # Timer:
 
     def tick(self) -> None:
-        """Deliver the timers that have come due, with gauges no older than the wait for fresh ones."""
+        """Deliver due timers, answer overdue attempts and sweep.
+
+        A timer waits up to GAUGE_TIMEOUT_S for fresh gauges."""
         now = self._clock.now()
         try:
             self._schedule.collect_due_timers(now, self._executor.meter)
             if self._schedule.are_timers_ready(now):
                 self._deliver_timers()
-            self._answer_overdue(now)
+            self._answer_overdue_attempts(now)
             if now >= self._next_sweep:
                 self._next_sweep = now + SWEEP_INTERVAL_S
                 self._sweep(now)
         finally:
-            self._schedule.arm()  # guards against an error above stopping all time
+            self._schedule.arm()  # also after an error above, which would otherwise leave the broker without a timer
 
     def _deliver_timers(self) -> None:
         for token in self._schedule.take_due_tokens():
@@ -330,13 +336,13 @@
                 )
             )
 
-    def _answer_overdue(self, now: float) -> None:
-        """Guards the guarantee itself: what the decision module leaves past its due time or the stop is answered."""
-        late_ids = self._schedule.pop_late_ids(now)
+    def _answer_overdue_attempts(self, now: float) -> None:
+        """Answer attempts that the decision module has left past their deadline or past the stop of a drain."""
+        expired_ids = self._schedule.pop_expired_ids(now)
         is_past_stop = self._schedule.is_past_stop(now)
         if is_past_stop:
-            late_ids += list(self._attempts.by_id)
-        for id in late_ids:
+            expired_ids += list(self._attempts.by_id)
+        for id in expired_ids:
             attempt = self._attempts.by_id.get(id)
             if attempt is None or (attempt.answer_deadline > now and not is_past_stop):
                 continue
@@ -349,7 +355,7 @@
                 self._decisions.report(CallerDisconnected(id))
 
     def _sweep(self, now: float) -> None:
-        """Settle runs in doubt, and remove records of keys whose window is over."""
+        """Resolve or kill runs that no caller awaits, and remove records of keys whose window is over."""
         for id, attempt in self._attempts.by_id.items():
             if attempt.awaiting_response or attempt.phase not in (Phase.RUNNING, Phase.STOPPED):
                 continue
--- a/chutepin/broker/idempotent.py
+++ b/chutepin/broker/idempotent.py
@@ -1,4 +1,4 @@
-"""Idempotent requests: keys reserved, run once, and results shared between the attempts of one request."""
+"""Idempotent requests: one run per key, with its result shared between the attempts of one request."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class IdempotentRequests:
-    """Applies what becomes of attempts to the table of keys, and outcomes of runs to the attempts that wait."""
+    """The link between open attempts and the table of keys: reservations, claims of runs, and shared results."""
 
     def __init__(
         self,
@@ -31,33 +31,35 @@
         self._counters = counters
 
     def has_run(self, request: Request) -> bool:
-        """Some attempt of this request ran: then none is rejected, as that says that none had."""
+        """Return whether an attempt of this request ran; no retry is then rejected, as a rejection denies any run."""
         record = self._table.find(request.key, request.arrived)
         return record is not None and record.has_run
 
     def reserve(self, attempt: Attempt, expires_at: float) -> None:
-        """Reserve the key of an attempt; a record that never ran passes to it from an older one."""
+        """Reserve the key of an attempt; take over the record of an older attempt that never ran."""
         request = attempt.request
         self._table.reserve(request.key or "", request.id, request.arrived, expires_at, fingerprint(request))
 
     def release(self, request: Request) -> None:
-        """Free the key of an attempt that is over, if it holds it and never ran: a further attempt is new."""
+        """Release the key of an attempt that is over, if the attempt holds the key and never ran.
+
+        The next attempt under the key is then a new request."""
         record = self._table.records.get(request.key or "")
         if record is None or record.holder_id != request.id or record.has_run or record.owned_by_peer:
             return
         self.answer_waiters(self._table.remove(record), End.ERROR, b"")
 
     def start_run(self, attempt: Attempt) -> bool:
-        """Claim the run of an attempt; false where it must not run.
+        """Claim the run of an attempt's key; return false if the attempt must not run.
 
-        A key runs at most once within its window, and not before the node's other process is sure to learn of it."""
+        A key runs at most once within its window, and only after its claim is certain to reach the peer process."""
         if attempt.idempotency is not Idempotency.KEYED:
             return True
         request = attempt.request
         key = request.key or ""
         record = self._table.records.get(key)
-        is_free = record is not None and record.holder_id == request.id and not record.has_run
-        if not self._counters.check_invariant(is_free, "one run a key"):
+        may_run = record is not None and record.holder_id == request.id and not record.has_run
+        if not self._counters.check_invariant(may_run, "one run a key"):
             return False
         window_s = max(self._classes[request.cls].window, request.remembered)
         if self._table.start_run(key, request.id, request.arrived + window_s):
@@ -70,7 +72,7 @@
         return False
 
     def finish_run(self, attempt: Attempt, end: End, result: bytes) -> None:
-        """Record the outcome of an attempt's run, and answer who waited for it."""
+        """Record the outcome of an attempt's run and answer the attempts that waited for it."""
         if attempt.idempotency is not Idempotency.KEYED:
             return
         key = attempt.request.key or ""
@@ -82,7 +84,7 @@
             self.answer_waiters(waiting_ids, End.ERROR, b"")
 
     def share_result(self, attempt: Attempt) -> None:
-        """Answer with the result of the attempt that ran, now or once its run ends."""
+        """Answer with the result of the key's run, now or when that run ends."""
         attempt.phase = Phase.SHARING_RESULT
         id = attempt.request.id
         record = self._table.records.get(attempt.request.key or "")
@@ -94,12 +96,12 @@
             record.waiting_ids.append(id)
 
     def answer_waiters(self, waiting_ids: list[str], end: End, result: bytes) -> None:
-        """Answer attempts that waited for a run."""
+        """Answer the attempts that waited for a run."""
         for id in waiting_ids:
             self._answer_waiter(id, end, result)
 
     def remove_expired(self, now: float) -> None:
-        """Remove records whose window is over, unless their run still goes on. The peer does so for itself."""
+        """Remove records whose window is over, except those with a run in progress. The peer removes its own copies."""
         for record in self._table.expired(now, self._attempts.by_id.__contains__):
             self.answer_waiters(self._table.discard(record), End.ERROR, b"")
 
--- a/chutepin/broker/peer_exchange.py
+++ b/chutepin/broker/peer_exchange.py
@@ -1,4 +1,4 @@
-"""What the node's other process and this one's broker have of each other during an upgrade."""
+"""The exchange of keys, usage and learned statistics with the peer process during an upgrade."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class PeerExchange:
-    """Applies the other process's keys, usage and statistics to the broker."""
+    """The peer process's keys, usage and statistics, applied to the broker of this process."""
 
     def __init__(
         self,
@@ -25,44 +25,44 @@
         decisions: DecisionQueue,
         clock: Clock,
         counters: Counters,
-        offer: Callable[[Attempt, IdempotencyRecord | None], None],
+        request_admission: Callable[[Attempt, IdempotencyRecord | None], None],
     ) -> None:
-        """`offer` lets the decision module decide about an attempt whose key was granted."""
+        """Create the exchange. `request_admission`: passes an attempt with a granted key to the decision module."""
         self._table = table
         self._idempotent = idempotent
         self._attempts = attempts
         self._decisions = decisions
         self._clock = clock
         self._counters = counters
-        self._offer = offer
+        self._request_admission = request_admission
 
     @property
     def usage(self) -> tuple[int, float]:
-        """Runs on the cores or coming back to them, and memory of all requests in KB, by the module's count."""
+        """Return the decision module's count of runs on the cores or about to resume, and of the memory in KB."""
         return self._decisions.facade.use
 
     def set_peer_usage(self, running: int, memory_kb: float) -> None:
-        """Take what the other process uses as capacity that is not there."""
+        """Deduct the usage of the peer process from this process's capacity."""
         facade = self._decisions.facade
         self._decisions.run(lambda: facade.set_peer_usage(self._clock.now(), running, memory_kb))
 
     def learned(self) -> dict[str, object]:
-        """Return what the decision module has learned, as JSON knows it."""
+        """Return the learned statistics of the decision module as JSON values."""
         return self._decisions.facade.learned()
 
     def adopt(self, learned: dict[str, object]) -> None:
-        """Begin with what another process's module had learned. What does not fit this one's settings is left.
+        """Adopt the learned statistics of another process; count and ignore them if they do not fit the settings.
 
-        That is no invariant of this process: the other one may be of another version or have other settings."""
+        A mismatch breaks no invariant: the other process may have another version or other settings."""
         if not self._decisions.facade.adopt(learned):
             self._counters.add("handover.statistics_rejected")
 
     def key_replied(self, id: str, key: str, is_granted: bool) -> None:
-        """Apply the answer to `PeerProcess.request_key`: the key may be taken, or its record came before."""
+        """Apply the answer to `PeerProcess.request_key`: admit the request, share its record's result, or reject it."""
         attempt = self._attempts.by_id.get(id)
         if attempt is None or attempt.phase is not Phase.REQUESTING_KEY:
             if is_granted and self._table.find(key, 0.0) is None:
-                self._table.replicate(key, None)  # no attempt wants it any more
+                self._table.replicate(key, None)  # no attempt needs the key any more, so the peer may remove it
             return
         if not is_granted:
             self._counters.add("keys.not_granted")
@@ -74,16 +74,16 @@
             self._counters.add("requests.malformed")
             self._attempts.fail(attempt)
             return
-        self._offer(attempt, record)
+        self._request_admission(attempt, record)
         if key not in self._table.records:
-            self._table.replicate(key, None)  # the decision module has rejected the request
+            self._table.replicate(key, None)  # the request was rejected, so the peer may remove the key
 
     def peer_requests_key(self, request: KeyRequest) -> bool:
-        """Give the other process a key, unless it is known here; false where there is no room for it."""
+        """Grant a key to the peer process unless the key is known here; return false if the table has no room."""
         now = self._clock.now()
         if self._table.find(request.key, now) is not None:
             return True
-        # A record whose window is over stays for attempts that came within it and are read late.
+        # A record is kept past its window for attempts that arrived within the window and are read late.
         if self._table.is_full or request.key in self._table.records:
             return False
         record = IdempotencyRecord(request.key, request.request_id, request.expires_at, request.fingerprint)
@@ -91,20 +91,20 @@
         return True
 
     def peer_record_changed(self, record: IdempotencyRecord) -> None:
-        """Apply a record of the other process."""
+        """Apply a record of the peer process."""
         waiting_ids = self._table.apply_from_peer(record, self._clock.now())
         self._idempotent.answer_waiters(waiting_ids, record.outcome or End.ERROR, record.result)
         self._decisions.run()
 
     def peer_key_removed(self, key: str) -> None:
-        """Apply the removal of a key by the other process."""
+        """Apply the removal of a key by the peer process."""
         self._idempotent.answer_waiters(self._table.remove_from_peer(key), End.ERROR, b"")
         self._decisions.run()
 
     def peer_lost(self) -> None:
-        """Settle the end of the other process: its runs stay in doubt, requests for its keys are rejected."""
+        """Process the end of the peer: leave its runs in doubt and reject attempts that wait for its keys."""
         self._idempotent.answer_waiters(self._table.peer_lost(), End.ERROR, b"")
-        requesting = [attempt for attempt in self._attempts.by_id.values() if attempt.phase is Phase.REQUESTING_KEY]
-        for attempt in requesting:
+        waiting = [attempt for attempt in self._attempts.by_id.values() if attempt.phase is Phase.REQUESTING_KEY]
+        for attempt in waiting:
             self._attempts.reject(attempt)
         self.set_peer_usage(0, 0.0)
--- a/chutepin/broker/ports.py
+++ b/chutepin/broker/ports.py
@@ -1,4 +1,4 @@
-"""The ports of the broker: what it needs of the outside."""
+"""The ports of the broker: callers, the executor, the records service and a timer."""
 
 from __future__ import annotations
 
@@ -11,53 +11,53 @@
 
 
 class Caller(Protocol):
-    """Who waits for an answer."""
+    """The sender of a request, which waits for the answer."""
 
     def answer(self, answer: Answer) -> None:
-        """Take the one final answer."""
+        """Send the caller its final answer; called at most once."""
 
 
 class Executor(Protocol):
     """The executor, which runs requests."""
 
     def exec(self, id: str, cls: str, body: bytes, repeatable: bool) -> None:
-        """Start a run. `repeatable`: it may be sent again where it is unknown whether it arrived."""
+        """Start a run. `repeatable`: the command may be sent again if its delivery is unknown."""
 
     def kill(self, id: str) -> None:
         """Stop a run."""
 
     def give_back(self, id: str, reply: bytes) -> None:
-        """Let a run go on with the reply to its call."""
+        """Resume a run with the reply to its call."""
 
     def bypass(self, id: str, notice: int) -> None:
-        """Let a run go on without its call."""
+        """Resume a run without its call."""
 
     def resolve(self, id: str) -> None:
-        """Find out whether a run in doubt goes on."""
+        """Query whether a run in doubt is still in progress."""
 
     def meter(self) -> bool:
-        """Request fresh gauges; false where nobody can answer now."""
+        """Request fresh gauges; return false if the executor cannot answer now."""
 
 
 class Records(Protocol):
     """The records service, which runs depend on."""
 
     def call(self, id: str, deadline: float, body: bytes, repeatable: bool) -> None:
-        """Make a call. It ends in one `Broker.call_ended`, unless it is given up before."""
+        """Make a call. Its end is reported once to `Broker.call_ended`, unless the call is abandoned before."""
 
     def give_up(self, id: str) -> None:
-        """Abandon a call."""
+        """Abandon a call, whose end is then not reported."""
 
 
 class Timer(Protocol):
-    """The one timer of a broker."""
+    """The only timer of a broker."""
 
     def set(self, at: float) -> None:
-        """Have `Broker.tick` called once at this time or soon after; a new time replaces the old one."""
+        """Schedule one call of `Broker.tick` at this time or soon after; replace the previous schedule."""
 
 
 class Environment(NamedTuple):
-    """What the parts of one broker share of the outside."""
+    """The ports and services that the components of one broker share."""
 
     clock: Clock
     counters: Counters
--- a/chutepin/broker/requests.py
+++ b/chutepin/broker/requests.py
@@ -1,4 +1,4 @@
-"""Requests as a front reads them, and their final answers."""
+"""Requests as a listener reads them, and their final answers."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class Verdict(Enum):
-    """The outcome of a request, as its caller learns it."""
+    """The outcome of a request as it is sent to the caller."""
 
     SERVED = "served"
-    REJECTED = "refused"  # it never ran here
+    REJECTED = "refused"  # the request never ran on this node
     FAILED = "failed"
 
 
@@ -22,19 +22,19 @@
     verdict: Verdict
     body: bytes = b""
     retry_after: float = 0.0  # seconds
-    no_other_node: bool = False  # no other node should be tried
-    value: float | None = None  # the free value, where the site uses one
+    no_other_node: bool = False  # the caller should try no other node
+    value: float | None = None  # load signal value; None if the site uses no load signal
 
 
 @dataclass(slots=True)
 class Request:
-    """A request as a front read it. Times are absolute, in seconds."""
+    """A request as a listener read it. Times are absolute, in seconds."""
 
     id: str
     cls: str
     body: bytes
     arrived: float
-    due: float  # after which nobody waits for this attempt; infinite where the caller does not pass it
+    due: float  # end of the caller's wait for this attempt; infinite if the caller does not pass it
     size: float = 0.0
     tenant: str | None = None
     subject: str | None = None
@@ -42,11 +42,11 @@
     rank: float = 0.0
     caller: int = 0
     is_retry: bool = False
-    watched: bool = True  # the executor sees for itself when the request is over
-    remembered: float = 0.0  # seconds from the arrival for which the key is remembered at least
+    watched: bool = True  # the executor detects by itself when the request is over
+    remembered: float = 0.0  # minimum time in seconds from the arrival for which the key is kept
 
 
 def fingerprint(request: Request) -> bytes:
-    """Return a digest that differs between attempts of one key that do not carry the same."""
+    """Return a digest of class, tenant and body, to detect different requests under the same key."""
     head = f"{request.cls} {request.tenant} ".encode("utf-8", "surrogateescape")
     return hashlib.blake2b(head + request.body, digest_size=16).digest()
--- a/chutepin/handover/__init__.py
+++ b/chutepin/handover/__init__.py
@@ -1,12 +1,12 @@
-"""Hand-over between two processes of one node during an upgrade.
+"""Hand-over from a predecessor to a successor process of one node during an upgrade.
 
-Rendezvous, passing of the listening sockets, ownership of idempotency keys, shared limits, and recovery when one of
-the two stalls or dies.
+The package covers the rendezvous, the passing of listening sockets, the ownership of idempotency keys, shared limits,
+and recovery when either process stalls or dies.
 
-Decisions without I/O: `state_machine` (stages and transitions), `session` (messages in, messages out), `messages`
-and `frames` (types and their bytes). I/O: `rendezvous` (the Unix socket where the two meet), `link` (the
-connection). The node is known through the port `HandoverHost`; `docs/operation.md` has the design and the transition
-table."""
+Without I/O: `state_machine` (stages and transitions), `session` (message handling), `messages` and `frames` (message
+types and their encoding). With I/O: `rendezvous` (the Unix socket through which the processes connect) and `link` (the
+connection). The node is accessed through the port `HandoverHost`. `docs/operation.md` describes the design and prints
+the transition table."""
 
 from .link import HandoverLink
 from .messages import ProcessUsage
--- a/chutepin/handover/fields.py
+++ b/chutepin/handover/fields.py
@@ -1,4 +1,4 @@
-"""Fields of a hand-over frame, each checked against its type and bound. Pure."""
+"""Validation of the fields of a hand-over frame against their types and bounds. Pure."""
 
 from __future__ import annotations
 
@@ -7,31 +7,31 @@
 
 from ..net.lines import ProtocolError
 
-MAX_COUNT = 2**31 - 1  # of runs, descriptors, protocol versions
-MAX_NUMBER = 2.0**53  # KB and seconds; whole numbers are exact up to here
-MAX_TEXT_CHARACTERS = 1024  # of ids, keys and reasons
+MAX_COUNT = 2**31 - 1  # upper bound of counts of runs and descriptors, and of the protocol version
+MAX_NUMBER = 2.0**53  # upper bound of KB and seconds; whole numbers are exact up to this value
+MAX_TEXT_CHARACTERS = 1024  # upper bound of ids, keys and reasons
 MAX_FINGERPRINT_BYTES = 64
 
 
 class MalformedFrameError(ProtocolError):
-    """A frame that no peer of this version sends; the connection is closed."""
+    """A frame that violates the protocol version of this process; the connection is closed."""
 
 
 def is_number(value: object, minimum: float = 0.0, maximum: float = MAX_NUMBER) -> TypeGuard[int | float]:
-    """Whether a JSON value is a number within these bounds; no boolean, infinity or NaN is."""
+    """Return whether a JSON value is a number within these bounds; reject booleans, infinities and NaN."""
     return isinstance(value, int | float) and not isinstance(value, bool) and minimum <= value <= maximum
 
 
 class Fields:
-    """The fields of one frame. Every method raises MalformedFrameError for a field that is absent or malformed."""
+    """The fields of one frame. Each method raises MalformedFrameError if the field is absent or malformed."""
 
     def __init__(self, verb: str, values: Mapping[str, Any]) -> None:
-        """`verb` names the frame in errors."""
+        """Wrap the values of one frame. `verb`: name of the frame in error messages."""
         self._verb = verb
         self._values = values
 
     def text(self, name: str, max_characters: int = MAX_TEXT_CHARACTERS) -> str:
-        """Return text that can be encoded as UTF-8."""
+        """Return a text that can be encoded as UTF-8."""
         value = self._value(name)
         if not isinstance(value, str) or len(value) > max_characters:
             raise self._error(name)
@@ -42,7 +42,7 @@
         return value
 
     def optional_text(self, name: str) -> str | None:
-        """Return text, or None where the field is null."""
+        """Return a text, or None if the field is null."""
         return None if self._value(name) is None else self.text(name)
 
     def count(self, name: str) -> int:
@@ -60,14 +60,14 @@
         return float(value)
 
     def flag(self, name: str) -> bool:
-        """Return true or false."""
+        """Return a boolean."""
         value = self._value(name)
         if not isinstance(value, bool):
             raise self._error(name)
         return value
 
     def fingerprint(self, name: str) -> bytes:
-        """Return a digest, which travels in hexadecimal."""
+        """Return a digest that is encoded in hexadecimal."""
         digits = self.text(name, 2 * MAX_FINGERPRINT_BYTES)
         try:
             return bytes.fromhex(digits)
@@ -75,7 +75,7 @@
             raise self._error(name) from error
 
     def latin_1(self, name: str, max_bytes: int) -> bytes:
-        """Return bytes that travel as Latin-1 text."""
+        """Return bytes that are encoded as Latin-1 text."""
         try:
             return self.text(name, max_bytes).encode("latin-1")
         except UnicodeEncodeError as error:
@@ -83,8 +83,8 @@
 
     def _value(self, name: str) -> object:
         if name not in self._values:
-            raise MalformedFrameError(f"{self._verb} lacks the field {name}")
+            raise MalformedFrameError(f"{self._verb}: missing field {name}")
         return self._values[name]
 
     def _error(self, name: str) -> MalformedFrameError:
-        return MalformedFrameError(f"{self._verb} has a malformed field {name}")
+        return MalformedFrameError(f"{self._verb}: malformed field {name}")
--- a/chutepin/handover/frames.py
+++ b/chutepin/handover/frames.py
@@ -1,8 +1,8 @@
-"""Frames of a hand-over: a line `VERB LENGTH`, a JSON object of that length, CR LF. Sans-I/O and bounded.
+"""Codec of hand-over frames: a line `VERB LENGTH`, a JSON object of that length, CR LF. Sans-I/O and bounded.
 
-The only module that knows verbs and field names, but for the learned statistics' (`learned`); inside the process
-messages are the types of `messages`. Every field is checked against its type and bound (`fields`). The first frame of a
-connection names the protocol's version; a peer of another version is rejected without reading on."""
+Verbs and field names appear only in this module, except for the names of the learned statistics (`learned`); the rest
+of the process uses the types of `messages`. Every field is checked against its type and bound (`fields`). The first
+frame of a connection carries the protocol version; a peer of another version is rejected without further reading."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from .fields import MalformedFrameError as MalformedFrameError
 from .learned import check_learned
 from .messages import (
+    HandoverAccepted,
     Hello,
-    Here,
     KeyRemoved,
     KeyReply,
     KeysSynced,
@@ -51,24 +51,24 @@
 
 
 class Frame(NamedTuple):
-    """One frame as it was read, its fields not yet checked."""
+    """One frame with unvalidated fields."""
 
     verb: str
     fields: dict[str, Any]
 
 
 class FrameReader:
-    """Feed it bytes, take whole frames. Raises ProtocolError."""
+    """An incremental parser from bytes to frames. Its methods raise ProtocolError."""
 
     def __init__(self) -> None:
         self._parser = LineParser(lambda words: True, MAX_BODY_BYTES)
 
     def feed(self, data: bytes) -> None:
-        """Add what was read."""
+        """Add received bytes."""
         self._parser.feed(data)
 
     def next(self) -> Frame | None:
-        """Return the next whole frame, or None until more is fed."""
+        """Return the next complete frame, or None if more bytes are needed."""
         message = self._parser.next()
         if message is None:
             return None
@@ -85,12 +85,12 @@
 
 
 def encode_frame(verb: str, **fields: object) -> bytes:
-    """Return the bytes of one frame."""
+    """Return the encoding of one frame."""
     return line(verb, body=json.dumps(fields, separators=(",", ":")).encode())
 
 
 def encode_record(record: IdempotencyRecord) -> bytes:
-    """Return the frame of a record. The result's bytes travel as Latin-1 text."""
+    """Return the encoded frame of a record. The result's bytes are encoded as Latin-1 text."""
     return encode_frame(
         "KEY",
         key=record.key,
@@ -104,7 +104,7 @@
 
 
 def decode_record(values: dict[str, Any]) -> IdempotencyRecord:
-    """Return the record of a frame's fields. Raises MalformedFrameError."""
+    """Return the record from the fields of a KEY frame. Raises MalformedFrameError."""
     fields = Fields("KEY", values)
     return IdempotencyRecord(
         key=fields.text("key"),
@@ -124,11 +124,11 @@
     try:
         return End(word)
     except ValueError as error:
-        raise MalformedFrameError(f"KEY has an unknown end {word[:20]}") from error
+        raise MalformedFrameError(f"KEY: unknown outcome {word[:20]}") from error
 
 
-def encode(message: Message) -> bytes:  # noqa: C901  one case a message
-    """Return the frame of a message."""
+def encode(message: Message) -> bytes:  # noqa: C901  one case per message
+    """Return the encoded frame of a message."""
     match message:
         case RecordChanged(record):
             return encode_record(record)
@@ -142,7 +142,7 @@
             return encode_frame("TOLD", id=request_id, key=key, may=is_granted)
         case Hello(version):
             return encode_frame("HELLO", version=version)
-        case Here(version):
+        case HandoverAccepted(version):
             return encode_frame("HERE", version=version)
         case Rejection(reason, version, is_busy):
             if is_busy:
@@ -158,7 +158,7 @@
             return encode_frame("YOURS")
 
 
-def decode(frame: Frame) -> Message:  # noqa: C901  one case a verb
+def decode(frame: Frame) -> Message:  # noqa: C901  one case per verb
     """Return the message of a frame. Raises MalformedFrameError."""
     fields = Fields(frame.verb, frame.fields)
     match frame.verb:
@@ -185,20 +185,20 @@
         case "HELLO":
             return Hello(fields.count("version"))
         case "HERE":
-            return Here(fields.count("version"))
+            return HandoverAccepted(fields.count("version"))
         case "NO":
             return _decode_rejection(fields, frame.fields)
     raise MalformedFrameError(f"unknown verb {frame.verb[:20]}")
 
 
 def _decode_rejection(fields: Fields, values: dict[str, Any]) -> Rejection:
-    """A process of another version rejects with its version, one that is busy says so."""
+    """Return a rejection: a peer of another version sends its version, a busy peer sends `busy`."""
     version = fields.count("version") if "version" in values else None
     is_busy = fields.flag("busy") if "busy" in values else False
     return Rejection(fields.text("why"), version, is_busy)
 
 
 def is_compatible_hello(frame: Frame) -> bool:
-    """The frame opens a hand-over of this protocol's version."""
+    """Return whether a frame is a HELLO of this protocol version."""
     version = frame.fields.get("version")
     return frame.verb == "HELLO" and isinstance(version, int) and version == PROTOCOL_VERSION
--- a/chutepin/handover/learned.py
+++ b/chutepin/handover/learned.py
@@ -1,7 +1,7 @@
-"""The learned statistics of a LEARNED frame: the shape and the range of each value. Pure.
+"""Validation of the learned statistics in a LEARNED frame: the shape and range of each value. Pure.
 
-The names are those of `decision.experience`. A value outside its range would not only mislead the successor's
-decisions: a zero average run time, say, is divided by."""
+The names are those of `decision.experience`. A value outside its range would distort the successor's decisions, or
+raise an error, such as a division by an average run time of zero."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 from .fields import MAX_COUNT, MAX_NUMBER, MalformedFrameError, is_number
 
-MIN_POSITIVE = 1e-12  # seconds or ratios that are divided by
-MAX_RETRY_SHARE = 1 - 1e-9  # the odds of a retry divide by what is missing to 1
+MIN_POSITIVE = 1e-12  # lower bound of seconds and ratios that are used as divisors
+MAX_RETRY_SHARE = 1 - 1e-9  # the odds of a retry are divided by (1 - share)
 
 
 class Check(Protocol):
     """The shape and range of a JSON value."""
 
     def accepts(self, value: object) -> bool:
-        """Whether a value has this shape and is in range."""
+        """Return whether a value has this shape and is in range."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,28 +30,28 @@
     maximum: float = MAX_NUMBER
 
     def accepts(self, value: object) -> bool:
-        """Whether the value is such a number."""
+        """Return whether the value is a number within the bounds."""
         return is_number(value, self.minimum, self.maximum)
 
 
 @dataclass(frozen=True, slots=True)
 class FirstRequestTime:
-    """A time, or infinity where no request has come yet."""
+    """A time, or infinity before the first request."""
 
     def accepts(self, value: object) -> bool:
-        """Whether the value is such a time."""
+        """Return whether the value is a time or infinity."""
         return is_number(value) or value == math.inf
 
 
 @dataclass(frozen=True, slots=True)
 class ListOf:
-    """A list of values that pass another check, of any length or of a given one."""
+    """A list whose items pass another check, of a fixed length or, if `length` is None, of any length."""
 
     item: Check
     length: int | None = None
 
     def accepts(self, value: object) -> bool:
-        """Whether the value is such a list."""
+        """Return whether the value is a list of the required length and its items pass."""
         if not isinstance(value, list) or self.length not in (None, len(value)):
             return False
         return all(self.item.accepts(item) for item in value)
@@ -59,13 +59,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PairsOf:
-    """A table, which travels as a list of pairs of a whole number and a value."""
+    """A table that is encoded as a list of pairs of a whole number and a value."""
 
     key: Check
     value: Check
 
     def accepts(self, value: object) -> bool:
-        """Whether the value is such a table."""
+        """Return whether the value is a list of pairs whose keys and values pass."""
         return isinstance(value, list) and all(self._is_pair(pair) for pair in value)
 
     def _is_pair(self, pair: object) -> bool:
@@ -87,13 +87,13 @@
     "waits": ListOf(_NUMBER),
     "patience": PairsOf(_SIGNED, _NUMBER),
     "tries": _NUMBER,
-    "parts": PairsOf(_NUMBER, ListOf(_NUMBER, length=2)),  # by caller: requests of late, first seen at
+    "parts": PairsOf(_NUMBER, ListOf(_NUMBER, length=2)),  # by caller: recent requests, time of the first request
     "heard": PairsOf(_NUMBER, _NUMBER),
     "returned": _NUMBER,
     "silent": _NUMBER,
     "first": FirstRequestTime(),
     "served": ListOf(_NUMBER),
-    "buckets": ListOf(_SIGNED),  # below 0 for a tenant that has overdrawn its quota
+    "buckets": ListOf(_SIGNED),  # negative for a tenant that has exceeded its quota
     "share": _SHARE,
     "refused_share": _NUMBER,
     "unread": _NUMBER,
@@ -114,12 +114,12 @@
 
 
 def check_learned(values: dict[str, object]) -> dict[str, object]:
-    """Return the known values of a LEARNED frame. Raises MalformedFrameError for one outside its shape or range.
+    """Return the known values of a LEARNED frame. Raises MalformedFrameError for a value of wrong shape or range.
 
-    A value may be absent, and names that are not known here are left out: another version of the program may have
-    learned something else. The decision module itself says whether what is there is enough."""
+    Missing values are accepted and unknown names are dropped, since another version of the program may learn other
+    statistics. The decision module checks whether the remaining values are sufficient."""
     known = {name: value for name, value in values.items() if name in LEARNED_CHECKS}
     for name, value in known.items():
         if not LEARNED_CHECKS[name].accepts(value):
-            raise MalformedFrameError(f"LEARNED has a malformed value {name}")
+            raise MalformedFrameError(f"LEARNED: malformed value {name}")
     return known
--- a/chutepin/handover/link.py
+++ b/chutepin/handover/link.py
@@ -1,4 +1,4 @@
-"""The I/O of a hand-over: the connection between the two processes and the passing of sockets."""
+"""The I/O of a hand-over: the connection between the two processes and the transfer of listening sockets."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from ..logs import Log
 from ..net.lines import ProtocolError
 from .frames import PROTOCOL_VERSION, Frame, FrameReader, decode, encode, is_compatible_hello
-from .messages import Hello, Here, Rejection
+from .messages import HandoverAccepted, Hello, Rejection
 from .rendezvous import Rendezvous
 from .session import Delivery, HandoverSession
 from .state_machine import Event, Stage
 
-USAGE_INTERVAL_S = 0.05  # between two reports of what this process uses
-RETRY_DELAY_S = 0.3  # between two looks at a rendezvous whose owner did not hand over
-FLUSH_POLL_S = 0.005  # between two looks whether the kernel has taken all
-STUCK_TIMEOUT_S = 2.0  # for a peer to read what does not fit the kernel's buffer
-MAX_SOCKETS = 8  # listening sockets that are passed
+USAGE_INTERVAL_S = 0.05  # interval between reports of this process's usage
+RETRY_DELAY_S = 0.3  # interval between checks of a rendezvous whose owner did not hand over
+FLUSH_POLL_S = 0.005  # interval between checks whether the write buffer is empty
+STUCK_TIMEOUT_S = 2.0  # timeout of a peer that does not read while the kernel's buffer is full
+MAX_SOCKETS = 8  # maximum number of listening sockets that are transferred
 READ_BYTES = 65536
 
 
 class HandoverLink:
-    """Carries a hand-over session over a Unix socket."""
+    """The transport of a hand-over session over a Unix socket."""
 
     def __init__(
         self,
@@ -39,45 +39,45 @@
         counters: Counters,
         log: Log,
     ) -> None:
-        """`listeners` returns the listening sockets that a successor is to have."""
+        """Create the link. `listeners`: returns the listening sockets to transfer to a successor."""
         self.session = session
         self._rendezvous = rendezvous
         self._listeners = listeners
         self._clock = clock
         self._counters = counters
         self._log = log
-        self.serve: Callable[[], Awaitable[None]]  # has this process accept; may be called again
+        self.serve: Callable[[], Awaitable[None]]  # makes this process accept connections; may be called again
         self.has_predecessor = rendezvous.has_listener()
         self.sockets: list[socket.socket] = []  # the predecessor's listening sockets
         self._writer: asyncio.StreamWriter | None = None
-        self._stuck_since: float | None = None
-        self._last_turn = clock.now()  # of the event loop
-        self._is_leaving = False
+        self._unsent_since: float | None = None
+        self._last_iteration_at = clock.now()  # of the event loop
+        self._is_closing = False
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Succeed a predecessor if there is one, serve, and wait for a successor, until cancelled."""
+        """Take over from a predecessor if there is one, serve, and wait for a successor, until cancelled."""
         try:
             if self.has_predecessor:
-                await self._succeed()
+                await self._take_over()
             await self._listen()
             await self.serve()
             await self._supervise()
         finally:
-            self._is_leaving = True
+            self._is_closing = True
             if self._writer is not None:
-                self._writer.close()  # what is in the buffer still goes out where the loop goes on
+                self._writer.close()  # buffered data is still sent while the event loop runs
             self._rendezvous.close()
 
     async def _supervise(self) -> None:
-        """Report this process's usage, and resume once a successor without a link has ended."""
+        """Report usage periodically, and resume service when a disconnected successor has ended."""
         checked_at = 0.0
         while True:
             await asyncio.sleep(USAGE_INTERVAL_S)
-            self._turn()
-            if self._stage is not Stage.DISCONNECTED or self._last_turn <= checked_at + RETRY_DELAY_S:
+            self._on_loop_iteration()
+            if self._stage is not Stage.DISCONNECTED or self._last_iteration_at <= checked_at + RETRY_DELAY_S:
                 continue
-            checked_at = self._last_turn
+            checked_at = self._last_iteration_at
             if not self._rendezvous.has_listener():
                 self.session.peer_ended()
                 await self._listen()
@@ -86,52 +86,52 @@
     def _stage(self) -> Stage:
         return self.session.machine.stage
 
-    def _turn(self) -> None:
-        """Note a turn of the loop, report usage, and give up a peer that has stopped reading."""
-        now = self._last_turn = self._clock.now()
+    def _on_loop_iteration(self) -> None:
+        """Record the iteration of the event loop, report usage, and abort the link to a peer that stopped reading."""
+        now = self._last_iteration_at = self._clock.now()
         if self._writer is None:
             return
         if self.session.send_usage():
-            self._stuck_since = None
-        elif self._stuck_since is None:
-            self._stuck_since = now
-        if self._stuck_since is not None and now > self._stuck_since + STUCK_TIMEOUT_S:
+            self._unsent_since = None
+        elif self._unsent_since is None:
+            self._unsent_since = now
+        if self._unsent_since is not None and now > self._unsent_since + STUCK_TIMEOUT_S:
             self._counters.add("handover.peer_not_reading")
             self._writer.transport.abort()
 
     def _attach(self, writer: asyncio.StreamWriter) -> None:
-        """Let the session write to a connection."""
+        """Make the session send through a connection."""
 
         def send(data: bytes) -> Delivery:
             if not writer.transport.is_closing():
                 writer.write(data)
-            if writer.transport.is_closing():  # also by this very write
+            if writer.transport.is_closing():  # possibly closed by the write above
                 return Delivery.LINK_CLOSED
             return Delivery.BUFFERED if writer.transport.get_write_buffer_size() else Delivery.IN_KERNEL
 
         self._writer = writer
         self.session.send = send
-        self._stuck_since = None
+        self._unsent_since = None
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        task = asyncio.get_running_loop().create_task(work)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     async def _listen(self) -> None:
-        """Listen for a successor. Where that fails the node serves, but the next upgrade will not find it."""
+        """Listen for a successor. After a failure the node serves, but a successor cannot connect to it."""
         try:
-            await self._rendezvous.listen(self._serve_successor)
+            await self._rendezvous.listen(self._handle_connection)
         except OSError as error:
             self._log.event("handover.rendezvous_unavailable", why=error.strerror or str(error))
 
-    # The successor:
+    # Successor:
 
-    async def _succeed(self) -> None:
-        """Connect to the predecessor until it has handed over or ended. Uncoordinated with it, serve meanwhile."""
+    async def _take_over(self) -> None:
+        """Retry until the predecessor has handed over or ended; serve beside it while uncoordinated."""
         while True:
-            await self._try_succeed()
+            await self._try_take_over()
             if self._stage in (Stage.TAKEN_OVER, Stage.ALONE):
                 return
             if self._stage is Stage.UNCOORDINATED:
@@ -141,8 +141,8 @@
                 self.session.peer_ended()
                 return
 
-    async def _try_succeed(self) -> None:
-        """Make one attempt, from HELLO to YOURS or the end of the link."""
+    async def _try_take_over(self) -> None:
+        """Attempt one hand-over, from HELLO to YOURS or the end of the link."""
         loop = asyncio.get_running_loop()
         machine = self.session.machine
         sock = socket.socket(socket.AF_UNIX)
@@ -159,27 +159,27 @@
             async with asyncio.timeout_at(loop.time() + machine.deadline - self._clock.now()):
                 data, sockets = await self._receive_sockets(sock)
             frames.feed(data)
-            for old in self.sockets:
-                old.close()
+            for old_socket in self.sockets:
+                old_socket.close()
             self.sockets = sockets
             reader, writer = await asyncio.open_connection(sock=sock)
         except (OSError, TimeoutError, ProtocolError) as error:
             sock.close()
-            self._log.event("handover.connect_failed", why=str(error) or "no answer in time")
+            self._log.event("handover.connect_failed", why=str(error) or "the predecessor did not answer HELLO in time")
             self.session.predecessor_lost(self._rendezvous.has_listener())
             return
         self._attach(writer)
-        following = self._spawn(self._follow(reader, frames))  # until the predecessor ends
-        while not following.done() and self._stage is not Stage.TAKEN_OVER:
-            await asyncio.wait([following], timeout=USAGE_INTERVAL_S)
-            self._turn()
+        receiving = self._spawn(self._receive_from_predecessor(reader, frames))  # until the link ends
+        while not receiving.done() and self._stage is not Stage.TAKEN_OVER:
+            await asyncio.wait([receiving], timeout=USAGE_INTERVAL_S)
+            self._on_loop_iteration()
             if self._clock.now() > machine.deadline:
                 self._log.event("handover.stalled", stage=self._stage.value)
                 writer.transport.abort()
-                await following
+                await receiving
 
     async def _receive_sockets(self, sock: socket.socket) -> tuple[bytes, list[socket.socket]]:
-        """Return the predecessor's first bytes, with the sockets that come with them."""
+        """Return the predecessor's first bytes and the sockets that are attached to them."""
         loop = asyncio.get_running_loop()
         readable = asyncio.Event()
         loop.add_reader(sock, readable.set)
@@ -187,13 +187,13 @@
             await readable.wait()
         finally:
             loop.remove_reader(sock)
-        data, numbers, _, _ = socket.recv_fds(sock, READ_BYTES, MAX_SOCKETS)
+        data, descriptors, _, _ = socket.recv_fds(sock, READ_BYTES, MAX_SOCKETS)
         if not data:
-            raise ProtocolError("the predecessor closed the connection without an answer")
-        return data, [socket.socket(fileno=number) for number in numbers]
+            raise ProtocolError("the predecessor closed the connection without an answer to HELLO")
+        return data, [socket.socket(fileno=descriptor) for descriptor in descriptors]
 
-    async def _follow(self, reader: asyncio.StreamReader, frames: FrameReader) -> None:
-        """Receive from the predecessor until the link ends."""
+    async def _receive_from_predecessor(self, reader: asyncio.StreamReader, frames: FrameReader) -> None:
+        """Receive from the predecessor until the link ends or the hand-over is rejected, then update the session."""
         rejection: Rejection | None = None
         try:
             rejection = await self._receive_until_rejected(reader, frames)
@@ -225,10 +225,10 @@
                 return None
             frames.feed(data)
 
-    # The predecessor:
+    # Predecessor:
 
-    async def _serve_successor(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve a connection: a successor's, or one that only looks whether anybody listens."""
+    async def _handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Handle a connection from a successor, or one that only checks whether a process listens."""
         frames = FrameReader()
         is_successor = False
         try:
@@ -245,11 +245,11 @@
             self._log.event("handover.link_broken", why=str(error))
         finally:
             writer.transport.abort()
-            if is_successor and not self._is_leaving:
+            if is_successor and not self._is_closing:
                 await self._successor_lost()
 
     def _accept(self, frame: Frame, writer: asyncio.StreamWriter) -> bool:
-        """Begin to hand over; false where the peer is rejected."""
+        """Start the hand-over to a peer that sent this frame first; return false if the peer is rejected."""
         if not is_compatible_hello(frame):
             writer.write(encode(Rejection("another version", version=PROTOCOL_VERSION)))
             return False
@@ -258,12 +258,12 @@
             return False
         self._counters.add("handover.successors")
         self._log.event("handover.successor_connected")
-        # The sockets go with the first bytes, by a second descriptor of the link: streams can't pass any.
+        # Streams cannot transfer sockets, so a duplicate descriptor of the link sends them with the first bytes.
         try:
             with socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())) as link:
                 sockets = [sock.fileno() for sock in self._listeners()]
-                socket.send_fds(link, [encode(Here(PROTOCOL_VERSION))], sockets)
-        except OSError:  # the successor has gone: it had waited in vain while this process was stopped
+                socket.send_fds(link, [encode(HandoverAccepted(PROTOCOL_VERSION))], sockets)
+        except OSError:  # the successor has closed the link, for example after a timeout while this process was stopped
             self.session.successor_lost(False, 0.0)
             raise
         self._attach(writer)
@@ -271,7 +271,7 @@
         return True
 
     async def _send_keys(self, writer: asyncio.StreamWriter) -> None:
-        """Send a successor all records, no faster than it reads."""
+        """Send all records to a successor at the rate at which it reads, then SYNCED."""
         with contextlib.suppress(OSError):
             for data in self.session.record_frames():
                 writer.write(data)
@@ -279,16 +279,16 @@
                     await writer.drain()
             while writer.transport.get_write_buffer_size() and not writer.transport.is_closing():
                 await asyncio.sleep(FLUSH_POLL_S)
-            if self._writer is writer:  # not of a successor that came after the one that this was for
+            if self._writer is writer:  # the link may have been replaced by the link to a later successor
                 self.session.keys_sent()
 
     async def _successor_lost(self) -> None:
-        """Settle the end of the link to the successor."""
+        """Process the end of the link to the successor."""
         self._writer = None
-        # A process that has yielded goes on listening, lest a successor that did not learn of it takes it for dead;
-        # a successor that serves has put its own file there.
-        is_alive = not self._rendezvous.is_own() and self._rendezvous.has_listener()
-        self.session.successor_lost(is_alive, self._clock.now() - self._last_turn)
+        # A process that has yielded keeps listening; otherwise a successor that has not received YOURS would treat the
+        # process as dead. A successor that serves has replaced the socket file with its own.
+        is_alive = not self._rendezvous.owns_path() and self._rendezvous.has_listener()
+        self.session.successor_lost(is_alive, self._clock.now() - self._last_iteration_at)
         self._log.event("handover.successor_lost", stage=self._stage.value)
-        if self._stage is Stage.ALONE and not self._rendezvous.is_own():
+        if self._stage is Stage.ALONE and not self._rendezvous.owns_path():
             await self._listen()
--- a/chutepin/handover/messages.py
+++ b/chutepin/handover/messages.py
@@ -1,4 +1,4 @@
-"""The messages of a hand-over as types; `frames` maps them to bytes."""
+"""Message types of a hand-over; `frames` encodes and decodes them."""
 
 from __future__ import annotations
 
@@ -8,59 +8,59 @@
 
 
 class Hello(NamedTuple):
-    """Successor: open a hand-over."""
+    """From the successor: request a hand-over."""
 
     version: int
 
 
-class Here(NamedTuple):
-    """Predecessor: accept it. The listening sockets come with this message."""
+class HandoverAccepted(NamedTuple):
+    """From the predecessor: accept the hand-over. The listening sockets are attached to this message."""
 
     version: int
 
 
 class Rejection(NamedTuple):
-    """Predecessor: no hand-over on this connection."""
+    """From the predecessor: reject the hand-over on this connection."""
 
     reason: str
     version: int | None = None
-    is_busy: bool = False  # another successor is connected
+    is_busy: bool = False  # whether another successor is connected
 
 
 class RecordChanged(NamedTuple):
-    """Either: a record of an idempotency key as its owner has it."""
+    """From either process: the current record of an idempotency key that the sender owns."""
 
     record: IdempotencyRecord
 
 
 class KeyRemoved(NamedTuple):
-    """Either: a key has been removed."""
+    """From either process: a key has been removed."""
 
     key: str
 
 
 class LearnedStatistics(NamedTuple):
-    """Predecessor: what its decision module has learned, each value within the bounds of `learned`."""
+    """From the predecessor: the learned statistics of its decision module, checked by `learned`."""
 
     statistics: dict[str, object]
 
 
 class KeysSynced(NamedTuple):
-    """Predecessor: all records were sent."""
+    """From the predecessor: all records have been sent."""
 
-    in_doubt_until: float  # until then an unknown key may have run
+    in_doubt_until: float  # time until which an unknown key may have run
 
 
 class TakeoverRequest(NamedTuple):
-    """Successor: ready to serve."""
+    """From the successor: ready to serve."""
 
 
 class TakeoverGranted(NamedTuple):
-    """Predecessor: it has stopped accepting, and the keys are the successor's."""
+    """From the predecessor: it has stopped accepting, and the successor owns the keys."""
 
 
 class ProcessUsage(NamedTuple):
-    """Either: what the sending process uses of the node's limits."""
+    """From either process: the share of the node's limits that the sender uses."""
 
     running: int
     memory_kb: float
@@ -68,7 +68,7 @@
 
 
 class KeyReply(NamedTuple):
-    """Successor: whether a requested key may be taken."""
+    """From the successor: the answer whether a requested key may be taken."""
 
     request_id: str
     key: str
@@ -77,7 +77,7 @@
 
 Message = (
     Hello
-    | Here
+    | HandoverAccepted
     | Rejection
     | RecordChanged
     | KeyRemoved
--- a/chutepin/handover/rendezvous.py
+++ b/chutepin/handover/rendezvous.py
@@ -1,4 +1,4 @@
-"""The Unix socket in the file system at which the processes of one node meet."""
+"""The Unix socket in the file system through which the two processes of a node connect."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 from collections.abc import Awaitable, Callable, Iterator
 from pathlib import Path
 
-MAX_SOCKET_PATH_BYTES = 100  # the system takes 107
+MAX_SOCKET_PATH_BYTES = 100  # Linux accepts 107
 BACKLOG = 4
 
 ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 def rendezvous_path(directory: str, node: str, address: str) -> str:
-    """Return the path at which the processes of one node meet; no other node's is the same."""
+    """Return the path of a node's rendezvous socket, derived from a digest of its name and address."""
     name = hashlib.blake2b(f"{node} {address}".encode(), digest_size=8).hexdigest()
     return str(Path(directory) / f"chutepin-{name}")
 
 
 @contextlib.contextmanager
 def _socket_address(path: str) -> Iterator[str]:
-    """Yield the path in a form that fits a Unix socket's address."""
+    """Yield the path in a form that is short enough for a Unix socket address."""
     if len(os.fsencode(path)) <= MAX_SOCKET_PATH_BYTES:
         yield path
         return
@@ -36,58 +36,58 @@
 
 
 class Rendezvous:
-    """The rendezvous socket of one node, as one of its processes uses it."""
+    """The rendezvous socket of one node, used by one of its processes."""
 
     def __init__(self, path: str) -> None:
         self.path = path
         self._server: asyncio.Server | None = None
-        self._inode = 0  # of this process's socket file
+        self._inode = 0  # inode of this process's socket file
 
     def has_listener(self) -> bool:
-        """Somebody listens there. The stale file of a dead process refuses connections."""
+        """Return whether a process listens at the path; the stale file of a dead process refuses connections."""
         with socket.socket(socket.AF_UNIX) as sock, _socket_address(self.path) as address:
             sock.setblocking(False)
             try:
                 sock.connect(address)
-            except BlockingIOError:  # its backlog is full: it lives
+            except BlockingIOError:  # the backlog is full, so a process listens
                 return True
             except OSError:
                 return False
         return True
 
     def connect(self, sock: socket.socket) -> None:
-        """Connect a Unix socket to whoever listens. Raises OSError."""
+        """Connect a Unix socket to the listening process. Raises OSError."""
         with _socket_address(self.path) as address:
             sock.connect(address)
 
     async def listen(self, handler: ConnectionHandler) -> None:
-        """Listen there, in place of whoever did before. Raises OSError."""
-        own_path = f"{self.path}.{os.getpid()}"
+        """Listen at the path and replace the socket file of any earlier process. Raises OSError."""
+        temporary_path = f"{self.path}.{os.getpid()}"
         if self._server is not None:
             self._server.close()
             self._server = None
         with contextlib.suppress(FileNotFoundError):
-            os.unlink(own_path)
+            os.unlink(temporary_path)
         sock = socket.socket(socket.AF_UNIX)
-        with _socket_address(own_path) as address:
+        with _socket_address(temporary_path) as address:
             sock.bind(address)
-        os.chmod(own_path, 0o600)
+        os.chmod(temporary_path, 0o600)
         self._server = await asyncio.start_unix_server(handler, sock=sock, backlog=BACKLOG)
-        self._inode = os.stat(own_path).st_ino
-        os.replace(own_path, self.path)
+        self._inode = os.stat(temporary_path).st_ino
+        os.replace(temporary_path, self.path)
 
-    def is_own(self) -> bool:
-        """The file at the path is this process's."""
+    def owns_path(self) -> bool:
+        """Return whether the file at the path was created by this process."""
         try:
             return self._server is not None and os.stat(self.path).st_ino == self._inode
         except OSError:
             return False
 
     def close(self) -> None:
-        """Stop listening. The file goes unless another process has put its own there."""
+        """Stop listening, and remove the file unless another process has replaced it."""
         if self._server is None:
             return
-        if self.is_own():
+        if self.owns_path():
             with contextlib.suppress(OSError):
                 os.unlink(self.path)
         self._server.close()
--- a/chutepin/handover/session.py
+++ b/chutepin/handover/session.py
@@ -1,4 +1,4 @@
-"""One process's side of a hand-over: messages in, messages out through `send`. No I/O."""
+"""The hand-over session of one process: processes received messages and sends others through `send`. No I/O."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from .fields import MalformedFrameError
 from .frames import Frame, decode, encode, encode_record
 from .messages import (
-    Here,
+    HandoverAccepted,
     KeyRemoved,
     KeyReply,
     KeysSynced,
@@ -27,62 +27,62 @@
 
 
 class Delivery(Enum):
-    """What became of a message that was written to the other process."""
+    """The result of writing a message to the peer process."""
 
-    IN_KERNEL = "in the kernel's buffer"  # the peer will read it even if this process is killed
+    IN_KERNEL = "in the kernel's buffer"  # the peer can read the message even if this process is killed
     BUFFERED = "buffered in this process"
-    LINK_CLOSED = "link closed"  # found by this very write; nobody has been notified yet
+    LINK_CLOSED = "link closed"  # detected by this write, before the end of the link is processed
 
 
 class HandoverHost(Protocol):
-    """The node, as the hand-over needs it."""
+    """The port to the node that a hand-over uses."""
 
     def records(self) -> list[IdempotencyRecord]:
         """Return all records of this process."""
 
     def is_current(self, record: IdempotencyRecord) -> bool:
-        """The record is still in the table."""
+        """Return whether the record is still in the table."""
 
     def peer_record_changed(self, record: IdempotencyRecord) -> None:
-        """Apply a record of the other process."""
+        """Apply a record of the peer process."""
 
     def peer_key_removed(self, key: str) -> None:
-        """Apply the removal of a key by the other process."""
+        """Apply the removal of a key by the peer process."""
 
     def peer_requests_key(self, request: KeyRequest) -> bool:
-        """Decide whether the other process may take a key."""
+        """Return whether the peer process may take a key."""
 
     def key_replied(self, request_id: str, key: str, is_granted: bool) -> None:
-        """Go on with a request that waits for its key."""
+        """Resume a request that waits for its key, or reject it."""
 
     def peer_lost(self) -> None:
-        """Settle what the other process held."""
+        """Process the end of the peer: its keys, unfinished runs and usage."""
 
     def learned_statistics(self) -> dict[str, object]:
-        """Return what this process's decision module has learned."""
+        """Return the learned statistics of this process's decision module."""
 
     def adopt_statistics(self, statistics: dict[str, object]) -> None:
-        """Begin with what the predecessor's decision module had learned."""
+        """Adopt the learned statistics of the predecessor's decision module."""
 
     def usage(self) -> ProcessUsage:
-        """Return what this process uses of the node's limits."""
+        """Return the share of the node's limits that this process uses."""
 
     def set_peer_usage(self, usage: ProcessUsage) -> None:
-        """Leave room for what the other process uses."""
+        """Deduct the usage of the peer process from this process's limits."""
 
     def yield_ownership(self) -> None:
-        """Stop accepting and finish what is open: the successor serves."""
+        """Stop accepting and finish open requests, since the successor serves."""
 
     def resume_ownership(self) -> None:
-        """Accept again: the successor has gone."""
+        """Accept again after the end of the successor."""
 
 
 NO_USAGE = ProcessUsage(0, 0.0, 0)
-MAX_KEY_LIFETIME_S = 7 * 86400.0  # of a key at the other process, unless this one's settings remember keys for longer
+MAX_KEY_LIFETIME_S = 7 * 86400.0  # upper limit for a peer's key, unless this process's settings keep keys longer
 
 
 class HandoverSession:
-    """Applies messages to the state machine and the host; the broker's `PeerProcess`."""
+    """The message handling between the state machine and the host; implements the broker's `PeerProcess`."""
 
     def __init__(self, host: HandoverHost, machine: HandoverStateMachine, clock: Clock, counters: Counters) -> None:
         self._host = host
@@ -91,44 +91,44 @@
         self.machine = machine
         self.send: Callable[[bytes], Delivery] | None = None  # None without a link
         self._is_executor_ready = False
-        self._are_keys_sent = False  # the successor has been sent every record
+        self._are_keys_sent = False  # whether every record has been sent to the successor
 
-    # As the broker's `PeerProcess`, and `IdempotencyTable.replicate`:
+    # The broker's `PeerProcess`, and `IdempotencyTable.replicate`:
 
     def ownership(self, now: float) -> KeyOwnership:
-        """Return who may take a key that is not known here."""
+        """Return which process may take a key that is not in this process's table."""
         return self.machine.ownership(now)
 
     def request_key(self, request: KeyRequest) -> None:
-        """Ask the owner of the keys."""
+        """Request a key from the peer process, which owns unknown keys."""
         self._counters.add("handover.keys_requested")
         self._send(request)
 
     def replicate(self, key: str, record: IdempotencyRecord | None) -> bool:
-        """Send a change of this process's table; true once the other process is sure to receive it, or needs not."""
+        """Send a change of this process's table; return whether the peer is certain to receive it or need not."""
         if self.send is None:
             return self.machine.stage is not Stage.DISCONNECTED
         delivery = self.send(encode(KeyRemoved(key)) if record is None else encode_record(record))
         if delivery is Delivery.LINK_CLOSED:
-            return self.machine.owns_keys  # and goes on alone: without a link the other one runs no key
+            return self.machine.owns_keys  # only the owner may run keys while the link is closed
         if delivery is Delivery.IN_KERNEL:
             return True
-        # A successor that was not sent every record takes no key if this process dies now.
+        # A successor without all records runs no unknown key if this process dies now.
         return self.machine.stage is Stage.SENDING_KEYS and not self._are_keys_sent
 
     # Both processes:
 
     def send_usage(self) -> bool:
-        """Send what this process uses; true where the kernel took it."""
+        """Send the usage of this process; return whether the kernel accepted the message."""
         return self._send(self._host.usage())
 
     def receive(self, frame: Frame) -> None:
-        """Apply a frame of the other process. Raises ProtocolError."""
+        """Process a frame of the peer. Raises ProtocolError."""
         now = self._clock.now()
         message = decode(frame)
-        self._check_time(message, now)  # before anything changes: what is malformed ends the link and no more
+        self._check_expiry(message, now)  # before any change, so that a malformed frame only ends the link
         match message:
-            case Here():
+            case HandoverAccepted():
                 self.machine.apply(Event.ACCEPTED, now)
             case KeysSynced():
                 self.machine.apply(Event.KEYS_SYNCED, now)
@@ -137,19 +137,19 @@
         self.machine.extend_deadline(now)
         self._apply(message)
 
-    def _check_time(self, message: Message, now: float) -> None:
-        """Guard against a key that would stay for ever, and against unknown keys that would be refused for good."""
+    def _check_expiry(self, message: Message, now: float) -> None:
+        """Check that a key expires and that unknown keys are not refused for ever. Raises MalformedFrameError."""
         match message:
             case RecordChanged(record):
-                until = record.expires_at
+                expires_at = record.expires_at
             case KeyRequest():
-                until = message.expires_at
+                expires_at = message.expires_at
             case KeysSynced(in_doubt_until):
-                until = in_doubt_until
+                expires_at = in_doubt_until
             case _:
                 return
-        if until > now + max(MAX_KEY_LIFETIME_S, self.machine.key_window_s):
-            raise MalformedFrameError(f"a key's time is {until - now:.0f} s ahead")
+        if expires_at > now + max(MAX_KEY_LIFETIME_S, self.machine.key_window_s):
+            raise MalformedFrameError(f"the key's expiry is {expires_at - now:.0f} s in the future")
 
     def _apply(self, message: Message) -> None:
         match message:
@@ -172,12 +172,12 @@
             case TakeoverRequest():
                 self._grant_takeover()
             case _:
-                pass  # these change the stage alone
+                pass  # the remaining messages only change the stage
 
-    # The successor:
+    # Successor:
 
     def executor_ready(self) -> None:
-        """Note that this process's executor is up."""
+        """Record that this process's executor has started, and request the takeover if the keys are synced."""
         self._is_executor_ready = True
         self._request_takeover()
 
@@ -186,34 +186,34 @@
             self._send(TakeoverRequest())
 
     def rejected(self, is_busy: bool) -> None:
-        """Apply the predecessor's refusal to hand over."""
+        """Process the predecessor's rejection of the hand-over."""
         self.send = None
         self.machine.apply(Event.REJECTED_BUSY if is_busy else Event.REJECTED, self._clock.now())
 
     def predecessor_lost(self, is_alive: bool) -> None:
-        """Apply the end of the link to the predecessor."""
+        """Process the end of the link to the predecessor."""
         self._end_link()
         self.machine.predecessor_lost(self._clock.now(), is_alive)
         self._host.peer_lost()
 
-    # The predecessor:
+    # Predecessor:
 
     def accept_successor(self) -> bool:
-        """Begin a hand-over; false where there is a successor already, or the keys are not this process's."""
+        """Start a hand-over; return false if a successor is connected or this process does not own the keys."""
         return self.machine.apply(Event.SUCCESSOR_CONNECTED, self._clock.now())
 
     def record_frames(self) -> Iterator[bytes]:
-        """Yield the frames of all records for a successor; changes meanwhile are replicated as they happen."""
+        """Yield the frames of all records for a successor; concurrent changes are replicated separately."""
         self._are_keys_sent = False
         for record in self._host.records():
             if self._host.is_current(record):
                 yield encode_record(record)
 
     def keys_sent(self) -> None:
-        """Tell the successor that it has every record.
+        """Send SYNCED to the successor.
 
-        To be called once the kernel has taken them: from here on a key runs only if the kernel takes its claim at
-        once."""
+        Call this after the kernel has accepted all records. From then on a key runs only if the kernel accepts its
+        claim immediately."""
         self._are_keys_sent = True
         self._send(KeysSynced(max(0.0, self.machine.in_doubt_until)))
 
@@ -226,7 +226,7 @@
         self._send(TakeoverGranted())
 
     def successor_lost(self, is_alive: bool, loop_stalled_s: float) -> None:
-        """Apply the end of the link to the successor."""
+        """Process the end of the link to the successor. `loop_stalled_s`: time since the last event loop iteration."""
         has_yielded = self.machine.stage is Stage.YIELDED
         self._end_link()
         self.machine.successor_lost(self._clock.now(), has_yielded and is_alive, loop_stalled_s)
@@ -236,10 +236,10 @@
         if self.machine.stage is Stage.ALONE:
             self._host.resume_ownership()
 
-    # Either, without a link:
+    # Either process, without a link:
 
     def peer_ended(self) -> None:
-        """Apply the end of a process that lived on without a link to this one."""
+        """Process the end of a peer process that had no link to this process."""
         was_disconnected = self.machine.stage is Stage.DISCONNECTED
         self.machine.apply(Event.PEER_ENDED, self._clock.now())
         if was_disconnected:
--- a/chutepin/handover/state_machine.py
+++ b/chutepin/handover/state_machine.py
@@ -1,7 +1,7 @@
-"""The hand-over state machine of one process: its stage, and with it whether it serves and who owns unknown keys.
+"""The hand-over state machine of one process. The stage determines which process serves and owns unknown keys.
 
-Pure: time is an argument and nothing is sent from here. `docs/operation.md` prints the tables below; a test compares
-them."""
+Pure: time is an argument and no messages are sent. `docs/operation.md` prints the tables below, and a test compares
+the two."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 
 from ..idempotency import KeyOwnership
 
-HELLO_TIMEOUT_S = 2.0  # for a predecessor's answer to HELLO
-FRAME_TIMEOUT_S = 3.0  # between two frames of a predecessor that is handing over
-STALLED_LOOP_S = 1.5  # without a turn of the event loop, after which a peer may have given this process up
+HELLO_TIMEOUT_S = 2.0  # timeout of a predecessor's answer to HELLO
+FRAME_TIMEOUT_S = 3.0  # timeout of the next frame of a predecessor that is handing over
+STALLED_LOOP_S = 1.5  # duration of an event loop stall after which the peer may treat this process as dead
 
 
 class Stage(Enum):
-    """Where a process stands in a hand-over."""
+    """The stage of a process in a hand-over."""
 
     ALONE = "alone"  # no other process
-    # the successor
-    WAITING = "waiting"  # another successor is being served by the predecessor; this one does not serve yet
+    # stages of a successor
+    WAITING = "waiting"  # the predecessor is handing over to another successor; this process does not serve yet
     HELLO_SENT = "hello sent"
     RECEIVING_KEYS = "receiving keys"
-    SYNCED = "synced"  # all keys have come; this process's executor may not be up yet
+    SYNCED = "synced"  # all keys have been received; this process's executor may not have started yet
     TAKEOVER_REQUESTED = "takeover requested"
-    TAKEN_OVER = "taken over"  # serves; the predecessor finishes
-    UNCOORDINATED = "uncoordinated"  # serves beside a live predecessor that did not hand over
-    # the predecessor
+    TAKEN_OVER = "taken over"  # serves; the predecessor finishes its open requests
+    UNCOORDINATED = "uncoordinated"  # serves beside a running predecessor that did not hand over
+    # stages of a predecessor
     SENDING_KEYS = "sending keys"  # a successor is connected and not ready
     YIELDED = "yielded"  # the successor serves
     DISCONNECTED = "disconnected"  # the successor serves, and the connection to it is lost
 
 
 class Event(Enum):
-    """What may change the stage."""
+    """An event that may change the stage."""
 
     HELLO_SENT = "HELLO sent"
     REJECTED = "NO received"
@@ -46,16 +46,16 @@
     TAKEOVER_GRANTED = "YOURS received"
     PREDECESSOR_LOST = "predecessor lost, alive"
     PREDECESSOR_DEAD = "predecessor lost, dead"
-    PEER_ENDED = "peer ended"  # nobody listens at the rendezvous any more
+    PEER_ENDED = "peer ended"  # no process listens at the rendezvous any more
     SUCCESSOR_CONNECTED = "HELLO received"
     TAKEOVER_REQUESTED = "TAKES received"
     SUCCESSOR_LOST = "successor lost, alive"
     SUCCESSOR_DEAD = "successor lost, dead"
-    SUCCESSOR_DEAD_UNHEARD = "successor lost, dead, after a stalled loop"
+    SUCCESSOR_DEAD_AFTER_STALL = "successor lost, dead, after a stalled loop"
 
 
 class Transition(NamedTuple):
-    """The next stage, and whether unknown keys are in doubt for one window from then on."""
+    """The next stage, and whether unknown keys are in doubt for one window after the transition."""
 
     stage: Stage
     puts_keys_in_doubt: bool = False
@@ -69,7 +69,7 @@
     Event.HELLO_SENT: Transition(Stage.HELLO_SENT),
     Event.PEER_ENDED: Transition(Stage.ALONE, puts_keys_in_doubt=True),
 }
-# The keys have not come whole: the predecessor's death leaves the unknown ones in doubt.
+# Not all keys have been received, so the death of the predecessor leaves unknown keys in doubt.
 _LOST_UNSYNCED = {
     Event.PREDECESSOR_LOST: Transition(Stage.UNCOORDINATED),
     Event.PREDECESSOR_DEAD: Transition(Stage.ALONE, puts_keys_in_doubt=True),
@@ -79,7 +79,7 @@
     Event.PREDECESSOR_DEAD: Transition(Stage.ALONE),
 }
 
-# Every transition; an event that a stage does not list changes nothing.
+# All transitions; an event that is not listed for a stage has no effect.
 TRANSITIONS: dict[Stage, dict[Event, Transition]] = {
     Stage.ALONE: {
         Event.HELLO_SENT: Transition(Stage.HELLO_SENT),
@@ -116,18 +116,18 @@
         Event.TAKEOVER_REQUESTED: Transition(Stage.YIELDED),
         Event.SUCCESSOR_LOST: Transition(Stage.ALONE),
         Event.SUCCESSOR_DEAD: Transition(Stage.ALONE),
-        Event.SUCCESSOR_DEAD_UNHEARD: Transition(Stage.ALONE),
+        Event.SUCCESSOR_DEAD_AFTER_STALL: Transition(Stage.ALONE),
     },
     Stage.YIELDED: {
         Event.SUCCESSOR_LOST: Transition(Stage.DISCONNECTED),
         Event.SUCCESSOR_DEAD: Transition(Stage.ALONE),
-        # A successor that could not be heard for that long may have gone on by itself.
-        Event.SUCCESSOR_DEAD_UNHEARD: Transition(Stage.ALONE, puts_keys_in_doubt=True),
+        # A successor may have taken over on its own while this process's event loop was stalled.
+        Event.SUCCESSOR_DEAD_AFTER_STALL: Transition(Stage.ALONE, puts_keys_in_doubt=True),
     },
     Stage.DISCONNECTED: {Event.PEER_ENDED: Transition(Stage.ALONE, puts_keys_in_doubt=True)},
 }
 
-# Who owns a key that this process does not know, until `in_doubt_until` aside.
+# Owner of a key that is not in this process's table, except before `in_doubt_until`.
 OWNERSHIP: dict[Stage, KeyOwnership] = {
     Stage.ALONE: KeyOwnership.OWNED,
     Stage.WAITING: KeyOwnership.IN_DOUBT,
@@ -142,7 +142,7 @@
     Stage.DISCONNECTED: KeyOwnership.IN_DOUBT,
 }
 
-# Seconds from the entry of a stage to its deadline; frames of the predecessor extend it.
+# Time in seconds from the entry of a stage to its deadline; each frame of the predecessor extends the deadline.
 _ENTRY_TIMEOUTS_S: dict[Stage, float] = {
     Stage.HELLO_SENT: HELLO_TIMEOUT_S,
     Stage.RECEIVING_KEYS: FRAME_TIMEOUT_S,
@@ -151,29 +151,29 @@
 
 
 class HandoverStateMachine:
-    """The stage of one process."""
+    """The hand-over stage of one process, its deadline and the time until which unknown keys are in doubt."""
 
     def __init__(self, key_window_s: float) -> None:
-        """`key_window_s`: for how long the longest-lived key is remembered."""
+        """Create a machine without a peer process. `key_window_s`: longest time for which a key is kept."""
         self.key_window_s = key_window_s
         self.stage = Stage.ALONE
-        self.deadline = math.inf  # when a predecessor counts as stalled
-        self.in_doubt_until = -math.inf  # until then an unknown key may have run where nobody can be asked
+        self.deadline = math.inf  # when the predecessor is considered stalled
+        self.in_doubt_until = -math.inf  # until then an unknown key may have run at a process that cannot be queried
 
     @property
     def owns_keys(self) -> bool:
-        """Keys are this process's to give, apart from those in doubt."""
+        """Return whether this process owns unknown keys, regardless of `in_doubt_until`."""
         return OWNERSHIP[self.stage] is KeyOwnership.OWNED
 
     def ownership(self, now: float) -> KeyOwnership:
-        """Return who may take a key that this process does not know."""
+        """Return which process may take a key that is not in this process's table."""
         ownership = OWNERSHIP[self.stage]
         if ownership is KeyOwnership.OWNED and now < self.in_doubt_until:
             return KeyOwnership.IN_DOUBT
         return ownership
 
     def apply(self, event: Event, now: float) -> bool:
-        """Make the transition of an event; false, and no change, where the stage has none."""
+        """Apply the transition of an event; return false and change nothing if the stage has none."""
         transition = TRANSITIONS[self.stage].get(event)
         if transition is None:
             return False
@@ -184,19 +184,19 @@
         return True
 
     def extend_deadline(self, now: float) -> None:
-        """Note that the predecessor has sent a frame."""
+        """Extend the deadline, if there is one, after a frame of the predecessor."""
         if self.deadline < math.inf:
             self.deadline = now + FRAME_TIMEOUT_S
 
     def predecessor_lost(self, now: float, is_alive: bool) -> bool:
-        """Apply the loss of the connection to the predecessor. `is_alive`: it still listens at the rendezvous."""
+        """Apply the loss of the link to the predecessor. `is_alive`: it still listens at the rendezvous."""
         return self.apply(Event.PREDECESSOR_LOST if is_alive else Event.PREDECESSOR_DEAD, now)
 
     def successor_lost(self, now: float, is_alive: bool, loop_stalled_s: float) -> bool:
-        """Apply the loss of the connection to the successor.
+        """Apply the loss of the link to the successor.
 
-        `loop_stalled_s`: since the last turn of this process's event loop."""
+        `loop_stalled_s`: time since the last iteration of this process's event loop."""
         if is_alive:
             return self.apply(Event.SUCCESSOR_LOST, now)
-        is_unheard = loop_stalled_s >= STALLED_LOOP_S
-        return self.apply(Event.SUCCESSOR_DEAD_UNHEARD if is_unheard else Event.SUCCESSOR_DEAD, now)
+        was_stalled = loop_stalled_s >= STALLED_LOOP_S
+        return self.apply(Event.SUCCESSOR_DEAD_AFTER_STALL if was_stalled else Event.SUCCESSOR_DEAD, now)
--- a/chutepin/idempotency/__init__.py
+++ b/chutepin/idempotency/__init__.py
@@ -1,7 +1,8 @@
-"""Idempotent requests: which attempt holds an idempotency key, which one ran, and its result.
+"""Idempotency keys: the attempt that holds each key, the attempt that ran, and the result.
 
-No I/O; time is an argument. `IdempotencyTable` is the table of one process. Where two processes serve one node during
-an upgrade, `handover` replicates each one's changes to the other and decides who owns a key (`KeyOwnership`)."""
+No I/O; time is an argument. `IdempotencyTable` is the table of one process. While two processes serve one node during
+an upgrade, `handover` replicates the changes of each table to the other and decides which process owns a key
+(`KeyOwnership`)."""
 
 from .peer import KeyOwnership, KeyRequest, NoPeerProcess, PeerProcess
 from .record import IdempotencyRecord
--- a/chutepin/idempotency/peer.py
+++ b/chutepin/idempotency/peer.py
@@ -1,4 +1,4 @@
-"""The port through which the broker reaches the node's other process, where there is one."""
+"""The port to the peer process: the second process of the node during an upgrade."""
 
 from __future__ import annotations
 
@@ -7,39 +7,39 @@
 
 
 class KeyOwnership(Enum):
-    """Who may take a key that is not in this process's table."""
+    """The process that may take a key that is not in this process's table."""
 
     OWNED = "owned by this process"
-    ASK_PEER = "owned by the other process, which must be asked"
-    IN_DOUBT = "in doubt: it can't be known whether the key has run"
+    ASK_PEER = "owned by the peer process, which grants or denies the key"
+    IN_DOUBT = "in doubt: the key may have run"
 
 
 class KeyRequest(NamedTuple):
-    """A request for a key that an attempt at the asking process needs."""
+    """A request for a key that an attempt at the requesting process needs."""
 
     request_id: str
     key: str
-    fingerprint: bytes  # digest of what the request carries
+    fingerprint: bytes  # digest of the request's class, tenant and body
     expires_at: float
 
 
 class PeerProcess(Protocol):
-    """The node's other process."""
+    """The second process of the node during an upgrade."""
 
     def ownership(self, now: float) -> KeyOwnership:
-        """Return who may take a key that is not known here."""
+        """Return which process may take a key that is not in this process's table."""
 
     def request_key(self, request: KeyRequest) -> None:
-        """Ask for a key. The answer comes as `Broker.key_replied`, unless the peer ends before."""
+        """Request a key. The answer is passed to `PeerExchange.key_replied`, unless the peer ends before."""
 
 
 class NoPeerProcess:
-    """There is no other process: all keys are this one's."""
+    """The absence of a peer process: this process owns every key."""
 
     def ownership(self, now: float) -> KeyOwnership:
         """Return that this process owns every key."""
         return KeyOwnership.OWNED
 
     def request_key(self, request: KeyRequest) -> None:
-        """Never called, as `ownership` never says to ask."""
-        raise AssertionError("there is no peer process to ask")
+        """Raise AssertionError: `ownership` never returns ASK_PEER, so this is never called."""
+        raise AssertionError("a key was requested from a peer process, but there is none")
--- a/chutepin/idempotency/table.py
+++ b/chutepin/idempotency/table.py
@@ -1,4 +1,4 @@
-"""The table of idempotency keys: records, their windows, kept results and the bound on memory."""
+"""The table of idempotency keys: records, windows, kept results and the memory limit."""
 
 from __future__ import annotations
 
@@ -7,44 +7,44 @@
 from ..facade import End
 from .record import IdempotencyRecord
 
-KEY_BYTES = 1024  # of one record without its result
-KEY_SLACK_S = 0.1  # added to each window: a record may outlive its window, never the reverse
-KEY_GRACE_S = 5.0  # a record stays this long after its window, for attempts that came in time but are read late
+RECORD_BYTES = 1024  # memory counted for one record without its result
+KEY_SLACK_S = 0.1  # added to each window, so that no record expires before its window ends
+KEY_GRACE_S = 5.0  # a record is kept this long past its window, for attempts that arrived in time but are read late
 
 
 class IdempotencyTable:
-    """All keys of one process, bounded by memory.
+    """All keys of one process, limited in memory.
 
-    Methods that end a run or remove a record return the attempts that waited for it; the caller answers them."""
+    Methods that end a run or remove a record return the ids of the attempts that waited; the caller answers them."""
 
     def __init__(self, max_bytes: int) -> None:
-        """`max_bytes` bounds records and results together."""
+        """Create an empty table. `max_bytes` limits records and results together."""
         self._max_bytes = max_bytes
         self.result_bytes = 0
         self.records: dict[str, IdempotencyRecord] = {}
-        # By run: records whose window is over while the run goes on and attempts wait for it.
+        # By run id: records replaced after their window while attempts still wait for the run.
         self._superseded: dict[str, IdempotencyRecord] = {}
-        # Replicates a changed record, or the removal of a key (None), before anybody acts on the change. False where
-        # the peer process can't be known to receive it.
+        # Sends a changed record, or the removal of a key (None), to the peer process, before any process acts on the
+        # change. Returns false if delivery to the peer is uncertain.
         self.replicate: Callable[[str, IdempotencyRecord | None], bool] = lambda key, record: True
 
     @property
     def is_full(self) -> bool:
-        """There is no room for another key."""
-        return len(self.records) * KEY_BYTES + self.result_bytes >= self._max_bytes
+        """Return whether the memory limit leaves no room for another key."""
+        return len(self.records) * RECORD_BYTES + self.result_bytes >= self._max_bytes
 
     def find(self, key: str | None, arrived: float) -> IdempotencyRecord | None:
-        """Return the record that an attempt repeats.
+        """Return the record that an attempt belongs to, or None for a new request.
 
-        Either the attempt arrived within the record's window, however late it was read, or the record has not run
-        yet: its window begins with the arrival of the attempt that runs."""
+        An attempt that arrived within the record's window belongs to the record, however late it was read. A record
+        that has not run matches any attempt: its window begins with the arrival of the attempt that runs."""
         record = self.records.get(key or "")
         if record is None:
             return None
         return record if not record.has_run or arrived <= record.expires_at else None
 
     def reserve(self, key: str, attempt_id: str, arrived: float, expires_at: float, fingerprint: bytes) -> None:
-        """Reserve a key for an attempt; a record that never ran passes to it from an older attempt."""
+        """Reserve a key for an attempt; take over the record of an older attempt that never ran."""
         record = self.records.get(key)
         if record is None or (record.has_run and arrived > record.expires_at):
             self._supersede(record)
@@ -57,10 +57,10 @@
         self.replicate(key, record)
 
     def start_run(self, key: str, attempt_id: str, expires_at: float) -> bool:
-        """Mark a key as run by this attempt; false where it must not run. `expires_at`: the end of the run's window.
+        """Mark a key as run by this attempt; return false if it must not run. `expires_at`: end of the run's window.
 
-        Guards the guarantee itself: whatever the decision module decides, no second attempt of a key runs within the
-        window, and none before the peer process is sure to learn of it."""
+        This check enforces at most one run per window independently of the decision module. A run starts only if
+        its claim is certain to reach the peer process."""
         record = self.records.get(key)
         if record is None or record.holder_id != attempt_id or record.has_run or record.owned_by_peer:
             return False
@@ -72,7 +72,7 @@
         return False
 
     def finish_run(self, key: str, attempt_id: str, outcome: End, result: bytes) -> list[str]:
-        """Record a run's outcome. Only proof that nothing was started frees the key for another attempt."""
+        """Record a run's outcome. The key is released only if the run is known not to have started (`End.NEVER`)."""
         record = self.records.get(key)
         if record is None or record.run_id != attempt_id or record.owned_by_peer:
             return self._pop_superseded_waiters(attempt_id)
@@ -81,19 +81,19 @@
         return self._set_outcome(record, End.OK if outcome is End.OK else End.ERROR, result)
 
     def remove(self, record: IdempotencyRecord) -> list[str]:
-        """Remove a record and replicate its removal."""
+        """Remove a record, replicate the removal and return the ids of the waiting attempts."""
         waiting_ids = self.discard(record)
         self.replicate(record.key, None)
         return waiting_ids
 
     def discard(self, record: IdempotencyRecord) -> list[str]:
-        """Remove a record here alone: the peer process removes its copy by itself."""
+        """Remove a record without replication, since the peer process removes its own copy; return waiting attempts."""
         del self.records[record.key]
         self.result_bytes -= len(record.result)
         return record.waiting_ids
 
     def expired(self, now: float, is_active: Callable[[str], bool]) -> list[IdempotencyRecord]:
-        """Return the records whose window is over, unless their attempt is still active here."""
+        """Return the records past their window and grace time, except those with an unfinished, active attempt."""
 
         def is_open(record: IdempotencyRecord) -> bool:
             return record.outcome is None and is_active(record.run_id or record.holder_id)
@@ -103,13 +103,13 @@
         ]
 
     def apply_from_peer(self, received: IdempotencyRecord, now: float) -> list[str]:
-        """Apply a record as the peer process has it."""
+        """Apply a record of the peer process and return the ids of the attempts that its outcome answers."""
         record = self.records.get(received.key)
         if record is not None and not record.owned_by_peer and record.has_run:
             if record.expires_at >= now or received.expires_at <= record.expires_at:
-                # What ran here is known better here.
+                # This process owns the record of its own run, so the peer's copy is ignored.
                 return self._pop_superseded_waiters(received.run_id) if received.outcome is not None else []
-            self._supersede(record)  # its window is over, and the peer's run is the key's next
+            self._supersede(record)  # its window is over, and the peer has started the next run of the key
             record = None
         if record is None:
             record = IdempotencyRecord(received.key, received.holder_id, received.expires_at, received.fingerprint)
@@ -124,14 +124,16 @@
         return self._set_outcome(record, received.outcome, received.result)
 
     def remove_from_peer(self, key: str) -> list[str]:
-        """Remove a key that the peer process has given up without a run."""
+        """Remove a key that the peer process released without a run; return the ids of the waiting attempts."""
         record = self.records.get(key)
         if record is None or not record.owned_by_peer or record.outcome is not None:
             return []
         return self.discard(record)
 
     def peer_lost(self) -> list[str]:
-        """Take over the peer's records: its unfinished runs are in doubt, and what it only reserved never ran."""
+        """Take over the peer's records and return the ids of the waiting attempts.
+
+        Unfinished runs of the peer are in doubt and recorded as errors; keys that it only reserved are removed."""
         waiting_ids: list[str] = []
         for run_id, record in list(self._superseded.items()):
             if record.owned_by_peer:
@@ -155,7 +157,7 @@
         return waiting_ids
 
     def _supersede(self, record: IdempotencyRecord | None) -> None:
-        """Another record takes the place of one whose window is over; its run may go on with attempts waiting."""
+        """Prepare the replacement of a record past its window; keep it by run id if attempts wait for its run."""
         if record is None:
             return
         self.result_bytes -= len(record.result)
@@ -163,6 +165,6 @@
             self._superseded[record.run_id] = record
 
     def _pop_superseded_waiters(self, run_id: str | None) -> list[str]:
-        """Return who waited for a run that has outlived its window and is over now."""
+        """Remove a superseded record whose run has ended and return the ids of its waiting attempts."""
         record = self._superseded.pop(run_id or "", None)
         return record.waiting_ids if record is not None else []
--- a/chutepin/net/amqp/consumer.py
+++ b/chutepin/net/amqp/consumer.py
@@ -113,7 +113,7 @@
             return
         delivery = Delivery(self, session, tag, index, content.properties)
         self._open[request.id] = delivery
-        self.broker.pick(request, delivery)
+        self.broker.submit(request, delivery)
         if tag not in session.unsettled:  # answered at once
             self._open.pop(request.id, None)
 
--- a/chutepin/net/resp/listener.py
+++ b/chutepin/net/resp/listener.py
@@ -101,7 +101,7 @@
             request.due += connection.time_shift_s
             connection.open[tag] = request.id
             self.table.message_received(connection.key, connection.last_used_at, ConnectionUsage.REQUESTS, True)
-            self.broker.pick(request, Reply(connection, tag))
+            self.broker.submit(request, Reply(connection, tag))
         elif verb == CANCEL:
             self.counters.add("cancels")
             if (id := connection.open.pop(tag, None)) is not None:
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -1,4 +1,4 @@
-"""The one helper of all tests of the node: settings, a core with recording ports, random steps."""
+"""Shared helpers of the node tests: settings, a broker with recording ports, random steps, and stand-ins."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from chutepin.testbench.standins.platform import EXAMPLE
 
 ROOT = Path(__file__).parent.parent
-# The same steps every time: CI must give the same verdict on the same text.
+# Derandomized, so that CI gives the same verdict for the same code.
 STEPS = settings(
     derandomize=True,
     database=None,
@@ -38,7 +38,7 @@
 
 
 class Hand:
-    """A clock that a test moves by hand."""
+    """A clock that a test advances manually."""
 
     def __init__(self) -> None:
         self.time = 1_000_000.0
@@ -46,12 +46,12 @@
 
 
 class Ports:
-    """Records what the core asks of the executor, the records service and the alarm, and what it answers."""
+    """Recording ports: commands to the executor and the records service, the timer, and answers to callers."""
 
     def __init__(self) -> None:
         self.done: list[tuple[Any, ...]] = []
         self.answers: dict[str, list[Answer]] = {}
-        self.alarm = 0.0
+        self.timer_at = 0.0
 
     def exec(self, id: str, cls: str, body: bytes, repeatable: bool) -> None:
         self.done.append(("exec", id, cls, body))
@@ -78,17 +78,17 @@
         self.done.append(("give up", id))
 
     def set(self, at: float) -> None:
-        self.alarm = at
+        self.timer_at = at
 
-    def ids(self, what: str) -> list[str]:
-        return [entry[1] for entry in self.done if entry[0] == what]
+    def ids(self, command: str) -> list[str]:
+        return [entry[1] for entry in self.done if entry[0] == command]
 
     def caller(self, id: str) -> Recorder:
         return Recorder(self.answers.setdefault(id, []))
 
 
 class Recorder:
-    """A caller that keeps its answers."""
+    """A caller that records its answers."""
 
     def __init__(self, answers: list[Answer]) -> None:
         self.answers = answers
@@ -98,7 +98,7 @@
 
 
 class Core:
-    """A core over recording ports, warm and, unless the executor is yet to come `up`, started."""
+    """A broker with recording ports. If `up`, its executor has started and is warm."""
 
     def __init__(self, env: dict[str, Any] = ENV, memory: int = 64 * 2**20, up: bool = True) -> None:
         self.hand, self.ports, self.counters = Hand(), Ports(), Counters()
@@ -121,7 +121,7 @@
         now = self.hand.time
         body = more.pop("body", b"body of " + (key or id).encode())
         tenant = more.pop("tenant", "bernard-lodge")
-        self.broker.pick(
+        self.broker.submit(
             Request(id, cls, body, now, now + wait, size=24.5, tenant=tenant, key=key, **more), self.ports.caller(id)
         )
 
@@ -129,12 +129,12 @@
         self.broker.run_ended(id, end, 0.2, b"result of " + id.encode() if end is End.OK else b"")
 
     def running(self) -> list[str]:
-        """Runs that were begun and have not ended."""
+        """Return the ids of runs that were started and have not ended."""
         ended = set(self.ports.ids("ended"))
         return [id for id in self.ports.ids("exec") if id not in ended]
 
     def end_some(self, data: st.DataObject, end: End) -> None:
-        """End a run of hypothesis's choice, if there is one."""
+        """End a running run that hypothesis draws, if there is any."""
         if running := self.running():
             id = data.draw(st.sampled_from(running))
             self.ports.done.append(("ended", id))
@@ -143,7 +143,7 @@
     def pass_time(self, seconds: float) -> None:
         until = self.hand.time + seconds
         while self.hand.time < until:
-            self.hand.time = min(until, max(self.ports.alarm, self.hand.time + 0.001))
+            self.hand.time = min(until, max(self.ports.timer_at, self.hand.time + 0.001))
             self.broker.tick()
 
     def words(self, id: str) -> list[str]:
@@ -151,16 +151,16 @@
 
 
 class Standins(standins.Standins):
-    """The stand-ins with the settings of the tests."""
+    """The platform stand-ins with the settings of the tests."""
 
     def __init__(self) -> None:
         super().__init__(ENV)
 
 
 async def run_command(*arguments: str, stderr: int) -> tuple[int, str]:
-    """Run `chutepin` with these arguments as an operator does; its exit code and output.
+    """Run `chutepin` as a subprocess with these arguments; return its exit code and output.
 
-    `stderr` is `asyncio.subprocess.STDOUT` to have both streams in the output, or `DEVNULL`."""
+    `stderr` is `asyncio.subprocess.STDOUT` to include both streams in the output, or `DEVNULL`."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -1,4 +1,4 @@
-"""The broker over recording ports: one final answer each, idempotency, drain; also by random steps."""
+"""The broker with recording ports: one final answer per request, idempotency and drain, also by random steps."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     assert core.words("a") == ["served"] and core.counters.counts["runs.unknown"] == 1
 
 
-def test_dependency_call_has_an_absolute_deadline_and_its_reply_returns() -> None:
+def test_dependency_call_has_an_absolute_deadline_and_its_reply_is_passed_to_the_run() -> None:
     core = Core()
     core.pick("a", wait=2.0)
     core.broker.call_wanted("a", 7, b"ask")
@@ -38,7 +38,7 @@
     assert core.words("a") == ["served"]
 
 
-def test_run_goes_on_without_a_dependency_call_that_fails() -> None:
+def test_run_resumes_without_a_dependency_call_that_fails() -> None:
     core = Core()
     core.pick("a", wait=1.0)
     core.broker.call_wanted("a", 7, b"ask")
@@ -62,10 +62,10 @@
     assert core.ports.ids("exec") == ["a"]
 
 
-def test_broker_answers_a_request_that_the_decision_module_leaves_overdue() -> None:
+def test_broker_fails_an_overdue_request_that_the_decision_module_left_unanswered() -> None:
     core = Core()
     core.pick("a", "work-order", key="k", wait=1.0)
-    core.broker._schedule.module_timers.clear()  # the decision module acts no more
+    core.broker._schedule.decision_timers.clear()  # disables the decision module
     core.broker.actions.set_timer = lambda token, at: None  # type: ignore[method-assign]
     core.pass_time(0.9)
     assert not core.words("a")
@@ -93,14 +93,14 @@
     assert taken == ["served"] * taken.index("refused") + ["refused"] * (99 - taken.index("refused"))
     assert 45 <= taken.index("refused") <= 50
     core.pick("again", "work-order", key="k0")
-    assert core.words("again") == ["served"]  # what ran is never rejected
+    assert core.words("again") == ["served"]  # a request that ran is never rejected
     core.pass_time(WINDOW + KEY_GRACE_S + 2.0)
     assert not core.broker.keys.records and not core.broker.keys.result_bytes
     core.pick("new", "work-order", key="new")
     assert core.ports.ids("exec")[-1] == "new"
 
 
-def test_other_request_under_a_taken_key_gets_no_result_of_it() -> None:
+def test_different_request_under_a_used_key_fails_without_its_result() -> None:
     core = Core()
     core.pick("a", "work-order", key="k")
     core.pick("b", "work-order", key="k", body=b"other")
@@ -111,10 +111,10 @@
     assert core.ports.ids("exec") == ["a"]
 
 
-@pytest.mark.parametrize("odd", [{"tenant": "nobody"}, {"wait": 1e9}, {"wait": -1.0}, {"wait": 0.0}])
-def test_request_outside_its_class_limits_fails_and_never_runs(odd: dict[str, Any]) -> None:
+@pytest.mark.parametrize("invalid", [{"tenant": "nobody"}, {"wait": 1e9}, {"wait": -1.0}, {"wait": 0.0}])
+def test_request_outside_its_class_limits_fails_and_never_runs(invalid: dict[str, Any]) -> None:
     core = Core()
-    core.pick("a", "position-push", **odd)
+    core.pick("a", "position-push", **invalid)
     core.pick("b", "position-push")
     assert core.words("a") == ["failed"] and core.ports.ids("exec") == ["b"]
 
@@ -131,8 +131,8 @@
     assert core.ports.ids("exec") == ["a", "c"]
 
 
-def test_waiter_gets_the_result_of_its_run_though_the_key_has_run_again() -> None:
-    """Its window was over while it went on, and the next attempt took the place of its record."""
+def test_waiting_retry_gets_the_result_of_its_run_after_the_key_has_run_again() -> None:
+    """Guards against a lost waiter: the window ends during the run, and the next attempt replaces the record."""
     core = Core()
     core.pick("a", "work-order", key="k", wait=9.0)
     core.pick("b", "work-order", key="k", wait=9.0)
@@ -145,10 +145,10 @@
     assert core.words("c") == ["served"] and not core.broker.keys._superseded
 
 
-def test_retry_replaces_an_attempt_that_is_queued_for_longer_than_its_window() -> None:
-    """Taken for a new request, the two shared one key, and the older could never run."""
+def test_retry_replaces_an_attempt_queued_for_longer_than_its_window() -> None:
+    """Guards against treating the retry as a new request: both attempts held one key and the older never ran."""
     core = Core()
-    core.broker.peer_exchange.set_peer_usage(10**6, 0.0)  # queued for want of capacity
+    core.broker.peer_exchange.set_peer_usage(10**6, 0.0)  # no capacity: the request is queued
     core.pick("a", "work-order", key="k", wait=7.0)
     core.pass_time(WINDOW + 0.3)
     core.pick("b", "work-order", key="k", wait=5.0)
@@ -157,12 +157,12 @@
     assert core.words("a") == ["refused"] and core.ports.ids("exec") == ["b"]
 
 
-def test_key_is_free_once_the_broker_has_answered_its_overdue_queued_attempt() -> None:
-    """Reported too late for the module to free the key, the next attempt waited for a run that never began."""
+def test_key_is_released_when_the_broker_answers_its_overdue_queued_attempt() -> None:
+    """Guards against a key that stays reserved: the next attempt then waited for a run that never started."""
     core = Core()
     core.broker.peer_exchange.set_peer_usage(10**6, 0.0)
     core.pick("a", "work-order", key="k", wait=5.0)
-    core.broker._schedule.module_timers.clear()  # the decision module acts no more
+    core.broker._schedule.decision_timers.clear()  # disables the decision module
     core.broker.actions.set_timer = lambda token, at: None  # type: ignore[method-assign]
     core.pass_time(5.2)
     assert core.counters.counts["answers.overdue"] == 1
@@ -171,7 +171,7 @@
     assert core.ports.ids("exec") == ["b"]
 
 
-def test_full_node_does_not_reject_a_retry_of_what_ran(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_full_node_fails_rather_than_rejects_a_retry_of_a_key_that_ran(monkeypatch: pytest.MonkeyPatch) -> None:
     core = Core()
     core.pick("a", "work-order", key="k")
     monkeypatch.setattr(broker_core, "MAX_REQUESTS", 1)
@@ -180,7 +180,7 @@
     assert core.words("b") == ["failed"] and core.words("c") == ["refused"]
 
 
-def test_stopped_run_that_the_executor_never_began_is_over() -> None:
+def test_stopped_run_that_the_executor_never_started_is_removed() -> None:
     core = Core()
     core.pick("a", "position-push")
     core.broker.caller_disconnected("a")
@@ -190,7 +190,7 @@
     assert not core.broker.has_open_attempts and not core.broker._facade._policy.server.requests.jobs
 
 
-def test_key_is_free_once_its_run_is_known_not_to_have_started() -> None:
+def test_key_is_released_when_its_run_is_known_not_to_have_started() -> None:
     core = Core()
     core.pick("a", "work-order", key="k")
     core.broker.caller_disconnected("a")
@@ -199,7 +199,7 @@
     assert core.ports.ids("exec") == ["a", "b"]
 
 
-def test_request_that_arrives_after_the_drain_grace_does_not_run() -> None:
+def test_request_that_arrives_after_the_drain_grace_is_rejected() -> None:
     core = Core()
     core.broker.drain(core.hand.time + 3.0, core.hand.time)
     core.pick("a", "position-push")
@@ -222,7 +222,7 @@
     assert [answer.verdict.value for answer in first] == ["failed"]
 
 
-def test_unwatched_run_at_a_dependency_call_is_stopped_once_its_request_is_over() -> None:
+def test_unwatched_run_that_waits_for_a_call_is_killed_when_its_request_is_over() -> None:
     core = Core()
     core.pick("a", wait=1.0, watched=False)
     core.broker.call_wanted("a", 1, b"ask")
@@ -230,7 +230,7 @@
     assert core.words("a")[0] in ("failed", "served") and core.ports.ids("kill") == ["a"]
 
 
-def test_key_does_not_run_twice_whatever_the_decision_module_does() -> None:
+def test_second_run_of_a_key_by_the_decision_module_violates_an_invariant() -> None:
     core = Core()
     core.pick("a", "work-order", key="k")
     core.pick("b", "work-order", key="k")
@@ -240,17 +240,17 @@
 
 
 class RequestLifecycle(RuleBasedStateMachine):
-    """A model of open requests: against it, any order of arrivals, ends, calls, disconnects and time."""
+    """A model of open requests, checked against the broker in any order of arrivals, ends, calls and disconnects."""
 
     @initialize()
     def begin(self) -> None:
-        self.core, self.serial = Core(), 0
-        self.live: dict[str, tuple[float, float]] = {}  # id: (arrived, due)
+        self.core, self.count = Core(), 0
+        self.requests: dict[str, tuple[float, float]] = {}  # id: (arrived, due)
         self.keys: dict[str, str] = {}
-        self.gone: set[str] = set()
+        self.disconnected: set[str] = set()
 
-    def some(self, pool: list[str], data: st.DataObject) -> str | None:
-        return data.draw(st.sampled_from(sorted(pool))) if pool else None
+    def draw_one(self, ids: list[str], data: st.DataObject) -> str | None:
+        return data.draw(st.sampled_from(sorted(ids))) if ids else None
 
     @rule(
         cls=st.sampled_from(["status-read", "position-push", "work-order"]),
@@ -258,17 +258,17 @@
         wait=st.floats(0.05, 7.0),
     )
     def arrive(self, cls: str, key: int, wait: float) -> None:
-        self.serial += 1
-        id = f"r{self.serial}"
-        keyed = cls == "work-order"
-        self.live[id] = (self.core.hand.time, self.core.hand.time + wait)
-        if keyed:
+        self.count += 1
+        id = f"r{self.count}"
+        is_keyed = cls == "work-order"
+        self.requests[id] = (self.core.hand.time, self.core.hand.time + wait)
+        if is_keyed:
             self.keys[id] = f"k{key}"
-        self.core.pick(id, cls, f"k{key}" if keyed else None, wait)
+        self.core.pick(id, cls, f"k{key}" if is_keyed else None, wait)
 
     @rule(data=st.data(), end=st.sampled_from(list(End)))
     def run_ends(self, data: st.DataObject, end: End) -> None:
-        if end is End.NEVER and (id := self.some(self.core.running(), data)) is not None:
+        if end is End.NEVER and (id := self.draw_one(self.core.running(), data)) is not None:
             done = self.core.ports.done
             done.remove(next(entry for entry in done if entry[:2] == ("exec", id)))
             self.core.end(id, end)
@@ -277,15 +277,15 @@
 
     @rule(data=st.data(), end=st.sampled_from(list(End)))
     def call(self, data: st.DataObject, end: End) -> None:
-        if (id := self.some(self.core.running(), data)) is not None:
+        if (id := self.draw_one(self.core.running(), data)) is not None:
             self.core.broker.call_wanted(id, 1, b"ask")
             self.core.broker.call_ended(id, end, b"reply")
 
     @rule(data=st.data())
     def caller_disconnects(self, data: st.DataObject) -> None:
-        if (id := self.some(list(self.live), data)) is not None:
+        if (id := self.draw_one(list(self.requests), data)) is not None:
             if not self.core.ports.answers[id]:
-                self.gone.add(id)
+                self.disconnected.add(id)
             self.core.broker.caller_disconnected(id)
 
     @rule(seconds=st.floats(0.001, 3.0))
@@ -298,17 +298,17 @@
             return
         ports, now = self.core.ports, self.core.hand.time
         executed = ports.ids("exec")
-        awaiting = sum(not self.core.words(id) and id not in self.gone for id in self.live)
-        assert self.core.broker.metrics.is_consistent(awaiting), "received is not ended and open"
-        assert not self.core.counters.counts["answers.overdue"], "the decision module left an answer to the broker"
+        awaiting = sum(not self.core.words(id) and id not in self.disconnected for id in self.requests)
+        assert self.core.broker.metrics.is_consistent(awaiting), "received != ended + open"
+        assert not self.core.counters.counts["answers.overdue"], "the broker answered an overdue request"
         assert len(executed) == len(set(executed))
-        for id, (_, due) in self.live.items():
+        for id, (_, due) in self.requests.items():
             words = self.core.words(id)
             assert len(words) <= 1
-            assert words or id in self.gone or now < due + 0.1, "an answer is overdue"
-            assert not (words == ["refused"] and id in executed), "what ran was rejected"
+            assert words or id in self.disconnected or now < due + 0.1, "an answer is overdue"
+            assert not (words == ["refused"] and id in executed), "a request that ran was rejected"
         for key in set(self.keys.values()):
-            ran = sorted(self.live[id][0] for id in executed if self.keys.get(id) == key)
+            ran = sorted(self.requests[id][0] for id in executed if self.keys.get(id) == key)
             assert all(b - a > WINDOW for a, b in pairwise(ran)), "a key ran twice"
 
 
@@ -316,11 +316,9 @@
 TestRequestLifecycle.settings = STEPS
 
 
-# Guards against a run that is begun as the process ends after a hand-over: nobody would answer it.
+# Guards against a run that starts as the process exits after a hand-over and whose caller gets no answer.
 @pytest.mark.parametrize(("cls", "key"), [("position-push", None), ("work-order", "k")])
-def test_request_that_comes_past_the_stop_after_a_handover_is_rejected_and_does_not_run(
-    cls: str, key: str | None
-) -> None:
+def test_request_past_the_stop_after_a_handover_is_rejected_and_does_not_run(cls: str, key: str | None) -> None:
     core = Core()
     core.pick("before", cls, key)
     core.broker.finish(core.hand.time + 1.0)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Upgrades of the real program on loopback: two processes of one node."""
+"""Upgrades of the real program on loopback, with two processes of one node."""
 
 from __future__ import annotations
 
@@ -23,28 +23,28 @@
 from .test_operation import call
 
 
-def upgrade(test: Callable[[Standins, Standins, AsyncExitStack], Awaitable[None]], window: float = WINDOW) -> None:
-    """Run a test with one node in service and the stand-ins of a second process at the same address."""
+def run_upgrade(test: Callable[[Standins, Standins, AsyncExitStack], Awaitable[None]], window: float = WINDOW) -> None:
+    """Run a test with a serving predecessor and stand-ins for a successor at the same address."""
 
     async def run() -> None:
         async with AsyncExitStack() as stack:
-            place = stack.enter_context(tempfile.TemporaryDirectory())
-            old, new = Standins(), Standins()
-            for world in (old, new):
-                world.env["categories"][2]["window"] = window
-            old.environ = new.environ = {"TMPDIR": place}
-            await old.start(stack, ops=True)
-            new.listen_port = old.port
+            directory = stack.enter_context(tempfile.TemporaryDirectory())
+            predecessor, successor = Standins(), Standins()
+            for process in (predecessor, successor):
+                process.env["categories"][2]["window"] = window
+            predecessor.environ = successor.environ = {"TMPDIR": directory}
+            await predecessor.start(stack, ops=True)
+            successor.listen_port = predecessor.port
             async with asyncio.timeout_at(asyncio.get_running_loop().time() + EVENTUALLY_TIMEOUT_S):
-                await test(old, new, stack)
+                await test(predecessor, successor, stack)
 
     asyncio.run(run())
 
 
-async def ready(world: Standins) -> None:
+async def wait_until_ready(process: Standins) -> None:
     while True:
         try:
-            if (await call(world, b"ready\n")).startswith("SUCCESS"):
+            if (await call(process, b"ready\n")).startswith("SUCCESS"):
                 return
         except OSError:
             pass
@@ -52,136 +52,138 @@
 
 
 def test_upgrade_under_load_loses_no_request_and_runs_no_key_twice() -> None:
-    async def test(old: Standins, new: Standins, stack: AsyncExitStack) -> None:
-        chance = random.Random(7)
-        held = await old.connect()
-        asked: list[tuple[Balancer, int, bytes]] = []
-
-        async def ask(balancer: Balancer) -> None:
-            number = chance.randrange(60)
-            key = f"{number:032x}" if chance.random() < 0.7 else None
+    async def test(predecessor: Standins, successor: Standins, stack: AsyncExitStack) -> None:
+        rng = random.Random(7)
+        connected_before = await predecessor.connect()
+        requests: list[tuple[Balancer, int, bytes]] = []
+
+        async def send_request(balancer: Balancer) -> None:
+            number = rng.randrange(60)
+            key = f"{number:032x}" if rng.random() < 0.7 else None
             body = b"order %d" % number if key else b"read"
-            asked.append((balancer, balancer.call("work-order" if key else "status-read", body, key), body))
+            requests.append((balancer, balancer.call("work-order" if key else "status-read", body, key), body))
             await asyncio.sleep(0.004)
 
         for _ in range(60):
-            await ask(held)
-        await new.start(stack, ops=True)
-        await ready(new)
-        assert (await call(old, b"ready\n")).startswith("FAILURE no, handing over")
-        fresh = [await new.connect() for _ in range(4)]
-        assert old.process is not None
-        send_signal(old.process, signal.SIGTERM)
-        for turn in range(120):
-            await ask(held if turn < 12 else chance.choice(fresh))  # those cross the farewell
-        words = [(await balancer.answer(tag))[0] for balancer, tag, _ in asked]
-        assert set(words) <= {b"OK", b"BUSY", b"FAILED"} and words.count(b"OK") > 0.9 * len(words)
-        assert all(len(balancer.answers[tag]) == 1 for balancer, tag, _ in asked)
-        assert held.answers[0] == [[b"BYE"]]
-        await held.close()
-        assert await old.process.wait() == 0
-        orders = [body for world in (old, new) for _, cls, body in world.runs if cls == "work-order"]
-        assert len(orders) == len(set(orders)) and {body for _, cls, body in new.runs}
-        for balancer in fresh:
+            await send_request(connected_before)
+        await successor.start(stack, ops=True)
+        await wait_until_ready(successor)
+        assert (await call(predecessor, b"ready\n")).startswith("FAILURE no, handing over")
+        connected_after = [await successor.connect() for _ in range(4)]
+        assert predecessor.process is not None
+        send_signal(predecessor.process, signal.SIGTERM)
+        for index in range(120):
+            # The first 12 requests cross the predecessor's BYE.
+            await send_request(connected_before if index < 12 else rng.choice(connected_after))
+        verdicts = [(await balancer.answer(tag))[0] for balancer, tag, _ in requests]
+        assert set(verdicts) <= {b"OK", b"BUSY", b"FAILED"} and verdicts.count(b"OK") > 0.9 * len(verdicts)
+        assert all(len(balancer.answers[tag]) == 1 for balancer, tag, _ in requests)
+        assert connected_before.answers[0] == [[b"BYE"]]
+        await connected_before.close()
+        assert await predecessor.process.wait() == 0
+        orders = [body for process in (predecessor, successor) for _, cls, body in process.runs if cls == "work-order"]
+        assert len(orders) == len(set(orders)) and {body for _, cls, body in successor.runs}
+        for balancer in connected_after:
             await balancer.close()
 
-    upgrade(test, window=60.0)  # a busy machine takes longer for an upgrade than a window lasts elsewhere here
+    run_upgrade(test, window=60.0)  # an upgrade on a busy machine takes longer than the window of the other tests
 
 
 def test_retry_at_the_other_process_gets_the_result_of_the_run() -> None:
-    async def test(old: Standins, new: Standins, stack: AsyncExitStack) -> None:
-        key, slow = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", b"slow order"
-        old.hold = new.hold = {slow}
-        first = await old.connect()
-        one = first.call("work-order", slow, key)
-        await eventually(lambda: old.runs)
-        await new.start(stack, ops=True)
-        await ready(new)
-        second = await new.connect()
-        two = second.call("work-order", slow, key)
+    async def test(predecessor: Standins, successor: Standins, stack: AsyncExitStack) -> None:
+        key, body = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", b"slow order"
+        predecessor.hold = successor.hold = {body}
+        first = await predecessor.connect()
+        first_tag = first.call("work-order", body, key)
+        await eventually(lambda: predecessor.runs)
+        await successor.start(stack, ops=True)
+        await wait_until_ready(successor)
+        second = await successor.connect()
+        second_tag = second.call("work-order", body, key)
         await asyncio.sleep(0.1)
-        old.finish(old.runs[0][0], b"mended")
-        assert (await first.answer(one))[::2] == [b"OK", b"mended"]
-        assert (await second.answer(two))[::2] == [b"OK", b"mended"]
-        assert not new.runs
+        predecessor.finish(predecessor.runs[0][0], b"mended")
+        assert (await first.answer(first_tag))[::2] == [b"OK", b"mended"]
+        assert (await second.answer(second_tag))[::2] == [b"OK", b"mended"]
+        assert not successor.runs
         await first.close()
         await second.close()
 
-    upgrade(test)
+    run_upgrade(test)
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_killed_predecessor_leaves_its_runs_in_doubt(seed: int) -> None:
-    async def test(old: Standins, new: Standins, stack: AsyncExitStack) -> None:
-        chance = random.Random(seed)
-        old.hold = {b"order %d" % number for number in range(8)}
-        balancer = await old.connect()
+    async def test(predecessor: Standins, successor: Standins, stack: AsyncExitStack) -> None:
+        rng = random.Random(seed)
+        predecessor.hold = {b"order %d" % number for number in range(8)}
+        balancer = await predecessor.connect()
         for number in range(8):
             balancer.call("work-order", b"order %d" % number, f"{number:032x}", wait=9000)
-        await eventually(lambda: len(old.runs) >= 6)  # the limit holds the others back
-        await new.start(stack, ops=True)
-        moment = asyncio.create_task(asyncio.sleep(chance.random() * 1.2))
-        await moment
-        assert old.process is not None
-        kill(old.process)
-        await ready(new)
-        other = await new.connect()
+        await eventually(lambda: len(predecessor.runs) >= 6)  # the concurrency limit delays the others
+        await successor.start(stack, ops=True)
+        kill_delay = asyncio.create_task(asyncio.sleep(rng.random() * 1.2))
+        await kill_delay
+        assert predecessor.process is not None
+        kill(predecessor.process)
+        await wait_until_ready(successor)
+        other = await successor.connect()
         tags = [other.call("work-order", b"order %d" % number, f"{number:032x}", wait=9000) for number in range(8)]
-        words = [(await other.answer(tag))[0] for tag in tags]
-        begun = {body for _, _, body in old.runs}
-        assert not begun & {body for _, _, body in new.runs}
-        assert all(word == b"FAILED" for number, word in enumerate(words) if b"order %d" % number in begun), words
+        verdicts = [(await other.answer(tag))[0] for tag in tags]
+        started = {body for _, _, body in predecessor.runs}
+        assert not started & {body for _, _, body in successor.runs}
+        assert all(v == b"FAILED" for number, v in enumerate(verdicts) if b"order %d" % number in started), verdicts
         assert (await other.answer(other.call("status-read", b"read")))[0] == b"OK"
         await other.close()
         await balancer.close()
 
-    upgrade(test, window=60.0)  # as above: the orders are still known, however long the successor takes
+    run_upgrade(test, window=60.0)  # the keys stay in their window however long the successor takes to start
 
 
 def test_predecessor_serves_again_after_the_successor_dies() -> None:
-    async def test(old: Standins, new: Standins, stack: AsyncExitStack) -> None:
-        await new.start(stack, ops=True)
-        await ready(new)
-        there = await new.connect()
-        done = await there.answer(there.call("work-order", b"fix it", "ab" * 16))
-        assert new.process is not None
-        kill(new.process)
-        await there.close()
-        await ready(old)
-        back = await old.connect()
-        again = await back.answer(back.call("work-order", b"fix it", "ab" * 16))
-        assert again[0] == b"OK" and again[2] == done[2] and not old.runs
-        await back.close()
-        assert "handover.yielded=1" in await old.leave()
-
-    upgrade(test)
-
-
-def test_stopped_predecessor_does_not_block_its_successor_and_unknown_keys_do_not_run() -> None:
-    async def test(old: Standins, new: Standins, stack: AsyncExitStack) -> None:
-        assert old.process is not None
-        send_signal(old.process, signal.SIGSTOP)
+    async def test(predecessor: Standins, successor: Standins, stack: AsyncExitStack) -> None:
+        await successor.start(stack, ops=True)
+        await wait_until_ready(successor)
+        at_successor = await successor.connect()
+        first = await at_successor.answer(at_successor.call("work-order", b"fix it", "ab" * 16))
+        assert successor.process is not None
+        kill(successor.process)
+        await at_successor.close()
+        await wait_until_ready(predecessor)
+        at_predecessor = await predecessor.connect()
+        retry = await at_predecessor.answer(at_predecessor.call("work-order", b"fix it", "ab" * 16))
+        assert retry[0] == b"OK" and retry[2] == first[2] and not predecessor.runs
+        await at_predecessor.close()
+        assert "handover.yielded=1" in await predecessor.leave()
+
+    run_upgrade(test)
+
+
+def test_stopped_predecessor_does_not_block_its_successor_and_unknown_keys_fail() -> None:
+    async def test(predecessor: Standins, successor: Standins, stack: AsyncExitStack) -> None:
+        assert predecessor.process is not None
+        send_signal(predecessor.process, signal.SIGSTOP)
         try:
-            await new.start(stack, ops=True)
-            await ready(new)
-            balancers = [await new.connect() for _ in range(12)]  # the system gives some to the stopped one
+            await successor.start(stack, ops=True)
+            await wait_until_ready(successor)
+            # The kernel assigns some of these connections to the stopped predecessor.
+            balancers = [await successor.connect() for _ in range(12)]
             tags = [b.call("work-order", b"order", "ef" * 16) for b in balancers]
             await eventually(lambda: any(b.answers.get(t) for b, t in zip(balancers, tags, strict=True)))
-            words = {b.answers[t][0][0] for b, t in zip(balancers, tags, strict=True) if t in b.answers}
-            assert words == {b"FAILED"} and not new.runs
+            verdicts = {b.answers[t][0][0] for b, t in zip(balancers, tags, strict=True) if t in b.answers}
+            assert verdicts == {b"FAILED"} and not successor.runs
         finally:
-            send_signal(old.process, signal.SIGCONT)
-        while not (await call(old, b"ready\n")).startswith("FAILURE no, handing over"):
-            await asyncio.sleep(0.05)  # they meet after all
-        known = [await new.connect() for _ in range(3)]
-        assert [(await b.answer(b.call("work-order", b"other", "cd" * 16)))[0] for b in known] == [b"OK"] * 3
-        ran = [body for world in (old, new) for _, _, body in world.runs]
-        assert ran.count(b"other") == 1 and ran.count(b"order") <= 1  # by the one that stood still
-        balancers += known
+            send_signal(predecessor.process, signal.SIGCONT)
+        while not (await call(predecessor, b"ready\n")).startswith("FAILURE no, handing over"):
+            await asyncio.sleep(0.05)  # until the predecessor has handed over
+        connected_after = [await successor.connect() for _ in range(3)]
+        assert [(await b.answer(b.call("work-order", b"other", "cd" * 16)))[0] for b in connected_after] == [b"OK"] * 3
+        ran = [body for process in (predecessor, successor) for _, _, body in process.runs]
+        assert ran.count(b"other") == 1 and ran.count(b"order") <= 1  # by the stopped predecessor
+        balancers += connected_after
         for balancer in balancers:
             await balancer.close()
 
-    upgrade(test)
+    run_upgrade(test)
 
 
 def test_stale_socket_other_version_and_second_successor_are_rejected() -> None:
@@ -194,33 +196,33 @@
             assert Rendezvous(path).has_listener()
         assert os.path.exists(path) and not Rendezvous(path).has_listener()
 
-    async def test(old: Standins, new: Standins, stack: AsyncExitStack) -> None:
-        path = rendezvous_path(old.environ["TMPDIR"], "n3", f"127.0.0.1:{old.port}")
+    async def test(predecessor: Standins, successor: Standins, stack: AsyncExitStack) -> None:
+        path = rendezvous_path(predecessor.environ["TMPDIR"], "n3", f"127.0.0.1:{predecessor.port}")
 
-        async def hello(version: int) -> bytes:
+        async def send_hello(version: int) -> bytes:
             reader, writer = await asyncio.open_unix_connection(path)
             writer.write(encode_frame("HELLO", version=version))
-            got = await reader.readuntil(b"}")
+            reply = await reader.readuntil(b"}")
             links.append(writer)
-            return got
+            return reply
 
         links: list[asyncio.StreamWriter] = []
-        assert (await hello(2)).startswith(b"NO ")
-        assert (await hello(1)).startswith(b"HERE ")
-        assert b'"busy":true' in await hello(1)
-        links[1].write(b"\x00" * 9000)  # no frame: costs the link alone
+        assert (await send_hello(2)).startswith(b"NO ")
+        assert (await send_hello(1)).startswith(b"HERE ")
+        assert b'"busy":true' in await send_hello(1)
+        links[1].write(b"\x00" * 9000)  # no valid frame: ends only this link
         await asyncio.sleep(0.1)
-        await new.start(stack, ops=True)
-        await ready(new)
+        await successor.start(stack, ops=True)
+        await wait_until_ready(successor)
         for link in links:
             link.close()
 
-    upgrade(test)
+    run_upgrade(test)
 
 
-# Guards against a peer whose malformed frame ends more than its link: the node's service, or its ownership of keys.
-def test_node_serves_on_and_keeps_its_keys_after_each_malformed_frame_of_a_successor() -> None:
-    malformed = [
+# Guards against a malformed frame that ends the node's service or its ownership of keys as well as the link.
+def test_predecessor_keeps_serving_and_owning_keys_after_each_malformed_frame() -> None:
+    malformed_frames = [
         encode_frame("USE", running=float("inf"), memory=0, descriptors=0),
         encode_frame("KEY", key="k", holder="b", until=float("inf"), contents="", ran="b", end=None, result=""),
         encode_frame("ASK", id="b", key="k", contents="", until=1e300),
@@ -228,54 +230,57 @@
         b'USE 48\r\n{"running":1e999,"memory":1,"descriptors":10000}\r\n',
     ]
 
-    async def test(old: Standins, new: Standins, stack: AsyncExitStack) -> None:
-        path = rendezvous_path(old.environ["TMPDIR"], "n3", f"127.0.0.1:{old.port}")
-        balancer = await old.connect()
-        for turn, data in enumerate(malformed):
+    async def test(predecessor: Standins, successor: Standins, stack: AsyncExitStack) -> None:
+        path = rendezvous_path(predecessor.environ["TMPDIR"], "n3", f"127.0.0.1:{predecessor.port}")
+        balancer = await predecessor.connect()
+        for index, data in enumerate(malformed_frames):
             reader, writer = await asyncio.open_unix_connection(path)
             writer.write(encode_frame("HELLO", version=1))
             await reader.readuntil(b"}")
             writer.write(data)
             await reader.read()  # until the link has ended
             writer.close()
-            key = f"{turn:032x}"
+            key = f"{index:032x}"
             first = balancer.call("work-order", b"order", key)
             assert (await balancer.answer(first))[0] == b"OK"
-            again = balancer.call("work-order", b"order", key)
-            assert (await balancer.answer(again))[0] == b"OK"
-            assert len(old.runs) == turn + 1
+            retry = balancer.call("work-order", b"order", key)
+            assert (await balancer.answer(retry))[0] == b"OK"
+            assert len(predecessor.runs) == index + 1
         await balancer.close()
-        log = await old.leave()
-        assert f"handover.successors={len(malformed)}" in log and "errors=" not in log
+        log = await predecessor.leave()
+        assert f"handover.successors={len(malformed_frames)}" in log and "errors=" not in log
 
-    upgrade(test)
+    run_upgrade(test)
 
 
-def test_stopped_successor_fails_no_keyless_request_and_the_predecessor_ends_in_time() -> None:
-    async def test(old: Standins, new: Standins, stack: AsyncExitStack) -> None:
-        held = await old.connect()
-        await new.start(stack, ops=True)
-        await ready(new)
-        assert old.process is not None and new.process is not None
-        send_signal(new.process, signal.SIGSTOP)
+def test_predecessor_of_a_stopped_successor_serves_requests_without_a_key_and_exits_in_time() -> None:
+    async def test(predecessor: Standins, successor: Standins, stack: AsyncExitStack) -> None:
+        connected_before = await predecessor.connect()
+        await successor.start(stack, ops=True)
+        await wait_until_ready(successor)
+        assert predecessor.process is not None and successor.process is not None
+        send_signal(successor.process, signal.SIGSTOP)
         try:
-            tags = [held.call("position-push", b"safe"), held.call("work-order", b"order", "ab" * 16)]
-            words = [(await held.answer(tag))[0] for tag in tags]
-            assert words == [b"OK", b"BUSY"] and not [cls for _, cls, _ in old.runs if cls == "work-order"]
-            begun = asyncio.get_running_loop().time()
-            assert "keys.not_granted=1" in await old.leave()
-            assert asyncio.get_running_loop().time() - begun < 5.0
+            tags = [
+                connected_before.call("position-push", b"safe"),
+                connected_before.call("work-order", b"order", "ab" * 16),
+            ]
+            verdicts = [(await connected_before.answer(tag))[0] for tag in tags]
+            assert verdicts == [b"OK", b"BUSY"] and not [cls for _, cls, _ in predecessor.runs if cls == "work-order"]
+            leave_started_at = asyncio.get_running_loop().time()
+            assert "keys.not_granted=1" in await predecessor.leave()
+            assert asyncio.get_running_loop().time() - leave_started_at < 5.0
         finally:
-            send_signal(new.process, signal.SIGCONT)
-        balancer = await new.connect()
+            send_signal(successor.process, signal.SIGCONT)
+        balancer = await successor.connect()
         assert (await balancer.answer(balancer.call("work-order", b"order", "ab" * 16)))[0] == b"OK"
         await balancer.close()
-        await held.close()
+        await connected_before.close()
 
-    upgrade(test)
+    run_upgrade(test)
 
 
-def test_unknown_keys_fail_beside_a_process_of_another_version_until_a_window_after_its_end() -> None:
+def test_unknown_keys_fail_until_one_window_after_the_end_of_a_process_of_another_version() -> None:
     async def run() -> None:
         async with AsyncExitStack() as stack:
             world = Standins()
@@ -283,27 +288,27 @@
             world.listen_port = await free_port()
             path = rendezvous_path(world.environ["TMPDIR"], "n3", f"127.0.0.1:{world.listen_port}")
 
-            async def refuse(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            async def reject(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 if await reader.read(100):
                     writer.write(encode_frame("NO", why="another version", version=99))
                 writer.close()
 
-            other = await asyncio.start_unix_server(refuse, path)
+            other = await asyncio.start_unix_server(reject, path)
             await world.start(stack, ops=True)
-            await ready(world)
+            await wait_until_ready(world)
             balancer = await world.connect()
 
-            async def order(number: int) -> bytes:
+            async def send_order(number: int) -> bytes:
                 return (await balancer.answer(balancer.call("work-order", b"order", f"{number:032x}")))[0]
 
             assert (await balancer.answer(balancer.call("position-push", b"safe")))[0] == b"OK"
-            assert await order(0) == b"FAILED"
+            assert await send_order(0) == b"FAILED"
             other.close()
             numbers = itertools.count(1)
             async with asyncio.timeout_at(asyncio.get_running_loop().time() + EVENTUALLY_TIMEOUT_S):
-                while await order(next(numbers)) != b"OK":
+                while await send_order(next(numbers)) != b"OK":
                     await asyncio.sleep(0.1)
-            assert next(numbers) > 10  # not before the window was over
+            assert next(numbers) > 10  # no unknown key ran before the window was over
             await balancer.close()
 
     asyncio.run(run())
--- a/tests/test_handover_frames.py
+++ b/tests/test_handover_frames.py
@@ -1,4 +1,4 @@
-"""Frames of a hand-over: what is read in pieces, and what no peer sends."""
+"""Frames of a hand-over: incremental parsing, and rejection of malformed frames and fields."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 )
 from chutepin.handover.learned import LEARNED_CHECKS
 from chutepin.handover.messages import (
+    HandoverAccepted,
     Hello,
-    Here,
     KeyRemoved,
     KeyReply,
     KeysSynced,
@@ -42,33 +42,33 @@
 from .helper import Core
 
 
-def test_frames_are_read_in_any_pieces_and_malformed_ones_rejected() -> None:
-    entry = IdempotencyRecord("k", "id", 7.25, b"\x00\xff", "id", End.OK, bytes(range(256)))
-    data = encode_record(entry) + encode_frame("SYNCED", closed_until=0)
-    frames, got = FrameReader(), []
+def test_frames_are_parsed_byte_by_byte_and_malformed_frames_are_rejected() -> None:
+    record = IdempotencyRecord("k", "id", 7.25, b"\x00\xff", "id", End.OK, bytes(range(256)))
+    data = encode_record(record) + encode_frame("SYNCED", closed_until=0)
+    reader, parsed = FrameReader(), []
     for byte in data:
-        frames.feed(bytes([byte]))
-        while (message := frames.next()) is not None:
-            got.append(message)
-    assert [verb for verb, _ in got] == ["KEY", "SYNCED"] and decode_record(got[0][1]) == entry
-    for bad in (b"WHAT 2\r\n{}\r\n", b"KEY 1\r\n{\r\n", b"KEY 2\r\n[]\r\n", b"KEY 999999999\r\n", b"x" * 600):
-        frames = FrameReader()
-        frames.feed(bad)
+        reader.feed(bytes([byte]))
+        while (frame := reader.next()) is not None:
+            parsed.append(frame)
+    assert [verb for verb, _ in parsed] == ["KEY", "SYNCED"] and decode_record(parsed[0][1]) == record
+    for malformed in (b"WHAT 2\r\n{}\r\n", b"KEY 1\r\n{\r\n", b"KEY 2\r\n[]\r\n", b"KEY 999999999\r\n", b"x" * 600):
+        reader = FrameReader()
+        reader.feed(malformed)
         with pytest.raises(ProtocolError):
-            frames.next()
+            reader.next()
     with pytest.raises(ProtocolError):
         decode_record({"key": "k"})
 
 
 @pytest.mark.parametrize("field", ["running", "descriptors"])
-def test_usage_that_is_no_finite_count_is_a_malformed_frame(field: str) -> None:
+def test_infinite_usage_is_a_malformed_frame(field: str) -> None:
     fields = {"running": 1, "memory": 1.0, "descriptors": 1, field: float("inf")}
     with pytest.raises(MalformedFrameError):
         decode(Frame("USE", fields))
 
 
-def sound_messages() -> list[Message]:
-    """One message of each verb, KEY with and without an outcome, NO of both kinds."""
+def valid_messages() -> list[Message]:
+    """Return a message for each verb: two for KEY, with and without an outcome, and two for NO."""
     core = Core()
     core.pick("a", "position-push")
     core.pass_time(0.1)
@@ -76,7 +76,7 @@
     learned = core.broker.peer_exchange.learned()
     return [
         Hello(1),
-        Here(1),
+        HandoverAccepted(1),
         Rejection("another successor", is_busy=True),
         Rejection("another version", version=2),
         RecordChanged(IdempotencyRecord("k", "id", 7.25, b"\x00\xff", "id", End.OK, b"\xff")),
@@ -116,45 +116,45 @@
 ]
 
 
-def assert_sound_numbers(value: object, name: str = "") -> None:
-    """Fail for a number or a text that no handler of a message can cope with, however deep it lies."""
+def assert_valid_values(value: object, name: str = "") -> None:
+    """Assert that all numbers and texts in a value, at any depth, are valid for the message handlers."""
     match value:
         case bool() | None | End() | bytes():
             return
         case int() | float():
-            assert is_sound_number(value, name), (name, value)
+            assert is_valid_number(value, name), (name, value)
         case str():
             value.encode()
         case dict():
             for key, item in value.items():
-                assert_sound_numbers(item, key)
+                assert_valid_values(item, key)
         case list() | tuple():
             for item in value:
-                assert_sound_numbers(item, name)
+                assert_valid_values(item, name)
         case IdempotencyRecord():
-            assert_sound_numbers(dataclasses.asdict(value), name)
+            assert_valid_values(dataclasses.asdict(value), name)
         case _:
             raise AssertionError(f"a message has a field of type {type(value)}")
 
 
-def is_sound_number(value: float, name: str) -> bool:
-    """Finite, 0 or more and within the bound, but for three learned values."""
-    if name == "first" and value == math.inf:  # no request has come yet
+def is_valid_number(value: float, name: str) -> bool:
+    """Return whether a number is within 0 to MAX_NUMBER; three learned values may be infinite or negative."""
+    if name == "first" and value == math.inf:  # before the first request
         return True
-    minimum = -MAX_NUMBER if name in ("buckets", "patience") else 0  # overdrawn quotas, waits already over
+    minimum = -MAX_NUMBER if name in ("buckets", "patience") else 0  # exceeded quotas, waits that are over
     return minimum <= value <= MAX_NUMBER
 
 
-@pytest.mark.parametrize("message", sound_messages(), ids=lambda message: type(message).__name__)
-def test_sound_frame_is_decoded_to_the_message_that_was_encoded(message: Message) -> None:
+@pytest.mark.parametrize("message", valid_messages(), ids=lambda message: type(message).__name__)
+def test_encoded_message_is_decoded_to_an_equal_message(message: Message) -> None:
     frame = read_one(encode(message))
     decoded = decode(frame)
     assert type(decoded) is type(message) and encode(decoded) == encode(message)
 
 
-# Guards against times and counts that are no numbers: a key that never expired, a link that ended with OverflowError.
-@pytest.mark.parametrize("message", sound_messages(), ids=lambda message: type(message).__name__)
-def test_frame_with_one_malformed_field_is_sound_or_malformed(message: Message) -> None:
+# Guards against infinite or NaN times and counts: a key never expired, and a link ended with OverflowError.
+@pytest.mark.parametrize("message", valid_messages(), ids=lambda message: type(message).__name__)
+def test_frame_with_one_changed_or_missing_field_is_valid_or_malformed(message: Message) -> None:
     frame = read_one(encode(message))
     for name in frame.fields:
         for value in MALFORMED_VALUES:
@@ -162,10 +162,10 @@
                 decoded = decode(Frame(frame.verb, {**frame.fields, name: value}))
             except MalformedFrameError:
                 continue
-            assert_sound_numbers(decoded)
+            assert_valid_values(decoded)
         missing = {other: value for other, value in frame.fields.items() if other != name}
         try:
-            assert_sound_numbers(decode(Frame(frame.verb, missing)))
+            assert_valid_values(decode(Frame(frame.verb, missing)))
         except MalformedFrameError:
             continue
 
@@ -177,16 +177,16 @@
 )
 
 
-# The same for values of any shape, as bytes; bodies may hold NaN, Infinity and 1e999, which `json` reads.
+# The same for encoded values of any shape; `json` parses NaN, Infinity and 1e999.
 @settings(max_examples=300, deadline=None, derandomize=True)
-@given(message=st.sampled_from(sound_messages()), data=st.data())
-def test_bytes_of_any_json_give_a_sound_message_or_a_protocol_error(message: Message, data: st.DataObject) -> None:
+@given(message=st.sampled_from(valid_messages()), data=st.data())
+def test_frame_of_any_json_gives_a_valid_message_or_a_protocol_error(message: Message, data: st.DataObject) -> None:
     frame = read_one(encode(message))
     names = [*sorted(frame.fields), "other"]
     changes = data.draw(st.dictionaries(st.sampled_from(names), JSON_VALUES, max_size=2))
-    raw = encode_frame(frame.verb, **{**frame.fields, **changes})
+    encoded = encode_frame(frame.verb, **{**frame.fields, **changes})
     try:
-        assert_sound_numbers(decode(read_one(raw)))
+        assert_valid_values(decode(read_one(encoded)))
     except ProtocolError:
         return
 
@@ -195,13 +195,13 @@
 @pytest.mark.parametrize(
     "body", ['{"running":%s,"memory":1,"descriptors":1}', '{"running":1,"memory":%s,"descriptors":1}']
 )
-def test_digits_that_are_no_finite_number_are_a_protocol_error(body: str, digits: str) -> None:
+def test_number_that_is_not_finite_is_a_protocol_error(body: str, digits: str) -> None:
     data = (body % digits).encode()
     with pytest.raises(ProtocolError):
         decode(read_one(b"USE %d\r\n%b\r\n" % (len(data), data)))
 
 
-# Guards against a zero that is divided by, and a limit below which nothing runs.
+# Guards against a division by zero, and a concurrency limit of zero that would stop all runs.
 @pytest.mark.parametrize(
     ("name", "value"),
     [
@@ -213,7 +213,7 @@
         ("slowness", 0),
     ],
 )
-def test_learned_value_that_would_be_divided_by_is_malformed(name: str, value: float) -> None:
+def test_learned_value_that_leads_to_a_division_by_zero_or_no_runs_is_malformed(name: str, value: float) -> None:
     learned = Core().broker.peer_exchange.learned()
     with pytest.raises(MalformedFrameError):
         decode(read_one(encode_frame("LEARNED", **{**learned, name: value})))
@@ -224,8 +224,8 @@
 
 
 def read_one(data: bytes) -> Frame:
-    frames = FrameReader()
-    frames.feed(data)
-    frame = frames.next()
+    reader = FrameReader()
+    reader.feed(data)
+    frame = reader.next()
     assert frame is not None
     return frame
