--- a/tests/test_handover_session.py
+++ b/tests/test_handover_session.py
@@ -1,4 +1,4 @@
-"""Two hand-over sessions over cores with recording ports: keys that run once, by examples and by random steps."""
+"""Two hand-over sessions with recording ports: each key runs once, in examples and in random steps."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 class Process:
-    """A core and its side of a hand-over; the link's kernel buffer holds little and outlives the writer."""
+    """A broker and its hand-over session; the link's kernel buffer is small and outlives the process."""
 
     def __init__(self) -> None:
         self.core = Core()
-        self.kernel: deque[bytes] = deque()  # taken by the kernel, not read by the other one
-        self.own: deque[bytes] = deque()  # lost when this process is killed
+        self.kernel_buffer: deque[bytes] = deque()  # accepted by the kernel, not read by the peer
+        self.process_buffer: deque[bytes] = deque()  # lost if this process is killed
         self.alive, self.accepts = True, False
         broker = self.core.broker
         self.peer_record_changed = broker.peer_exchange.peer_record_changed
@@ -62,100 +62,100 @@
         self.accepts = True
 
     def send(self, data: bytes) -> Delivery:
-        self.own.append(data)
+        self.process_buffer.append(data)
         self.flush()
-        return Delivery.BUFFERED if self.own else Delivery.IN_KERNEL
+        return Delivery.BUFFERED if self.process_buffer else Delivery.IN_KERNEL
 
     def flush(self) -> None:
-        while self.own and len(self.kernel) < 12:
-            self.kernel.append(self.own.popleft())
+        while self.process_buffer and len(self.kernel_buffer) < 12:
+            self.kernel_buffer.append(self.process_buffer.popleft())
 
 
-class Pair(RuleBasedStateMachine):
-    """An upgrade: attempts of few keys at either process, late frames, kills at any moment."""
+class UpgradeModel(RuleBasedStateMachine):
+    """A model of an upgrade: attempts of few keys at both processes, delayed frames, and kills at any time."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.old, self.new = Process(), Process()
-        self.processes = [self.old, self.new]
-        self.new.core.hand = self.old.core.hand  # one machine, one clock
-        self.new.core.broker._clock._source = lambda: self.old.core.hand.time
+        self.predecessor, self.successor = Process(), Process()
+        self.processes = [self.predecessor, self.successor]
+        self.successor.core.hand = self.predecessor.core.hand  # both processes share one clock
+        self.successor.core.broker._clock._source = lambda: self.predecessor.core.hand.time
         self.arrived: dict[str, tuple[str, float]] = {}
-        self.linked = self.was_upgraded = self.synced = False
-        self.snapshot: Iterator[bytes] = iter(())
-        self.numbers = itertools.count()
-        self.old.accepts = True
+        self.is_linked = self.was_upgraded = self.keys_sent = False
+        self.record_frames: Iterator[bytes] = iter(())
+        self.ids = itertools.count()
+        self.predecessor.accepts = True
 
     def pass_time(self, seconds: float) -> None:
         for process in self.processes:
-            process.core.hand.time = self.old.core.hand.time
-        until = self.old.core.hand.time + seconds
-        while self.old.core.hand.time < until:
-            self.old.core.hand.time = min(until, self.old.core.hand.time + 0.02)
+            process.core.hand.time = self.predecessor.core.hand.time
+        until = self.predecessor.core.hand.time + seconds
+        while self.predecessor.core.hand.time < until:
+            self.predecessor.core.hand.time = min(until, self.predecessor.core.hand.time + 0.02)
             for process in self.processes:
                 if process.alive:
                     process.core.broker.tick()
 
-    @initialize(flows=st.sampled_from([None, 1, 3, 200, 200]), first=st.integers(0, 3))
-    def begin(self, flows: int | None, first: int) -> None:
-        """Most runs begin in the midst of an upgrade, or after it."""
-        for key in range(first):
+    @initialize(delivered=st.sampled_from([None, 1, 3, 200, 200]), first_keys=st.integers(0, 3))
+    def begin(self, delivered: int | None, first_keys: int) -> None:
+        """Start most examples during an upgrade or after it."""
+        for key in range(first_keys):
             self.arrive(0, key, 2.0)
-        if flows is not None:
+        if delivered is not None:
             self.start_upgrade()
-            self.deliver(False, flows)
+            self.deliver(False, delivered)
 
     @precondition(lambda self: not self.was_upgraded)
     @rule()
     def start_upgrade(self) -> None:
-        assert self.old.session.accept_successor()
-        self.linked = self.was_upgraded = True
-        self.new.session.machine.apply(Event.HELLO_SENT, self.old.core.hand.time)
-        self.old.session.send, self.new.session.send = self.old.send, self.new.send
-        self.old.send(encode_frame("HERE", version=1))
-        self.snapshot = self.old.session.record_frames()
-        self.new.session.executor_ready()
-
-    @precondition(lambda self: self.linked)
+        assert self.predecessor.session.accept_successor()
+        self.is_linked = self.was_upgraded = True
+        self.successor.session.machine.apply(Event.HELLO_SENT, self.predecessor.core.hand.time)
+        self.predecessor.session.send, self.successor.session.send = self.predecessor.send, self.successor.send
+        self.predecessor.send(encode_frame("HERE", version=1))
+        self.record_frames = self.predecessor.session.record_frames()
+        self.successor.session.executor_ready()
+
+    @precondition(lambda self: self.is_linked)
     @rule(all=st.booleans(), count=st.integers(1, 4))
     def deliver(self, all: bool, count: int) -> None:
-        """Frames go over, one at a time in both directions; or all there are, as they mostly do."""
+        """Deliver frames one at a time in both directions, or all of them."""
         for _ in range(200 if all else count):
-            if self.old.alive and (data := next(self.snapshot, None)) is not None:
-                self.old.send(data)
-            elif self.old.alive and not self.old.own and not self.synced:
-                self.synced = True
-                self.old.session.keys_sent()
-            for reader, writer in ((self.new, self.old), (self.old, self.new)):
-                if reader.alive and writer.kernel:
-                    reader.session.receive(read_one(writer.kernel.popleft()))
-                    self.new.accepts |= self.new.session.machine.stage is Stage.TAKEN_OVER
+            if self.predecessor.alive and (data := next(self.record_frames, None)) is not None:
+                self.predecessor.send(data)
+            elif self.predecessor.alive and not self.predecessor.process_buffer and not self.keys_sent:
+                self.keys_sent = True
+                self.predecessor.session.keys_sent()
+            for reader, writer in ((self.successor, self.predecessor), (self.predecessor, self.successor)):
+                if reader.alive and writer.kernel_buffer:
+                    reader.session.receive(read_one(writer.kernel_buffer.popleft()))
+                    self.successor.accepts |= self.successor.session.machine.stage is Stage.TAKEN_OVER
                 if writer.alive:
                     writer.flush()
 
-    @precondition(lambda self: self.linked)
+    @precondition(lambda self: self.is_linked)
     @rule(at=st.integers(0, 1))
     def peer_stops_reading(self, at: int) -> None:
-        """One does not read for long: the kernel's buffer towards it fills up."""
+        """Fill the kernel's buffer towards a process that does not read."""
         writer = self.processes[1 - at]
         while writer.alive and writer.session.send_usage():
             pass
 
-    @rule(first=st.integers(0, 1), key=st.integers(3, 20))
-    def retry_at_both(self, first: int, key: int) -> None:
-        """Two attempts of one key, each at another process, and nothing read in between."""
-        self.arrive(first, key, 2.0)
-        self.arrive(1 - first, key, 2.0)
+    @rule(first_at=st.integers(0, 1), key=st.integers(3, 20))
+    def retry_at_both(self, first_at: int, key: int) -> None:
+        """Send two attempts of one key, one to each process, with no frames delivered in between."""
+        self.arrive(first_at, key, 2.0)
+        self.arrive(1 - first_at, key, 2.0)
 
     @rule(at=st.integers(0, 1), key=st.integers(0, 5), wait=st.floats(0.5, 3.0))
     def arrive(self, at: int, key: int, wait: float) -> None:
-        """An attempt, also on a connection that was accepted before the process yielded."""
+        """Send an attempt, possibly on a connection that was accepted before the process yielded."""
         process = self.processes[at]
-        was_open = process is self.old or process.accepts
-        if not process.alive or not was_open:
+        has_connection = process is self.predecessor or process.accepts
+        if not process.alive or not has_connection:
             return
-        id = f"{next(self.numbers)}"
-        self.arrived[id] = f"key {key}", self.old.core.hand.time
+        id = f"{next(self.ids)}"
+        self.arrived[id] = f"key {key}", self.predecessor.core.hand.time
         process.core.pick(id, "work-order", key=f"key {key}", wait=wait)
 
     @rule(data=st.data(), at=st.integers(0, 1), end=st.sampled_from([End.OK, End.ERROR]))
@@ -163,11 +163,11 @@
         if self.processes[at].alive:
             self.processes[at].core.end_some(data, end)
 
-    @precondition(lambda self: self.linked)
+    @precondition(lambda self: self.is_linked)
     @rule(at=st.integers(0, 5), key=st.integers(3, 20), stalled=st.booleans())
     def kill(self, at: int, key: int, stalled: bool) -> None:
-        """One dies; the other reads what the kernel still holds, then the end of the link."""
-        if at > 1:  # or not: most steps should find both alive
+        """Kill one process; the other reads the rest of the kernel's buffer, then the end of the link."""
+        if at > 1:  # most examples should keep both processes alive
             return
         dead, other = self.processes[at], self.processes[1 - at]
         if not dead.alive or not other.alive:
@@ -175,11 +175,11 @@
         if stalled:
             self.peer_stops_reading(1 - at)
         self.arrive(at, key, 2.0)
-        dead.alive, self.linked = False, False
-        dead.own.clear()
-        while dead.kernel:
-            other.session.receive(read_one(dead.kernel.popleft()))
-        if other is self.new:
+        dead.alive, self.is_linked = False, False
+        dead.process_buffer.clear()
+        while dead.kernel_buffer:
+            other.session.receive(read_one(dead.kernel_buffer.popleft()))
+        if other is self.successor:
             other.session.predecessor_lost(is_alive=False)
             other.accepts = True
         else:
@@ -208,44 +208,44 @@
                 assert process.core.broker.metrics.is_consistent(sum(not words for words in answers.values()))
 
 
-def test_key_does_not_run_at_both_processes_once_its_former_window_is_over() -> None:
-    """Its run of then was still in the table of the process that had yielded, which took no notice of the next one."""
-    pair = Pair()
-    pair.begin(flows=None, first=0)
-    pair.start_upgrade()
-    pair.peer_stops_reading(0)
-    pair.retry_at_both(0, 3)
-    pair.pass_time(WINDOW + 1.0)
-    pair.deliver(True, 1)
-    pair.retry_at_both(0, 3)
-    pair.deliver(True, 1)
-    assert [len(process.core.ports.ids("exec")) for process in pair.processes] == [1, 1]
-    pair.key_runs_once_over_both_processes()
+def test_key_runs_at_only_one_process_after_its_earlier_window_is_over() -> None:
+    """Guards against a yielded process that ignores the peer's next run, since its table still holds its own run."""
+    model = UpgradeModel()
+    model.begin(delivered=None, first_keys=0)
+    model.start_upgrade()
+    model.peer_stops_reading(0)
+    model.retry_at_both(0, 3)
+    model.pass_time(WINDOW + 1.0)
+    model.deliver(True, 1)
+    model.retry_at_both(0, 3)
+    model.deliver(True, 1)
+    assert [len(process.core.ports.ids("exec")) for process in model.processes] == [1, 1]
+    model.key_runs_once_over_both_processes()
 
 
 @pytest.mark.parametrize("how", ["ends", "dies"])
-def test_waiter_at_the_other_process_is_answered_though_the_window_of_the_run_is_over(how: str) -> None:
-    """The next try has taken the entry's place meanwhile."""
-    pair = Pair()
-    pair.begin(flows=None, first=0)
-    pair.arrive(0, 3, 3.0)
-    pair.start_upgrade()
-    pair.deliver(True, 1)
-    pair.arrive(1, 3, 3.0)  # waits for the run of the predecessor
-    pair.pass_time(WINDOW + 0.2)
-    pair.arrive(1, 3, 3.0)
-    old, new = (process.core for process in pair.processes)
-    assert [len(core.ports.ids("exec")) for core in (old, new)] == [1, 1] and not new.words("1")
+def test_attempt_waiting_at_the_peer_is_answered_after_the_window_of_the_run(how: str) -> None:
+    """Guards against a lost waiter after the next attempt has replaced the record of the run."""
+    model = UpgradeModel()
+    model.begin(delivered=None, first_keys=0)
+    model.arrive(0, 3, 3.0)
+    model.start_upgrade()
+    model.deliver(True, 1)
+    model.arrive(1, 3, 3.0)  # waits for the predecessor's run
+    model.pass_time(WINDOW + 0.2)
+    model.arrive(1, 3, 3.0)
+    old_core, new_core = (process.core for process in model.processes)
+    assert [len(core.ports.ids("exec")) for core in (old_core, new_core)] == [1, 1] and not new_core.words("1")
     if how == "ends":
-        old.end("0")
-        pair.deliver(True, 1)
+        old_core.end("0")
+        model.deliver(True, 1)
     else:
-        pair.new.session.predecessor_lost(is_alive=False)
-    assert new.words("1") == ["served" if how == "ends" else "failed"] and not new.broker.keys._superseded
+        model.successor.session.predecessor_lost(is_alive=False)
+    assert new_core.words("1") == ["served" if how == "ends" else "failed"] and not new_core.broker.keys._superseded
 
 
-TestPair = Pair.TestCase
-TestPair.settings = settings(STEPS, max_examples=150, stateful_step_count=40)
+TestUpgradeModel = UpgradeModel.TestCase
+TestUpgradeModel.settings = settings(STEPS, max_examples=150, stateful_step_count=40)
 
 
 @pytest.mark.parametrize(
@@ -258,13 +258,13 @@
         (Stage.YIELDED, Delivery.LINK_CLOSED, False),
     ],
 )
-def test_key_runs_only_if_its_claim_is_replicated_or_the_peer_runs_none(
+def test_key_runs_only_if_its_claim_is_replicated_or_the_peer_runs_no_keys(
     stage: Stage, sent: Delivery, runs: bool
 ) -> None:
-    """`LINK_CLOSED`: the link has just ended, and this process has not noticed yet."""
+    """`LINK_CLOSED`: the link has ended, but this process has not processed its end yet."""
     process = Process()
     process.session.machine.stage, process.session.send = Stage.TAKEN_OVER, lambda data: Delivery.IN_KERNEL
-    process.core.broker.peer_exchange.set_peer_usage(10**6, 0.0)  # queued for want of capacity
+    process.core.broker.peer_exchange.set_peer_usage(10**6, 0.0)  # no capacity: the request is queued
     process.core.pick("a", "work-order", key="k", wait=5.0)
     process.session.machine.stage, process.session.send = stage, lambda data: sent
     process.core.broker.peer_exchange.set_peer_usage(0, 0.0)
@@ -278,37 +278,41 @@
     process.core.pick("a", "work-order", key="k", wait=5.0)
     assert not process.core.ports.ids("exec")
     process.key_replied("a", "k", True)
-    process.core.pass_time(1.5)  # past the time by which the other process had to answer
+    process.core.pass_time(1.5)  # beyond the deadline of the key request
     assert process.core.ports.ids("exec") == ["a"] and not process.core.words("a")
     process.core.end("a")
     assert process.core.words("a") == ["served"]
 
 
-def test_learned_statistics_are_adopted_and_malformed_ones_are_not() -> None:
-    teacher, pupil = Core(), Core()
+def test_learned_statistics_are_adopted_unless_malformed() -> None:
+    source, target = Core(), Core()
     for number in range(40):
-        teacher.pick(f"{number}", "position-push")
-        teacher.pass_time(0.1)
-        teacher.end(f"{number}")
-    learned = teacher.broker.peer_exchange.learned()
-    assert learned["runs.average"] != pupil.broker.peer_exchange.learned()["runs.average"]
+        source.pick(f"{number}", "position-push")
+        source.pass_time(0.1)
+        source.end(f"{number}")
+    learned = source.broker.peer_exchange.learned()
+    assert learned["runs.average"] != target.broker.peer_exchange.learned()["runs.average"]
     ((_, fields),) = [read_one(encode_frame("LEARNED", **learned))]
-    pupil.broker.peer_exchange.adopt(fields)
-    assert pupil.broker.peer_exchange.learned() == learned
-    unfit: list[dict[str, object]] = [{"work": "much"}, {**fields, "work": [1.0]}, {**fields, "served": []}]
-    for malformed in unfit:
-        rejected = pupil.counters.counts["handover.statistics_rejected"]
-        pupil.broker.peer_exchange.adopt(malformed)
-        assert pupil.counters.counts["handover.statistics_rejected"] == rejected + 1
-        assert pupil.broker.peer_exchange.learned() == learned
+    target.broker.peer_exchange.adopt(fields)
+    assert target.broker.peer_exchange.learned() == learned
+    malformed_statistics: list[dict[str, object]] = [
+        {"work": "much"},
+        {**fields, "work": [1.0]},
+        {**fields, "served": []},
+    ]
+    for malformed in malformed_statistics:
+        rejected_before = target.counters.counts["handover.statistics_rejected"]
+        target.broker.peer_exchange.adopt(malformed)
+        assert target.counters.counts["handover.statistics_rejected"] == rejected_before + 1
+        assert target.broker.peer_exchange.learned() == learned
 
 
 def read_one(data: bytes) -> Frame:
-    frames = FrameReader()
-    frames.feed(data)
-    message = frames.next()
-    assert message is not None
-    return message
+    reader = FrameReader()
+    reader.feed(data)
+    frame = reader.next()
+    assert frame is not None
+    return frame
 
 
 def test_peer_usage_reduces_capacity() -> None:
@@ -324,30 +328,32 @@
     assert core.words("b") == ["refused"]
 
 
-def frame_of(verb: str, **fields: object) -> Frame:
+def frame_with(verb: str, **fields: object) -> Frame:
     return Frame(verb, fields)
 
 
-FAR = 1_000_000.0 + 8 * 86400.0  # more than a week after the clock of `Hand`
+TOO_LATE = 1_000_000.0 + 8 * 86400.0  # more than a week after the test clock's start
 MALFORMED_FRAMES = {
-    "KEY until never": frame_of("KEY", key="k", holder="b", until=FAR, contents="", ran="b", end=None, result=""),
-    "KEY until no number": frame_of(
+    "KEY until the far future": frame_with(
+        "KEY", key="k", holder="b", until=TOO_LATE, contents="", ran="b", end=None, result=""
+    ),
+    "KEY until NaN": frame_with(
         "KEY", key="k", holder="b", until=float("nan"), contents="", ran=None, end=None, result=""
     ),
-    "ASK until never": frame_of("ASK", id="b", key="k", contents="", until=FAR),
-    "ASK until infinity": frame_of("ASK", id="b", key="k", contents="", until=float("inf")),
-    "SYNCED closed for good": frame_of("SYNCED", closed_until=FAR),
-    "SYNCED closed until infinity": frame_of("SYNCED", closed_until=float("inf")),
-    "USE of infinity": frame_of("USE", running=float("inf"), memory=0.0, descriptors=0),
-    "LEARNED no number": frame_of("LEARNED", share=float("nan")),
-    "HERE of no version": frame_of("HERE", version=float("inf")),
+    "ASK until the far future": frame_with("ASK", id="b", key="k", contents="", until=TOO_LATE),
+    "ASK until infinity": frame_with("ASK", id="b", key="k", contents="", until=float("inf")),
+    "SYNCED closed until the far future": frame_with("SYNCED", closed_until=TOO_LATE),
+    "SYNCED closed until infinity": frame_with("SYNCED", closed_until=float("inf")),
+    "USE of infinite runs": frame_with("USE", running=float("inf"), memory=0.0, descriptors=0),
+    "LEARNED of NaN": frame_with("LEARNED", share=float("nan")),
+    "HERE of an infinite version": frame_with("HERE", version=float("inf")),
 }
 
 
-# Guards against a key that never expires, unknown keys refused for good, and a stage that a malformed frame moves.
+# Guards against a key that never expires, unknown keys refused for ever, and a stage change by a malformed frame.
 @pytest.mark.parametrize("name", MALFORMED_FRAMES)
 @pytest.mark.parametrize("stage", [Stage.SENDING_KEYS, Stage.HELLO_SENT, Stage.RECEIVING_KEYS])
-def test_malformed_frame_changes_nothing_but_that_it_ends_the_link(stage: Stage, name: str) -> None:
+def test_malformed_frame_raises_an_error_and_changes_nothing(stage: Stage, name: str) -> None:
     process = Process()
     process.core.pick("a", "work-order", key="held")
     process.session.machine.stage = stage
--- a/tests/test_handover_state_machine.py
+++ b/tests/test_handover_state_machine.py
@@ -1,4 +1,4 @@
-"""The hand-over state machine, and that its page prints the same tables."""
+"""The hand-over state machine, and its tables in docs/operation.md."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 PAGE = Path(__file__).parent.parent / "docs" / "operation.md"
 
 
-def rows_of_page(header: str) -> list[tuple[str, ...]]:
-    """Return the cells of the page's table with this header."""
+def page_table_rows(header: str) -> list[tuple[str, ...]]:
+    """Return the cells of the table with this header in docs/operation.md."""
     table = PAGE.read_text().partition(f"{header}\n")[2].partition("\n\n")[0]
     return [tuple(cell.strip() for cell in row.strip("|").split("|")) for row in table.splitlines()[1:]]
 
@@ -25,46 +25,46 @@
         for stage, transitions in TRANSITIONS.items()
         for event, transition in transitions.items()
     ]
-    assert rows_of_page("| stage | event | next stage | unknown keys for one window |") == expected
+    assert page_table_rows("| stage | event | next stage | unknown keys for one window |") == expected
 
 
 def test_page_prints_the_ownership_of_every_stage() -> None:
     expected = [(stage.value, OWNERSHIP[stage].name.lower().replace("_", " ")) for stage in Stage]
-    assert rows_of_page("| stage | unknown keys |") == expected
+    assert page_table_rows("| stage | unknown keys |") == expected
 
 
-def test_tables_name_every_stage_and_use_every_event() -> None:
+def test_tables_cover_every_stage_and_every_event() -> None:
     assert set(TRANSITIONS) == set(OWNERSHIP) == set(Stage)
     assert {event for transitions in TRANSITIONS.values() for event in transitions} == set(Event)
 
 
 @pytest.mark.parametrize("stage", Stage, ids=lambda stage: stage.name)
-def test_event_that_a_stage_does_not_list_changes_nothing(stage: Stage) -> None:
+def test_event_without_a_transition_changes_nothing(stage: Stage) -> None:
     for event in set(Event) - set(TRANSITIONS[stage]):
-        machine = at(stage)
+        machine = machine_at(stage)
         assert not machine.apply(event, 100.0)
         assert machine.stage is stage
         assert machine.ownership(100.0) is OWNERSHIP[stage]
 
 
-def at(stage: Stage) -> HandoverStateMachine:
+def machine_at(stage: Stage) -> HandoverStateMachine:
     machine = HandoverStateMachine(44.0)
     machine.stage = stage
     return machine
 
 
-def test_keys_have_an_owner_at_three_stages_and_are_asked_for_at_one() -> None:
-    owning = {stage: at(stage).ownership(0.0) for stage in Stage}
-    assert {s for s, o in owning.items() if o is KeyOwnership.OWNED} == {
+def test_process_owns_unknown_keys_in_three_stages_and_requests_them_in_one() -> None:
+    ownership = {stage: machine_at(stage).ownership(0.0) for stage in Stage}
+    assert {s for s, o in ownership.items() if o is KeyOwnership.OWNED} == {
         Stage.ALONE,
         Stage.TAKEN_OVER,
         Stage.SENDING_KEYS,
     }
-    assert [s for s, o in owning.items() if o is KeyOwnership.ASK_PEER] == [Stage.YIELDED]
+    assert [s for s, o in ownership.items() if o is KeyOwnership.ASK_PEER] == [Stage.YIELDED]
 
 
 @pytest.mark.parametrize(
-    ("stage", "alive", "after", "closed"),
+    ("stage", "is_alive", "next_stage", "in_doubt"),
     [
         (Stage.HELLO_SENT, True, Stage.UNCOORDINATED, False),
         (Stage.HELLO_SENT, False, Stage.ALONE, True),
@@ -76,14 +76,14 @@
         (Stage.TAKEN_OVER, False, Stage.ALONE, False),
     ],
 )
-def test_loss_of_the_predecessor(stage: Stage, alive: bool, after: Stage, closed: bool) -> None:
-    machine = at(stage)
-    machine.predecessor_lost(100.0, alive)
-    assert machine.stage is after and (machine.in_doubt_until == 144.0) is closed
+def test_loss_of_the_predecessor(stage: Stage, is_alive: bool, next_stage: Stage, in_doubt: bool) -> None:
+    machine = machine_at(stage)
+    machine.predecessor_lost(100.0, is_alive)
+    assert machine.stage is next_stage and (machine.in_doubt_until == 144.0) is in_doubt
 
 
 @pytest.mark.parametrize(
-    ("stage", "alive", "stood", "after", "closed"),
+    ("stage", "is_alive", "loop_stalled_s", "next_stage", "in_doubt"),
     [
         (Stage.SENDING_KEYS, False, 9.0, Stage.ALONE, False),
         (Stage.YIELDED, True, 0.0, Stage.DISCONNECTED, False),
@@ -91,10 +91,12 @@
         (Stage.YIELDED, False, 9.0, Stage.ALONE, True),
     ],
 )
-def test_loss_of_the_successor(stage: Stage, alive: bool, stood: float, after: Stage, closed: bool) -> None:
-    machine = at(stage)
-    machine.successor_lost(100.0, alive, stood)
-    assert machine.stage is after and (machine.in_doubt_until == 144.0) is closed
-    if after is Stage.DISCONNECTED:
+def test_loss_of_the_successor(
+    stage: Stage, is_alive: bool, loop_stalled_s: float, next_stage: Stage, in_doubt: bool
+) -> None:
+    machine = machine_at(stage)
+    machine.successor_lost(100.0, is_alive, loop_stalled_s)
+    assert machine.stage is next_stage and (machine.in_doubt_until == 144.0) is in_doubt
+    if next_stage is Stage.DISCONNECTED:
         machine.apply(Event.PEER_ENDED, 110.0)
         assert machine.ownership(120.0) is KeyOwnership.IN_DOUBT and machine.ownership(155.0) is KeyOwnership.OWNED
