--- a/chutepin/broker/attempts.py
+++ b/chutepin/broker/attempts.py
@@ -111,7 +111,7 @@
 
         The executor cannot detect it if the caller is not on its machine; without the kill the run would keep its
         memory and its slot."""
-        if attempt.phase in AT_CALL and not attempt.awaiting_response and not attempt.request.watched:
+        if attempt.phase in AT_CALL and not attempt.awaiting_response and not attempt.request.executor_detects_end:
             self._executor.kill(attempt.request.id)
 
     def remove(self, id: str) -> None:
--- a/chutepin/broker/core.py
+++ b/chutepin/broker/core.py
@@ -34,11 +34,11 @@
 from .requests import Answer, Request, Verdict, fingerprint
 from .schedule import ANSWER_GRACE_S, Schedule
 
-MAX_REQUESTS = 2048  # open at a time; each holds a body of up to 2 KiB
+MAX_REQUESTS = 2048  # maximum number of open requests; each holds a body of up to 2 KiB
 KEY_MEMORY_SHARE = 1 / 3  # of the node's own memory, for the table of idempotency keys
-UNWATCHED_RUN_LIMIT_S = 60.0  # past the due time, for a run whose request's end the executor cannot detect
-MAX_CLOCK_LEAD_S = 1.0  # by which a caller's times may exceed the node's clock and the deadline of its class
-KEY_REQUEST_TIMEOUT_S = 0.5  # for the peer process to grant or deny a key
+ORPHANED_RUN_TIMEOUT_S = 60.0  # past the due time, after which a run that the executor cannot end by itself is killed
+MAX_CLOCK_LEAD_S = 1.0  # maximum by which a caller's times may exceed the node's clock and the class's deadline
+KEY_REQUEST_TIMEOUT_S = 0.5  # timeout of the peer process's answer to a key request
 SWEEP_INTERVAL_S = 1.0
 
 
@@ -359,9 +359,9 @@
         for id, attempt in self._attempts.by_id.items():
             if attempt.awaiting_response or attempt.phase not in (Phase.RUNNING, Phase.STOPPED):
                 continue
-            if attempt.request.watched:
+            if attempt.request.executor_detects_end:
                 self._executor.resolve(id)
-            elif attempt.request.due + UNWATCHED_RUN_LIMIT_S < now:
+            elif attempt.request.due + ORPHANED_RUN_TIMEOUT_S < now:
                 self._executor.kill(id)
         self._idempotent.remove_expired(now)
         self._decisions.run()
--- a/chutepin/broker/idempotent.py
+++ b/chutepin/broker/idempotent.py
@@ -61,7 +61,7 @@
         may_run = record is not None and record.holder_id == request.id and not record.has_run
         if not self._counters.check_invariant(may_run, "one run a key"):
             return False
-        window_s = max(self._classes[request.cls].window, request.remembered)
+        window_s = max(self._classes[request.cls].window, request.min_key_lifetime_s)
         if self._table.start_run(key, request.id, request.arrived + window_s):
             return True
         self._counters.add("keys.peer_not_notified")
--- a/chutepin/broker/requests.py
+++ b/chutepin/broker/requests.py
@@ -34,7 +34,7 @@
     cls: str
     body: bytes
     arrived: float
-    due: float  # end of the caller's wait for this attempt; infinite if the caller does not pass it
+    due: float  # end of the caller's wait for this attempt; infinite if the caller passes none
     size: float = 0.0
     tenant: str | None = None
     subject: str | None = None
@@ -42,8 +42,8 @@
     rank: float = 0.0
     caller: int = 0
     is_retry: bool = False
-    watched: bool = True  # the executor detects by itself when the request is over
-    remembered: float = 0.0  # minimum time in seconds from the arrival for which the key is kept
+    executor_detects_end: bool = True  # whether the executor detects by itself that the request is over
+    min_key_lifetime_s: float = 0.0  # from the arrival; the key's record is kept at least this long
 
 
 def fingerprint(request: Request) -> bytes:
--- a/chutepin/handover/frames.py
+++ b/chutepin/handover/frames.py
@@ -124,7 +124,7 @@
     try:
         return End(word)
     except ValueError as error:
-        raise MalformedFrameError(f"KEY: unknown outcome {word[:20]}") from error
+        raise MalformedFrameError(f"KEY: unknown value of field end: {word[:20]}") from error
 
 
 def encode(message: Message) -> bytes:  # noqa: C901  one case per message
--- a/chutepin/net/amqp/requests.py
+++ b/chutepin/net/amqp/requests.py
@@ -45,8 +45,8 @@
         key=f"amqp {queue.name} {key}" if keyed else None,
         rank=rank,
         is_retry=bool(content.deliver.redelivered),
-        watched=False,
-        remembered=redelivery_window_s,
+        executor_detects_end=False,
+        min_key_lifetime_s=redelivery_window_s,
     )
 
 
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -134,7 +134,7 @@
         return [id for id in self.ports.ids("exec") if id not in ended]
 
     def end_some(self, data: st.DataObject, end: End) -> None:
-        """End a running run that hypothesis draws, if there is any."""
+        """End one of the runs in progress, drawn by hypothesis, if there is any."""
         if running := self.running():
             id = data.draw(st.sampled_from(running))
             self.ports.done.append(("ended", id))
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -222,9 +222,9 @@
     assert [answer.verdict.value for answer in first] == ["failed"]
 
 
-def test_unwatched_run_that_waits_for_a_call_is_killed_when_its_request_is_over() -> None:
+def test_orphaned_run_that_waits_for_a_call_is_killed_when_its_request_is_over() -> None:
     core = Core()
-    core.pick("a", wait=1.0, watched=False)
+    core.pick("a", wait=1.0, executor_detects_end=False)
     core.broker.call_wanted("a", 1, b"ask")
     core.pass_time(1.1)
     assert core.words("a")[0] in ("failed", "served") and core.ports.ids("kill") == ["a"]
@@ -240,7 +240,7 @@
 
 
 class RequestLifecycle(RuleBasedStateMachine):
-    """A model of open requests, checked against the broker in any order of arrivals, ends, calls and disconnects."""
+    """A model of open requests, checked against the broker for random orders of events."""
 
     @initialize()
     def begin(self) -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -283,10 +283,10 @@
 def test_unknown_keys_fail_until_one_window_after_the_end_of_a_process_of_another_version() -> None:
     async def run() -> None:
         async with AsyncExitStack() as stack:
-            world = Standins()
-            world.environ = {"TMPDIR": stack.enter_context(tempfile.TemporaryDirectory())}
-            world.listen_port = await free_port()
-            path = rendezvous_path(world.environ["TMPDIR"], "n3", f"127.0.0.1:{world.listen_port}")
+            process = Standins()
+            process.environ = {"TMPDIR": stack.enter_context(tempfile.TemporaryDirectory())}
+            process.listen_port = await free_port()
+            path = rendezvous_path(process.environ["TMPDIR"], "n3", f"127.0.0.1:{process.listen_port}")
 
             async def reject(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 if await reader.read(100):
@@ -294,9 +294,9 @@
                 writer.close()
 
             other = await asyncio.start_unix_server(reject, path)
-            await world.start(stack, ops=True)
-            await wait_until_ready(world)
-            balancer = await world.connect()
+            await process.start(stack, ops=True)
+            await wait_until_ready(process)
+            balancer = await process.connect()
 
             async def send_order(number: int) -> bytes:
                 return (await balancer.answer(balancer.call("work-order", b"order", f"{number:032x}")))[0]
--- a/tests/test_handover_session.py
+++ b/tests/test_handover_session.py
@@ -28,7 +28,7 @@
         self.core = Core()
         self.kernel_buffer: deque[bytes] = deque()  # accepted by the kernel, not read by the peer
         self.process_buffer: deque[bytes] = deque()  # lost if this process is killed
-        self.alive, self.accepts = True, False
+        self.is_alive, self.is_accepting = True, False
         broker = self.core.broker
         self.peer_record_changed = broker.peer_exchange.peer_record_changed
         self.peer_key_removed = broker.peer_exchange.peer_key_removed
@@ -56,10 +56,10 @@
         self.core.broker.peer_exchange.set_peer_usage(usage.running, usage.memory_kb)
 
     def yield_ownership(self) -> None:
-        self.accepts = False
+        self.is_accepting = False
 
     def resume_ownership(self) -> None:
-        self.accepts = True
+        self.is_accepting = True
 
     def send(self, data: bytes) -> Delivery:
         self.process_buffer.append(data)
@@ -84,7 +84,7 @@
         self.is_linked = self.was_upgraded = self.keys_sent = False
         self.record_frames: Iterator[bytes] = iter(())
         self.ids = itertools.count()
-        self.predecessor.accepts = True
+        self.predecessor.is_accepting = True
 
     def pass_time(self, seconds: float) -> None:
         for process in self.processes:
@@ -93,7 +93,7 @@
         while self.predecessor.core.hand.time < until:
             self.predecessor.core.hand.time = min(until, self.predecessor.core.hand.time + 0.02)
             for process in self.processes:
-                if process.alive:
+                if process.is_alive:
                     process.core.broker.tick()
 
     @initialize(delivered=st.sampled_from([None, 1, 3, 200, 200]), first_keys=st.integers(0, 3))
@@ -121,16 +121,16 @@
     def deliver(self, all: bool, count: int) -> None:
         """Deliver frames one at a time in both directions, or all of them."""
         for _ in range(200 if all else count):
-            if self.predecessor.alive and (data := next(self.record_frames, None)) is not None:
+            if self.predecessor.is_alive and (data := next(self.record_frames, None)) is not None:
                 self.predecessor.send(data)
-            elif self.predecessor.alive and not self.predecessor.process_buffer and not self.keys_sent:
+            elif self.predecessor.is_alive and not self.predecessor.process_buffer and not self.keys_sent:
                 self.keys_sent = True
                 self.predecessor.session.keys_sent()
             for reader, writer in ((self.successor, self.predecessor), (self.predecessor, self.successor)):
-                if reader.alive and writer.kernel_buffer:
+                if reader.is_alive and writer.kernel_buffer:
                     reader.session.receive(read_one(writer.kernel_buffer.popleft()))
-                    self.successor.accepts |= self.successor.session.machine.stage is Stage.TAKEN_OVER
-                if writer.alive:
+                    self.successor.is_accepting |= self.successor.session.machine.stage is Stage.TAKEN_OVER
+                if writer.is_alive:
                     writer.flush()
 
     @precondition(lambda self: self.is_linked)
@@ -138,7 +138,7 @@
     def peer_stops_reading(self, at: int) -> None:
         """Fill the kernel's buffer towards a process that does not read."""
         writer = self.processes[1 - at]
-        while writer.alive and writer.session.send_usage():
+        while writer.is_alive and writer.session.send_usage():
             pass
 
     @rule(first_at=st.integers(0, 1), key=st.integers(3, 20))
@@ -151,8 +151,8 @@
     def arrive(self, at: int, key: int, wait: float) -> None:
         """Send an attempt, possibly on a connection that was accepted before the process yielded."""
         process = self.processes[at]
-        has_connection = process is self.predecessor or process.accepts
-        if not process.alive or not has_connection:
+        has_connection = process is self.predecessor or process.is_accepting
+        if not process.is_alive or not has_connection:
             return
         id = f"{next(self.ids)}"
         self.arrived[id] = f"key {key}", self.predecessor.core.hand.time
@@ -160,7 +160,7 @@
 
     @rule(data=st.data(), at=st.integers(0, 1), end=st.sampled_from([End.OK, End.ERROR]))
     def run_ends(self, data: st.DataObject, at: int, end: End) -> None:
-        if self.processes[at].alive:
+        if self.processes[at].is_alive:
             self.processes[at].core.end_some(data, end)
 
     @precondition(lambda self: self.is_linked)
@@ -169,19 +169,19 @@
         """Kill one process; the other reads the rest of the kernel's buffer, then the end of the link."""
         if at > 1:  # most examples should keep both processes alive
             return
-        dead, other = self.processes[at], self.processes[1 - at]
-        if not dead.alive or not other.alive:
+        killed, other = self.processes[at], self.processes[1 - at]
+        if not killed.is_alive or not other.is_alive:
             return
         if stalled:
             self.peer_stops_reading(1 - at)
         self.arrive(at, key, 2.0)
-        dead.alive, self.is_linked = False, False
-        dead.process_buffer.clear()
-        while dead.kernel_buffer:
-            other.session.receive(read_one(dead.kernel_buffer.popleft()))
+        killed.is_alive, self.is_linked = False, False
+        killed.process_buffer.clear()
+        while killed.kernel_buffer:
+            other.session.receive(read_one(killed.kernel_buffer.popleft()))
         if other is self.successor:
             other.session.predecessor_lost(is_alive=False)
-            other.accepts = True
+            other.is_accepting = True
         else:
             other.session.successor_lost(is_alive=False, loop_stalled_s=0.0)
         self.arrive(1 - at, key, 2.0)
@@ -204,7 +204,7 @@
             assert all(len(words) <= 1 for words in answers.values())
             ran = set(process.core.ports.ids("exec"))
             assert not any(words and words[0].verdict.value == "refused" and id in ran for id, words in answers.items())
-            if process.alive:
+            if process.is_alive:
                 assert process.core.broker.metrics.is_consistent(sum(not words for words in answers.values()))
 
 
