--- a/chutepin/net/amqp/consumer.py
+++ b/chutepin/net/amqp/consumer.py
@@ -114,8 +114,8 @@
             return
         delivery = Delivery(self, session, tag, index, content.properties)
         self._open_deliveries[request.id] = delivery
-        self.broker.pick(request, delivery)
-        if tag not in session.unsettled:  # the broker has answered within `pick`
+        self.broker.submit(request, delivery)
+        if tag not in session.unsettled:  # the broker has answered within `submit`
             self._open_deliveries.pop(request.id, None)
 
     def _request_from(self, content: Content, properties: commands.Basic.Properties, queue: QueueConfig) -> Request:
