--- a/chutepin/consensus/change_reports.py
+++ b/chutepin/consensus/change_reports.py
@@ -9,40 +9,40 @@
 from .outbox import Outbox
 
 
-class LeaderView(NamedTuple):
+class LeaderStatus(NamedTuple):
     """The leader known to this node, and whether it is this node."""
 
     is_leader: bool
     leader: str
 
 
-class ChangeReports:
-    """The last reported leader and membership; reports each change once."""
+class ChangeReporter:
+    """A reporter of changes of leader and membership, each of which is logged once."""
 
     def __init__(self, outbox: Outbox, membership: Membership) -> None:
         self._outbox = outbox
         self._membership = membership
-        self._view = LeaderView(False, "")
+        self._leader_status = LeaderStatus(False, "")
         self.counts: Counter[str] = Counter()
 
     @property
     def leader(self) -> str:
         """The last reported leader."""
-        return self._view.leader
+        return self._leader_status.leader
 
-    def report_leader(self, view: LeaderView, term: int) -> None:
+    def report_leader(self, status: LeaderStatus, term: int) -> None:
         """Log and count the leader if it has changed."""
-        if view == self._view:
+        if status == self._leader_status:
             return
-        self._view = view
-        if view.is_leader:
+        self._leader_status = status
+        if status.is_leader:
             event = "leader_elected"
-        elif view.leader:
+        elif status.leader:
             event = "following_leader"
         else:
             event = "no_leader"
         self.counts[event] += 1
-        self._outbox.log(event, {"leader": view.leader, "term": term})
+        self._outbox.log(event, {"leader": status.leader, "term": term})
 
     def report_membership(self, membership: Membership) -> None:
         """Log the membership if it has changed."""
--- a/chutepin/consensus/leadership.py
+++ b/chutepin/consensus/leadership.py
@@ -7,7 +7,7 @@
 
 from .membership_change import check_change, check_term_committed
 from .messages import AppendEntriesReply, Entry, EntryKind, InstallSnapshotReply, Membership, TimeoutNow
-from .read_index import PendingRead, ReadIndexQueue
+from .read_index import QueuedRead, ReadIndexQueue
 from .replication import Replication
 from .state import NodeState
 
@@ -90,7 +90,7 @@
         """Begin a heartbeat round that confirms the leadership for a read. Raises RejectedError."""
         check_term_committed(state)
         self.replication.heartbeat(state)
-        self.reads.add(PendingRead(read_id, state.log.commit_index, self.replication.heartbeat_round))
+        self.reads.add(QueuedRead(read_id, state.log.commit_index, self.replication.heartbeat_round))
         self._answer_reads(state)
 
     def start_transfer(self, now: float, state: NodeState, target: str) -> None:
--- a/chutepin/consensus/operators.py
+++ b/chutepin/consensus/operators.py
@@ -35,7 +35,7 @@
         """The participant; None while the node is inactive in the replicated log."""
 
     @property
-    def idle_reason(self) -> str:
+    def inactive_reason(self) -> str:
         """The reason why there is no participant."""
 
     @property
@@ -78,7 +78,7 @@
 
     def _inactive_answer(self) -> str:
         """Return the answer of a node without a participant."""
-        return f"FAILURE takes no part: {self._node.idle_reason}\n"
+        return f"FAILURE takes no part: {self._node.inactive_reason}\n"
 
     def _status(self) -> str:
         participant = self._node.participant
--- a/chutepin/consensus/participant.py
+++ b/chutepin/consensus/participant.py
@@ -9,7 +9,7 @@
 import math
 import random
 
-from .change_reports import ChangeReports, LeaderView
+from .change_reports import ChangeReporter, LeaderStatus
 from .directory import NodeDirectory
 from .errors import RejectedError, UnsupportedFormatError
 from .fetch_queue import FetchQueue, FetchSource
@@ -71,8 +71,8 @@
         self.observer = Observer(name, now, rng, settings.heartbeat_interval_s)
         self.directory = NodeDirectory(name, now)
         self._outbox = Outbox()
-        self._reports = ChangeReports(self._outbox, self.raft.membership)
-        self.counts = self._reports.counts
+        self._reporter = ChangeReporter(self._outbox, self.raft.membership)
+        self.counts = self._reporter.counts
         retries = RetrySchedule(settings, rng)
         self._proposals = ProposalTracker(self._outbox, retries)
         self._reads = ReadTracker(name, self._outbox, retries)
@@ -196,11 +196,11 @@
     def _report_changes(self, now: float) -> None:
         """Log a change of leader or membership; on a new leader, retry the pending requests."""
         leader = self.leader
-        if leader and leader != self._reports.leader:
+        if leader and leader != self._reporter.leader:
             self._proposals.schedule_retries(now)
             self._reads.schedule_retries(now)
-        self._reports.report_leader(LeaderView(self.raft.role is Role.LEADER, leader), self.raft.term)
-        self._reports.report_membership(self.membership)
+        self._reporter.report_leader(LeaderStatus(self.raft.role is Role.LEADER, leader), self.raft.term)
+        self._reporter.report_membership(self.membership)
 
     def _apply(self, now: float, entries: tuple[Entry, ...]) -> None:
         for proposal_id, outcome in self.state.apply(entries):
--- a/chutepin/consensus/read_index.py
+++ b/chutepin/consensus/read_index.py
@@ -12,7 +12,7 @@
 from .state import NodeState
 
 
-class PendingRead(NamedTuple):
+class QueuedRead(NamedTuple):
     """A read that waits for a majority to acknowledge its heartbeat round."""
 
     read_id: int
@@ -24,7 +24,7 @@
     """Reads at the leader that wait for their heartbeat round to be confirmed."""
 
     def __init__(self) -> None:
-        self.pending: list[PendingRead] = []
+        self.pending: list[QueuedRead] = []
 
     def copy(self) -> ReadIndexQueue:
         """Return an independent copy."""
@@ -32,7 +32,7 @@
         other.pending = self.pending[:]
         return other
 
-    def add(self, read: PendingRead) -> None:
+    def add(self, read: QueuedRead) -> None:
         """Add a read to the queue."""
         self.pending.append(read)
 
--- a/chutepin/consensus/subsystem.py
+++ b/chutepin/consensus/subsystem.py
@@ -28,7 +28,7 @@
 from .settings import RaftSettings
 from .state import Role
 from .store_writer import StoreWriter
-from .wire import Links, Wire, now
+from .wire import ClusterLinks, Transport, now
 
 RETRY_AFTER_S = 5.0  # delay before a restart after a store error
 BUSY_TICK_DELAY_S = 0.001  # minimum delay of the next tick while a write is in progress
@@ -41,7 +41,7 @@
         self,
         setup: ConsensusSetup,
         name: str,
-        links: Links,
+        links: ClusterLinks,
         store: Store,
         descriptors: DescriptorBudget,
         counters: Counters,
@@ -67,9 +67,9 @@
         self._writer = StoreWriter(store, self._settings.election_timeout_s, counters, log)
         self.participant: Participant | None = None
         self._journal = Journal()
-        self._wire = Wire(links, self._hello, self._deliver, descriptors, counters)
-        self._identities = IdentityExchange(links.cluster, self._identity, self._writer, self._wire.send, log)
-        self.idle_reason = "starts"  # the reason why there is no participant
+        self._transport = Transport(links, self._hello, self._deliver, descriptors, counters)
+        self._identities = IdentityExchange(links.cluster, self._identity, self._writer, self._transport.send, log)
+        self.inactive_reason = "starts"  # the reason why there is no participant
         self._queue: list[Effect] = []
         self._has_work = asyncio.Event()
         self._started = asyncio.Event()
@@ -105,7 +105,7 @@
                     await asyncio.sleep(RETRY_AFTER_S)
         finally:
             self._halt("ended")
-            self._wire.close()
+            self._transport.close()
 
     def yield_ownership(self) -> None:
         """Do nothing, because a successor cannot open the store before this process has ended."""
@@ -146,10 +146,10 @@
         The announcement is repeated while the store status is FORMING."""
         await self._identities.write()
         while self._identity.status is StoreStatus.FORMING:
-            self.idle_reason = f"forms: {' '.join(self._identity.awaited)} must have met this store"
+            self.inactive_reason = f"forms: {' '.join(self._identity.awaited)} must have met this store"
             await self._identities.announce()
         await self._identities.write()
-        self._wire.reconnect()
+        self._transport.reconnect()
         self._journal = Journal()
         saved, cleanup_operations = self._journal.load(self._store.get)
         await self._writer.write(cleanup_operations)
@@ -171,7 +171,7 @@
         """Stop the participant and discard its pending effects, as in a crash."""
         self._log.event("consensus.halted", why=reason)
         self._counters.add("consensus.halted")
-        self.idle_reason = reason
+        self.inactive_reason = reason
         self.participant = None
         self._busy = False
         self._queue.clear()
@@ -252,7 +252,7 @@
     def _carry_out(self, participant: Participant, effect: Effect) -> None:
         match effect:
             case Send():
-                self._wire.send(effect.to, effect.message)
+                self._transport.send(effect.to, effect.message)
             case Apply() | Restore() | ReadReady():
                 participant.carry_out(now(), effect)
             case RequestCompleted():
@@ -288,7 +288,7 @@
         """Start a request with `begin`, which returns the participant's ticket, and wait for the outcome."""
         participant = self.participant
         if participant is None:
-            return Outcome(OutcomeState.REJECTED, reason=self.idle_reason, retry_after_s=RETRY_AFTER_S)
+            return Outcome(OutcomeState.REJECTED, reason=self.inactive_reason, retry_after_s=RETRY_AFTER_S)
         future: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
         self._tickets[begin(participant)] = future
         self.pump()
--- a/chutepin/consensus/wire.py
+++ b/chutepin/consensus/wire.py
@@ -31,7 +31,7 @@
 Handler = Callable[[socket.socket, bytes], Coroutine[object, object, None]]
 
 
-class Links(Protocol):
+class ClusterLinks(Protocol):
     """The functions of the cluster that the transport requires."""
 
     @property
@@ -62,12 +62,12 @@
         self.size_bytes = 0
 
 
-class Wire:
+class Transport:
     """The consensus connections of one node."""
 
     def __init__(
         self,
-        links: Links,
+        links: ClusterLinks,
         hello: Callable[[str], Hello],
         deliver: Callable[[Hello, WireMessage], None],
         descriptors: DescriptorBudget,
--- a/tests/test_consensus_journal.py
+++ b/tests/test_consensus_journal.py
@@ -64,9 +64,9 @@
     known = max(model.base_index, model.snapshot.up_to_index if model.snapshot is not None else 0)
     if kind < 0.2 and last > known:  # take a snapshot and truncate the log
         up_to_index = rng.randint(known + 1, last)
-        at = model.entries[up_to_index - model.base_index - 1].term
+        snapshot_term = model.entries[up_to_index - model.base_index - 1].term
         base_index = rng.randint(model.base_index, up_to_index)
-        snapshot = Snapshot(up_to_index, at, Membership(("n1",)), rng.randbytes(rng.choice((0, 10, 40_000))))
+        snapshot = Snapshot(up_to_index, snapshot_term, Membership(("n1",)), rng.randbytes(rng.choice((0, 10, 40_000))))
         return Persist(model.term, model.voted_for, 0, (), snapshot, base_index)
     if kind < 0.3:  # install a leader's snapshot
         snapshot = Snapshot(last + rng.randint(1, 5), term, Membership(("n1",)), rng.randbytes(10))
--- a/tests/test_consensus_simulator.py
+++ b/tests/test_consensus_simulator.py
@@ -36,9 +36,9 @@
     faults = [
         fault
         for number in range(5)
-        for one in [rng.choice(FIVE[:3])]
+        for voter in [rng.choice(FIVE[:3])]
         for fault in (
-            split(3.0 + 4 * number, ((one,), [name for name in FIVE if name != one])),
+            split(3.0 + 4 * number, ((voter,), [name for name in FIVE if name != voter])),
             Fault(5.5 + 4 * number, "heal"),
         )
     ]
@@ -69,15 +69,15 @@
     """Return a schedule that loses a third of all messages, which causes repeated requests, and restarts voters."""
     faults = [Fault(0.0, "loss", value=0.35), Fault(34.0, "loss")]
     for number in range(10):
-        one = rng.choice(FIVE[:3])
-        faults += [Fault(4.0 + 3 * number, "crash", (one,)), Fault(4.5 + 3 * number, "restart", (one,))]
+        voter = rng.choice(FIVE[:3])
+        faults += [Fault(4.0 + 3 * number, "crash", (voter,)), Fault(4.5 + 3 * number, "restart", (voter,))]
     return Schedule(5, 60.0, tuple(sorted(faults, key=lambda fault: fault.at)))
 
 
 def one_way_partition(rng: random.Random) -> Schedule:
     """Return a schedule in which one voter receives no messages for a long time but can send."""
-    one = rng.choice(FIVE[:3])
-    cuts = tuple(Fault(4.0, "cut", (name, one)) for name in FIVE if name != one)
+    voter = rng.choice(FIVE[:3])
+    cuts = tuple(Fault(4.0, "cut", (name, voter)) for name in FIVE if name != voter)
     return Schedule(5, 60.0, (*cuts, Fault(35.0, "heal")))
 
 
