--- a/chutepin/cluster/detector.py
+++ b/chutepin/cluster/detector.py
@@ -1,4 +1,4 @@
-"""The failure detector: SWIM with Lifeguard's changes and those of docs/membership.md.
+"""The failure detector: SWIM with Lifeguard's extensions and the changes described in docs/membership.md.
 
 Sans-I/O: the caller supplies the time, the packets and the random generator. Times are seconds on a monotonic clock.
 `drain_effects` returns the packets to send, the values to store and the events to log, as data and in order. The node
@@ -203,7 +203,7 @@
             result = view.merge(now, record, full_state, disseminate)
             if result is MergeResult.STALE and not full_state and len(corrections) < MAX_CORRECTIONS:
                 correction = self._known_record(update)
-                if correction.live or not self.context.isolated:  # an isolated member does not spread deaths
+                if correction.live or not self.context.isolated:  # an isolated member does not disseminate deaths
                     corrections.append(correction)
         if corrections:
             view.counts["corrections_sent"] += 1
--- a/chutepin/cluster/joining.py
+++ b/chutepin/cluster/joining.py
@@ -56,12 +56,12 @@
     def _contact_seed(self, now: float) -> None:
         context = self._context
         view = context.view
-        away = self._seeds
+        missing_seeds = self._seeds
         if view.joined:
-            away = [seed for seed in self._seeds if not view.table.is_live(seed[0])]
+            missing_seeds = [seed for seed in self._seeds if not view.table.is_live(seed[0])]
         chance = SEED_CONTACT_CHANCE * min(1.0, CONTACTS_PER_SECOND / view.live_count)
-        if away and (not view.joined or context.rng.random() < chance):
-            name, address = context.rng.choice(away)
+        if missing_seeds and (not view.joined or context.rng.random() < chance):
+            name, address = context.rng.choice(missing_seeds)
             self._state_exchange.exchange_state(now, name, self._send_queue.seed_address(name, address))
             if view.name_holder is not None:
                 self.next_attempt = now + REFUSED_INTERVALS * context.settings.join_every
--- a/chutepin/cluster/link_table.py
+++ b/chutepin/cluster/link_table.py
@@ -69,20 +69,20 @@
             ),
         )
 
-    def merge(self, now: float, links: LinkReport) -> bool:
+    def merge(self, now: float, report: LinkReport) -> bool:
         """Merge another member's report; return whether it is newer than the known one."""
-        known = self._reports.get(links.reporter)
-        if links.reporter == self.me or (
-            known and (links.process_incarnation, links.version) <= (known.process_incarnation, known.version)
+        known = self._reports.get(report.reporter)
+        if report.reporter == self.me or (
+            known and (report.process_incarnation, report.version) <= (known.process_incarnation, known.version)
         ):
             return False
         if known is not None:
-            self._toggle_digest(links.reporter, known.process_incarnation, known.version)
-        self._toggle_digest(links.reporter, links.process_incarnation, links.version)
-        self._reports[links.reporter] = _PeerReport(
-            links.process_incarnation,
-            links.version,
-            {(link.source, link.target): now - link.age / 1000 for link in links.bad},
+            self._toggle_digest(report.reporter, known.process_incarnation, known.version)
+        self._toggle_digest(report.reporter, report.process_incarnation, report.version)
+        self._reports[report.reporter] = _PeerReport(
+            report.process_incarnation,
+            report.version,
+            {(link.source, link.target): now - link.age / 1000 for link in report.bad},
         )
         return True
 
--- a/chutepin/cluster/membership_view.py
+++ b/chutepin/cluster/membership_view.py
@@ -230,13 +230,13 @@
             self.record_event("refused", self.me.name, holder=holder.address, incarnation=holder.incarnation)
         self.name_holder, self.joined = holder, False
 
-    def merge_link_report(self, now: float, links: LinkReport) -> None:
+    def merge_link_report(self, now: float, report: LinkReport) -> None:
         """Merge another member's report of its bad links."""
-        reporter = self.table.members.get(links.reporter)
+        reporter = self.table.members.get(report.reporter)
         if reporter is None or not reporter.record.live:
             return
-        if self.links.merge(now, links):
-            self.queue.add(links)
+        if self.links.merge(now, report):
+            self.queue.add(report)
 
     def record_link(self, now: float, source: str, target: str, bad: bool) -> None:
         """Record whether a link of this member is bad, and gossip the report if that has changed."""
--- a/chutepin/cluster/state_exchange.py
+++ b/chutepin/cluster/state_exchange.py
@@ -219,10 +219,10 @@
         address = self._send_queue.address(to)
         if address is None or not (unknown_names or newer):
             return
-        included, left = fit_updates(newer, room)
-        context.budget.spend(now, room - left)
+        chosen, remaining = fit_updates(newer, room)
+        context.budget.spend(now, room - remaining)
         request = RecordRequest(tuple(unknown_names[: room // SHORT_RECORD_BYTES]))
-        self._send_queue.request(to, address, request, included)
+        self._send_queue.request(to, address, request, chosen)
 
     def handle_record_request(self, now: float, sender: str, body: RecordRequest) -> None:
         """Answer with the whole records of the requested names."""
@@ -231,6 +231,6 @@
         records = [members[name].record for name in body.names if name in members]
         if context.me.name in body.names:
             records.append(context.me)
-        included, left = fit_updates(records, MAX_STATE_BYTES)
-        context.budget.spend(now, MAX_STATE_BYTES - left)
-        self._send_queue.answer(sender, Records(), included)
+        chosen, remaining = fit_updates(records, MAX_STATE_BYTES)
+        context.budget.spend(now, MAX_STATE_BYTES - remaining)
+        self._send_queue.answer(sender, Records(), chosen)
--- a/chutepin/cluster/streams.py
+++ b/chutepin/cluster/streams.py
@@ -48,7 +48,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._outgoing = 0
         self._second_started_at = 0.0
-        self._served_this_second = 0  # exchanges
+        self._served_this_second = 0
         self.acceptor = Acceptor(self, b"", counters, log)
         self.delivering = False  # whether received packets are delivered
         self.handlers: dict[bytes, StreamHandler] = {}  # handlers of other protocols, by preface
@@ -70,7 +70,7 @@
         return AcceptDecision.SERVE
 
     def serve(self, sock: socket.socket, address: bytes) -> None:
-        """Answer one exchange."""
+        """Serve an accepted connection."""
         self._served_this_second += 1
         self._descriptors.parts[DESCRIPTOR_SHARE].in_use += 1
         self._spawn(sock, self._serve(sock))
--- a/chutepin/cluster/subsystem.py
+++ b/chutepin/cluster/subsystem.py
@@ -53,8 +53,8 @@
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at = 0.0
         self._operator_commands = OperatorCommands(setup.name, self._detector)
-        self._start_requested = asyncio.Event()  # this process acts for the node
-        self._yielded = asyncio.Event()  # a successor process acts for the node
+        self._start_requested = asyncio.Event()  # set while this process acts for the node
+        self._yielded = asyncio.Event()  # set while a successor process acts for the node
         self._active = False  # the address is bound, and the detector runs
         self._left = False
 
--- a/chutepin/cluster/transport.py
+++ b/chutepin/cluster/transport.py
@@ -170,7 +170,7 @@
                 data = self._udp.recv(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
-            except OSError:  # the error of an earlier send
+            except OSError:  # a pending error of an earlier send
                 continue
             self._datagrams_in_slice += 1
             self._counters.add("cluster.bytes_in", len(data))
--- a/tests/cluster_mutants.py
+++ b/tests/cluster_mutants.py
@@ -74,10 +74,10 @@
 
     def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
         super().__init__(setup, name, incarnation, now, rng)
-        self.suspicions.deadline = self._decide_at_once  # type: ignore[method-assign]
+        self.suspicions.deadline = self._expire_at_once  # type: ignore[method-assign]
 
     @staticmethod
-    def _decide_at_once(suspicion: Suspicion) -> float:
+    def _expire_at_once(suspicion: Suspicion) -> float:
         suspicion.verifications = 2
         return suspicion.started_at
 
--- a/tests/test_cluster_detector.py
+++ b/tests/test_cluster_detector.py
@@ -182,7 +182,7 @@
         found |= set(broken(Simulator(SCHEDULES[schedule], seed, mutant, delay=0.08).run()))
         if invariant in found:
             return
-    raise AssertionError(f"not caught, only {found}")
+    raise AssertionError(f"mutant not caught, violated only {found}")
 
 
 def states(history: History, at: float, member: str) -> dict[str, str]:
@@ -266,7 +266,7 @@
         1,
         15.0,
         random.Random(1),
-    )  # its clock is far behind, so its incarnation is lower than the holder's
+    )  # the duplicate's clock is far behind, so its incarnation is lower than the holder's
     simulator.run()
     holder, seed = simulator.hosts["n5"].detector, simulator.hosts["n1"].detector
     assert holder is not None and seed is not None
--- a/tests/test_cluster_state_exchange.py
+++ b/tests/test_cluster_state_exchange.py
@@ -155,4 +155,4 @@
         found |= set(_broken(schedule, seed, mutant))
         if invariant in found:
             return
-    raise AssertionError(f"not caught, only {found}")
+    raise AssertionError(f"mutant not caught, violated only {found}")
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -34,8 +34,8 @@
     return Schedule(5, seconds, faults)
 
 
-def stop_and_wake(at: float, lasts: float, *names: str) -> tuple[Fault, Fault]:
-    return Fault(at, "stop", names), Fault(at + lasts, "wake", names)
+def stop_and_wake(at: float, duration: float, *names: str) -> tuple[Fault, Fault]:
+    return Fault(at, "stop", names), Fault(at + duration, "wake", names)
 
 
 SCHEDULES = {
@@ -231,12 +231,12 @@
                 changes = "\n".join(await fleet.processes[name].ask("changes"))
                 assert not any(f"{what} n4" in changes for what in ("suspect", "dead", "left")), changes
                 assert {row[0]: row[1] for row in await fleet.members(name)}["n4"] == "alive"
-            stranger = await fleet.beside(stack, "n4")
-            refused = await wait_for_answer(stranger.ask, lambda lines: "refused" in lines[0])
+            duplicate = await fleet.beside(stack, "n4")
+            refused = await wait_for_answer(duplicate.ask, lambda lines: "refused" in lines[0])
             assert refused[0] == f"FAILURE refused: the name n4 is held by {old.address}"
             assert {row[0]: row[1] for row in await fleet.members("n1")}["n4"] == "alive"
             new.signal(signal.SIGKILL)  # frees the name
-            await wait_for_answer(stranger.ask, lambda lines: lines[0].startswith("SUCCESS total"))
+            await wait_for_answer(duplicate.ask, lambda lines: lines[0].startswith("SUCCESS total"))
             await wait_until_members(fleet, "n1", lambda rows: rows["n4"][1] == "alive")
 
     asyncio.run(run())
@@ -253,7 +253,7 @@
             new = await fleet.beside(stack, "n4", old.address, old.world.port)
             await wait_until_members(fleet, "n1", lambda rows: rows["n4"][2] > before[2])
             between = {row[0]: row for row in await fleet.members("n1")}["n4"]
-            new.signal(signal.SIGKILL)  # it has acted for n4 already; the predecessor still runs
+            new.signal(signal.SIGKILL)  # the successor has acted for n4 already; the predecessor still runs
             await wait_until_members(fleet, "n1", lambda rows: rows["n4"][1] == "alive" and rows["n4"][2] > between[2])
             await fleet.joined()
             for name in ("n1", "n2", "n3"):
