--- a/chutepin/store/__init__.py
+++ b/chutepin/store/__init__.py
@@ -1,11 +1,11 @@
-"""An embedded log-structured store: keys with values and expiries, which survive a power cut.
+"""An embedded log-structured key-value store with expiries, durable across power cuts.
 
     from chutepin.store import Store
     store = Store.open("directory")
     store.put(b"key", b"value", expires=math.inf)
     store.commit()          # or, on an event loop: await store.committed()
 
-`docs/store.md` states its guarantees, what it assumes of the disk, and which tests check them."""
+`docs/store.md` describes its guarantees, its assumptions about the disk and the tests that check them."""
 
 from .errors import (
     StoreBusyError,
--- a/chutepin/store/allocation.py
+++ b/chutepin/store/allocation.py
@@ -1,4 +1,4 @@
-"""Preallocates segments, so that writers need not wait for one and can't meet a full disk inside one."""
+"""Preallocates segments, so that writers don't wait for allocation and can't run out of disk space inside a segment."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 @dataclass(slots=True)
 class SegmentPreallocation:
-    """A segment's file that is being preallocated."""
+    """The file of a segment whose preallocation has begun."""
 
     number: int
     file: File
 
 
 class SegmentAllocator:
-    """Keeps one spare segment ready. Used by one thread at a time."""
+    """Keeps one spare segment preallocated. Used by one thread at a time."""
 
     def __init__(self, context: StoreContext, manifest: ManifestFile, files: SegmentFiles) -> None:
         self._context = context
@@ -32,9 +32,9 @@
         self._pending: SegmentPreallocation | None = None
 
     def allocate_spare(self, for_compaction: bool) -> bool:
-        """Preallocate the next segment if one is needed and allowed; whether that was done.
+        """Preallocate the next segment if it is needed and allowed; return whether one was allocated.
 
-        `for_compaction`: compaction waits for the segment, so the reserve may be used. Raises StoreFailedError."""
+        With `for_compaction`, the segment may use the space reserved for compaction. Raises StoreFailedError."""
         if self._pending is None and not self._may_allocate(for_compaction):
             return False
         try:
@@ -46,15 +46,15 @@
             if error.errno not in DISK_FULL_ERRORS:
                 with self._context.failing_on_os_error():
                     raise
-            self.give_up(error.strerror or str(error))
+            self.handle_full_disk(error.strerror or str(error))
             return False
         self._pending = None
         self._add_to_log(segment, pending.file)
         self._context.counts["segments.preallocated"] += 1
         return True
 
-    def give_up(self, reason: str) -> None:
-        """The disk is full: report it once, and remove what was begun."""
+    def handle_full_disk(self, reason: str) -> None:
+        """Report a full disk once, and remove the file of a pending preallocation."""
         context = self._context
         if not context.disk_full_reason:
             context.report_event("store.disk_full", why=reason)
@@ -68,7 +68,7 @@
                 context.file_system.remove(segment_name(pending.number))
 
     def release(self) -> list[File]:
-        """Forget a preallocation under way; its file, for the caller to close."""
+        """Abandon a pending preallocation and return its open file, which the caller closes."""
         pending, self._pending = self._pending, None
         return [] if pending is None else [pending.file]
 
@@ -77,14 +77,14 @@
         with context.lock:
             if context.log.spares or not context.limits.allows_segment(context.log.disk_bytes, for_compaction):
                 return False
-            # The system does not announce that a full disk has space again: try while a writer waits.
+            # No event announces that a full disk has space again, so retry as long as a writer waits.
             return not (context.disk_full_reason and context.idle)
 
     def _begin(self) -> SegmentPreallocation:
         if self._pending is None:
             number = self._manifest.next_segment
             self._pending = SegmentPreallocation(number, self._context.file_system.create(segment_name(number)))
-            self._manifest.next_segment += 1  # even if this comes to nothing: numbers are never used again
+            self._manifest.next_segment += 1  # even if preallocation fails: segment numbers are never reused
         return self._pending
 
     def _write_file(self, pending: SegmentPreallocation) -> None:
--- a/chutepin/store/appender.py
+++ b/chutepin/store/appender.py
@@ -1,4 +1,4 @@
-"""Puts and deletes: appends records to the log in memory, within the store's limits."""
+"""Appends puts and deletes to the in-memory log, within the store's limits."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from .log import SegmentedLog
 from .segment import record_size
 
-EXPIRED_PER_PUT = 8  # keys that a put forgets on its way, so that the index shrinks as fast as it grows
-_NEVER_S = NEVER_MS / 1000  # an expiry from here on is none
+EXPIRED_PER_PUT = 8  # expired keys removed by each put, so that the index shrinks faster than it grows
+_NEVER_S = NEVER_MS / 1000  # expiries from this time on mean never
 
 
 class RecordAppender:
-    """Appends records for callers on any thread. They are written by the next flush."""
+    """Appends records on behalf of callers on any thread. The next flush writes them."""
 
     def __init__(self, context: StoreContext) -> None:
         self._context = context
@@ -32,10 +32,10 @@
         self.put_bytes = 0
 
     def put(self, key: bytes, value: bytes, expires: float, waited: bool = False) -> bool:
-        """Append a put. False: there is no space at the moment, wait for the next flush or step.
+        """Append a put. Return False if the caller has to wait for the next flush or step to free space.
 
-        Raises StoreFullError if waiting will not help, and it does not if the caller has `waited` and the store is
-        idle; StoreError for a key, value or expiry that the store can't take."""
+        Raises StoreFullError if waiting can't free space, which is known once the caller has `waited` and the store is
+        idle. Raises StoreError for an invalid key, value or expiry."""
         context = self._context
         key_size = len(key)
         if key_size > MAX_KEY_BYTES:
@@ -52,7 +52,8 @@
             now_ms = context.now_ms()
             if now_ms >= index.due_ms:
                 index.expire(now_ms, EXPIRED_PER_PUT)
-            # The limits are checked here roughly, as if the key were new: puts come thousands of times a second.
+            # A cheap check that assumes a new key, because puts come thousands of times a second; `_check_limits` is
+            # exact.
             if (
                 index.live_bytes + size + key_size + HINT_ENTRY_BYTES > limits.capacity
                 or index.key_bytes + key_size + KEY_MEMORY_BYTES * (len(index.locations) + 1) > limits.max_memory
@@ -73,23 +74,23 @@
             return True
 
     def put_many(self, items: Sequence[tuple[bytes, bytes]], expires: float, waited: bool = False) -> int:
-        """Append puts of keys and values with one expiry; how many, before there was no space at the moment.
+        """Append puts with the same expiry until the caller has to wait for space; return how many were appended.
 
-        Raises StoreFullError, with nothing appended, if there is no space for all of them."""
+        Raises StoreFullError, with nothing appended, if the limits don't allow all of them."""
         sizes = [RECORD_HEADER_BYTES + len(key) + len(value) for key, value in items]
         with self._context.lock:
             self._context.check_usable()
             keys = {key for key, _ in items}
-            self._check_limits_for_all(keys, sizes)
-            if not math.isnan(expires) and self._can_append_together(keys, sizes):
-                return self._append_together(items, sizes, _expiry_ms(expires), waited)
-            for done, (key, value) in enumerate(items):
+            self._check_batch_limits(keys, sizes)
+            if not math.isnan(expires) and self._can_append_batch(keys, sizes):
+                return self._append_batch(items, sizes, _expiry_ms(expires), waited)
+            for appended, (key, value) in enumerate(items):
                 if not self.put(key, value, expires, waited):
-                    return done
+                    return appended
             return len(items)
 
     def delete(self, key: bytes, waited: bool = False) -> bool:
-        """Append a delete, if the key is there. As `put`."""
+        """Append a delete if the key exists. Returns and raises as `put`."""
         context = self._context
         with context.lock:
             context.check_usable()
@@ -105,7 +106,7 @@
             return True
 
     def _check_limits(self, log: SegmentedLog, key: bytes, size: int, now_ms: int) -> None:
-        """Raise if there is no space for this record, even after forgetting what has expired."""
+        """Raise StoreError if the record exceeds a limit, even after all expired keys have been removed."""
         if size > log.max_record_bytes:
             raise StoreError(f"a record of {size} bytes; at most {log.max_record_bytes} fit into a segment")
         if self._refusal_reason(log, key, size) is None:
@@ -120,8 +121,8 @@
         limits = self._context.limits
         return limits.refusal_reason(log.index.live_bytes, log.index.memory_bytes, added.live, added.memory)
 
-    def _check_limits_for_all(self, keys: set[bytes], sizes: list[int]) -> None:
-        """Raise if there is no space for records of these sizes, as if all keys were new."""
+    def _check_batch_limits(self, keys: set[bytes], sizes: list[int]) -> None:
+        """Raise StoreFullError if records of these sizes exceed a limit, assuming that all keys are new."""
         index = self._context.log.index
         key_bytes = sum(map(len, keys))
         added_live = sum(sizes) + key_bytes + len(sizes) * HINT_ENTRY_BYTES
@@ -130,8 +131,8 @@
         if reason is not None:
             raise self._context.full_error(reason)
 
-    def _can_append_together(self, keys: set[bytes], sizes: list[int]) -> bool:
-        """Whether these are new keys of one length, none twice, and records that fit into a segment."""
+    def _can_append_batch(self, keys: set[bytes], sizes: list[int]) -> bool:
+        """Return whether the keys are new, distinct and of one length, and each record fits into a segment."""
         log = self._context.log
         key_size = len(next(iter(keys), b""))
         return (
@@ -142,23 +143,23 @@
             and log.index.locations.keys().isdisjoint(keys)
         )
 
-    def _append_together(
+    def _append_batch(
         self, items: Sequence[tuple[bytes, bytes]], sizes: list[int], expires_ms: int, waited: bool
     ) -> int:
         log = self._context.log
-        done = 0
-        while done < len(items):
-            if not self._make_space(sizes[done], waited):
+        appended = 0
+        while appended < len(items):
+            if not self._make_space(sizes[appended], waited):
                 break
-            count = log.append_many(items[done:] if done else items, expires_ms)
+            count = log.append_many(items[appended:] if appended else items, expires_ms)
             self.put_count += count
-            self.put_bytes += sum(sizes[done : done + count])
-            done += count
+            self.put_bytes += sum(sizes[appended : appended + count])
+            appended += count
             self._context.note_activity()
-        return done
+        return appended
 
     def _make_space(self, size: int, waited: bool) -> bool:
-        """Whether a writer may append a record of this size now, if need be to the next segment."""
+        """Return whether a record of this size may be appended now, advancing to the next segment if necessary."""
         context = self._context
         log = context.log
         if log.queue.bytes > MAX_QUEUED_BYTES:
@@ -170,7 +171,7 @@
                 log.advance()
                 return True
         if waited and context.idle:
-            raise context.full_error(context.disk_full_reason or "compaction can make no room")
+            raise context.full_error(context.disk_full_reason or "compaction can free no space")
         context.note_activity()
         return False
 
--- a/chutepin/store/commit_waiters.py
+++ b/chutepin/store/commit_waiters.py
@@ -1,4 +1,4 @@
-"""Coroutines that wait for a commit, on any event loops."""
+"""Futures of coroutines that wait for a commit, on one or more event loops."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class CommitWaiter(NamedTuple):
-    """A coroutine that waits until everything up to a sequence number is durable."""
+    """The future of a coroutine that waits until the log is durable up to a sequence number."""
 
     sequence: int
     loop: asyncio.AbstractEventLoop
@@ -18,7 +18,7 @@
 
 
 class CommitWaiters:
-    """Waiting coroutines. Not thread-safe by itself."""
+    """The pending commit waiters. Not thread-safe."""
 
     def __init__(self) -> None:
         self._waiters: list[CommitWaiter] = []
@@ -27,24 +27,24 @@
         return bool(self._waiters)
 
     def add(self, sequence: int, loop: asyncio.AbstractEventLoop) -> asyncio.Future[None]:
-        """A future of this loop that is done once everything up to `sequence` is durable."""
+        """Return a future of `loop` that completes once the log is durable up to `sequence`."""
         future: asyncio.Future[None] = loop.create_future()
         self._waiters.append(CommitWaiter(sequence, loop, future))
         return future
 
     def resolve(self, durable_sequence: int, error: StoreError | None) -> None:
-        """Finish the futures of what is durable; with an `error`, which ended all writing, all of them."""
+        """Complete the futures up to `durable_sequence`. With `error`, which ended all writing, fail all others."""
         done = [waiter for waiter in self._waiters if waiter.sequence <= durable_sequence or error is not None]
         if not done:
             return
         self._waiters = [waiter for waiter in self._waiters if waiter.sequence > durable_sequence and error is None]
         for loop in {waiter.loop for waiter in done}:
-            of_loop = [waiter for waiter in done if waiter.loop is loop]
-            with contextlib.suppress(RuntimeError):  # the loop is closed: nobody waits there any more
-                loop.call_soon_threadsafe(_finish, of_loop, durable_sequence, error)
+            loop_waiters = [waiter for waiter in done if waiter.loop is loop]
+            with contextlib.suppress(RuntimeError):  # the loop is closed, and with it its waiters
+                loop.call_soon_threadsafe(_complete_futures, loop_waiters, durable_sequence, error)
 
 
-def _finish(waiters: list[CommitWaiter], durable_sequence: int, error: StoreError | None) -> None:
+def _complete_futures(waiters: list[CommitWaiter], durable_sequence: int, error: StoreError | None) -> None:
     for waiter in waiters:
         if waiter.future.done():
             continue
--- a/chutepin/store/compaction.py
+++ b/chutepin/store/compaction.py
@@ -1,4 +1,4 @@
-"""Compaction: copies the live records out of a segment that the plan chose, and drops segments."""
+"""Compaction: copies live records out of the segments that the plan chooses, and drops segments."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
 @dataclass(slots=True)
 class SegmentCompaction:
-    """The compaction of one segment, under way."""
+    """Progress of the compaction of one segment."""
 
     number: int
     file: File
     records: Iterator[Record]
     scan: SegmentScan
-    waiting: Record | None = None  # was read, but there is no space for its copy yet
+    pending_record: Record | None = None  # a record that was read but can't be copied before a segment is allocated
 
 
 class Compactor:
-    """Compacts one segment after the other, in steps. Used by one thread at a time."""
+    """Compacts segments one after another, in steps. Used by one thread at a time."""
 
     def __init__(
         self,
@@ -49,36 +49,36 @@
         self._allocator = allocator
         self._writer = writer
         self._current: SegmentCompaction | None = None
-        self.full_before = 0  # all segments numbered below this are to be emptied of dead records; 0: none
+        self.full_before = 0  # full compaction covers segments with numbers below this; 0 if none is requested
 
     @property
     def waits_for_segment(self) -> bool:
-        """Whether a record can't be copied before a segment is allocated."""
-        return self._current is not None and self._current.waiting is not None
+        """Whether the next record can't be copied until a segment is allocated."""
+        return self._current is not None and self._current.pending_record is not None
 
     def request_full(self) -> None:
-        """Ask for all records that are dead now to be left behind; steps do it."""
+        """Request the removal of all records that are dead now. Later steps perform it."""
         with self._context.lock:
             self._context.check_usable()
             self.full_before = self._manifest.next_segment
             self._context.note_activity()
 
     def step(self, budget: int) -> bool:
-        """Read about `budget` bytes of the current segment, or begin with the next; whether there was work."""
+        """Read about `budget` bytes of the current segment, or begin the next; return whether there was work."""
         if self._current is None:
             return self._begin_next()
         return self._continue(self._current, budget)
 
     def release(self) -> list[File]:
-        """Forget a compaction under way; its file, for the caller to close."""
+        """Abandon the current compaction and return its open file, which the caller closes."""
         current, self._current = self._current, None
         return [] if current is None else [current.file]
 
     def _begin_next(self) -> bool:
-        """Do what the plan says next."""
+        """Execute the next plan; return whether there was work."""
         context = self._context
         if self.full_before:
-            self._seal_active_if_dead()
+            self._seal_active_with_dead_records()
         with context.lock:
             log = context.log
             statistics = [_statistics(segment) for segment in log.segments.values()]
@@ -97,33 +97,33 @@
             return True
         return False
 
-    def _seal_active_if_dead(self) -> None:
+    def _seal_active_with_dead_records(self) -> None:
         """Include the active segment in a full compaction if it holds dead records."""
         with self._context.lock:
             log = self._context.log
             active = log.active
             if active is not None and active.dead_records and active.number < self.full_before and log.spares:
                 log.advance()
-        self._writer.flush()  # otherwise the plan would skip the segment, as it is not durable yet
+        self._writer.flush()  # otherwise the plan would skip the segment because it is not durable yet
 
     def _continue(self, current: SegmentCompaction, budget: int) -> bool:
         end = current.scan.end + budget
-        while current.waiting is not None or current.scan.end < end:
-            record = current.waiting or next(current.records, None)
-            current.waiting = None
+        while current.pending_record is not None or current.scan.end < end:
+            record = current.pending_record or next(current.records, None)
+            current.pending_record = None
             if record is None:
                 return self._finish(current)
             if self._context.log.queue.bytes > MAX_QUEUED_BYTES:
                 self._writer.flush()
             with self._context.lock:
                 if not self._copy_if_live(current, record):
-                    current.waiting = record
-            if current.waiting is not None:
+                    current.pending_record = record
+            if current.pending_record is not None:
                 return self._allocator.allocate_spare(for_compaction=True)
         return True
 
     def _copy_if_live(self, current: SegmentCompaction, record: Record) -> bool:
-        """Append a copy of a record that is live. False: there is no space before a segment is allocated."""
+        """Append a copy of the record if it is live. Return False if a segment has to be allocated first."""
         context = self._context
         log = context.log
         if record.kind is not RecordKind.PUT:
@@ -131,7 +131,7 @@
         if log.index.location_of(record.key) != (current.number, record.offset, record.size):
             return True
         if record.expires_ms <= context.now_ms():
-            log.index.forget(record.key)
+            log.index.remove_expired(record.key)
             return True
         if not log.fits_active_segment(record.size):
             if not log.spares:
@@ -142,7 +142,7 @@
         return True
 
     def _finish(self, current: SegmentCompaction) -> bool:
-        """The segment was read to its end: drop it, unless some of it could not be read."""
+        """End the compaction of a segment: drop it, unless part of it was unreadable."""
         complete = current.scan.sealed
         if not complete:
             self._context.damage_error(current.number, current.scan.end, str(current.scan.fault))
@@ -154,16 +154,16 @@
         return self._drop((current.number,))
 
     def _drop(self, numbers: tuple[int, ...]) -> bool:
-        """Remove segments from the log, first from the manifest, then from the disk; whether that was done."""
+        """Remove segments from the manifest and then from the disk; return False if the disk is full."""
         context = self._context
-        # What overruled their records, or is a copy of one, may not be durable yet. It has to be before they go: a
-        # power cut must not leave neither the old value nor the new one.
+        # The records that supersede or copy those of the dropped segments must be durable first. Otherwise a power cut
+        # could lose both the old and the new value of a key.
         self._writer.flush()
         dropped = set(numbers)
         try:
             self._manifest.replace([s for s in context.log.segments.values() if s.number not in dropped])
         except OSError as error:
-            self._allocator.give_up(error.strerror or str(error))
+            self._allocator.handle_full_disk(error.strerror or str(error))
             return False
         with context.lock:
             context.log.drop(dropped)
@@ -178,7 +178,7 @@
 
     def _remove_files(self, number: int) -> None:
         for name in (hint_name(number), segment_name(number)):
-            with contextlib.suppress(OSError):  # the next opening removes what is left
+            with contextlib.suppress(OSError):  # the next opening removes files that are left
                 self._context.file_system.remove(name)
 
 
--- a/chutepin/store/engine.py
+++ b/chutepin/store/engine.py
@@ -1,7 +1,7 @@
-"""An open store without a thread: every operation, and the work beside the writers step by step.
+"""The storage engine: all operations of an open store, and its background work in steps, without a thread of its own.
 
-Any thread may call any method, but `flush`, `step` and `settle` belong to one thread at a time. No method holds the
-lock while it writes. `Store` adds that thread; tests drive the steps themselves, one file operation at a time."""
+Methods are thread-safe, but only one thread at a time may call `flush`, `step` or `settle`. No method holds the lock
+while it writes. `Store` adds the writer thread; tests call the steps themselves to control each file operation."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from .codec import NEVER_MS, RecordKind, decode_record
 from .compaction import Compactor
 from .compaction_plan import COMPACTION_READ_BYTES
-from .context import Event, StoreContext, open_error
+from .context import EventReporter, StoreContext, open_error
 from .errors import CorruptDataError, StoreClosedError, StoreError
 from .file_system import FileSystem
 from .hint_files import HintFiles
@@ -33,9 +33,11 @@
 
 
 class Engine:
-    """One open store."""
+    """An open store without a writer thread."""
 
-    def __init__(self, file_system: FileSystem, limits: Limits, clock: Callable[[], float], event: Event) -> None:
+    def __init__(
+        self, file_system: FileSystem, limits: Limits, clock: Callable[[], float], event: EventReporter
+    ) -> None:
         self.context = StoreContext(file_system, limits, clock, event)
         self._files = SegmentFiles(self.context)
         self._manifest = ManifestFile(self.context)
@@ -47,8 +49,8 @@
         self._appender = RecordAppender(self.context)
 
     @classmethod
-    def open(cls, file_system: FileSystem, limits: Limits, clock: Callable[[], float], event: Event) -> Engine:
-        """Lock the directory and recover the store in it, or begin one. Raises any kind of StoreError."""
+    def open(cls, file_system: FileSystem, limits: Limits, clock: Callable[[], float], event: EventReporter) -> Engine:
+        """Lock the directory and recover its store, or create one. Raises StoreError or a subclass."""
         if limits.max_bytes < MIN_SEGMENTS * limits.segment_bytes:
             raise StoreError(f"max_bytes: less than {MIN_SEGMENTS} times segment_bytes")
         engine = cls(file_system, limits, clock, event)
@@ -66,42 +68,42 @@
         return engine
 
     def _recover(self) -> None:
-        found = StoreReader(self.context.file_system).read()
-        if found is None:
+        recovered = StoreReader(self.context.file_system).read()
+        if recovered is None:
             self._markers.create()
             self._manifest.replace([])
         else:
-            self._restore(found)
+            self._restore(recovered)
         self._writer.write_marker()
         self._markers.sync()
 
-    def _restore(self, found: RecoveredStore) -> None:
-        """Continue from what was read back, after making it durable."""
+    def _restore(self, recovered: RecoveredStore) -> None:
+        """Adopt the recovered state, and make its tail durable."""
         context = self.context
-        segment_bytes = found.manifest.segment_bytes
+        segment_bytes = recovered.manifest.segment_bytes
         if context.limits.max_bytes < MIN_SEGMENTS * segment_bytes:
             raise StoreError(
-                f"max_bytes: less than {MIN_SEGMENTS} times the {segment_bytes} bytes of a "
-                f"segment, with which {context.label} was laid out"
+                f"max_bytes: less than {MIN_SEGMENTS} times the segment size of {segment_bytes} bytes "
+                f"with which {context.label} was created"
             )
         context.limits = replace(context.limits, segment_bytes=segment_bytes)
-        context.set_log(found.log)
-        context.advance_clock(found.time_ms)
-        self._manifest.load(found.manifest)
-        found.log.durable_sequence = found.log.last_sequence
-        if found.tail is not None:
-            rewrite_tail(context, self._files, found, found.tail)
-        for name in found.unreferenced_files:
+        context.set_log(recovered.log)
+        context.advance_clock(recovered.time_ms)
+        self._manifest.load(recovered.manifest)
+        recovered.log.durable_sequence = recovered.log.last_sequence
+        if recovered.tail is not None:
+            rewrite_tail(context, self._files, recovered, recovered.tail)
+        for name in recovered.unreferenced_files:
             context.file_system.remove(name)
-        for number in found.segments_without_hint:
+        for number in recovered.segments_without_hint:
             context.counts["hints.rebuilt"] += 1
             context.report_event("store.hint_rebuilt", segment=number)
-            self._hints.write(found.log.segments[number])
+            self._hints.write(recovered.log.segments[number])
         self._hints.write_missing()
         self._markers.open()
 
     def close(self) -> None:
-        """Write what is queued, unless a write failed before, and unlock the directory."""
+        """Flush the queue, unless a write has failed, and unlock the directory."""
         if self.context.closed:
             return
         try:
@@ -139,7 +141,7 @@
         return self._appender.delete(key, waited)
 
     def get(self, key: bytes) -> bytes | None:
-        """The value, durable or not. Raises StoreDamagedError if it can't be read as it was written."""
+        """Return the value of a key, durable or not, or None. Raises StoreDamagedError if the record is unreadable."""
         context = self.context
         with context.lock:
             if context.closed:
@@ -157,7 +159,7 @@
         try:
             record = decode_record(self._files.get(number).read(offset, size), 0, offset)
             if isinstance(record, int) or record.key != key or record.kind is not RecordKind.PUT:
-                raise CorruptDataError(offset, "the record of another key, or none, is where the index led")
+                raise CorruptDataError(offset, "the record at the indexed location does not hold this key")
         except CorruptDataError as error:
             raise context.damage_error(number, error.offset, str(error)) from None
         except OSError as error:
@@ -165,12 +167,12 @@
         return record.value
 
     def contains(self, key: bytes) -> bool:
-        """Whether the key is there."""
+        """Return whether the key exists."""
         with self.context.lock:
             return self.log.index.find(key, self.context.now_ms()) is not None
 
     def keys(self) -> list[bytes]:
-        """All keys that are there."""
+        """Return all keys that have not expired."""
         with self.context.lock:
             return [key for key, _ in self.log.index.live_items(self.context.now_ms())]
 
@@ -180,14 +182,14 @@
             return len(self.log.index)
 
     def flush(self) -> int:
-        """Make everything that was appended durable; its bytes. Raises StoreFailedError, from then on always."""
+        """Write and sync all queued records; return their bytes. Raises StoreFailedError, also on all later calls."""
         return self._writer.flush()
 
     def step(self, budget: int = COMPACTION_READ_BYTES) -> bool:
-        """Do one piece of the work beside the writers; whether there was any.
+        """Perform one unit of background work; return whether there was any.
 
-        Forgets what expired, preallocates a segment, or compacts, reading about `budget` bytes. Raises
-        StoreFailedError."""
+        Removes expired keys, then preallocates a segment, updates the manifest or compacts, reading about `budget`
+        bytes. Raises StoreFailedError."""
         context = self.context
         with context.lock:
             context.check_usable()
@@ -204,37 +206,37 @@
         return worked
 
     def settle(self) -> None:
-        """Flush and step until there is nothing left to do."""
+        """Flush and step until no work is left."""
         while self.flush() or self.step():
             pass
 
     def compact(self) -> None:
-        """Ask for all records that are dead now to be left behind; steps do it."""
+        """Request the removal of all records that are dead now. Later steps perform it."""
         self._compactor.request_full()
 
     @property
     def log(self) -> SegmentedLog:
-        """The log, to be read under the context's lock."""
+        """The log. Accesses must hold the context's lock."""
         return self.context.log
 
     @property
     def counts(self) -> Counter[str]:
-        """Counters."""
+        """Event counters of the store."""
         return self.context.counts
 
     @property
     def is_compacting(self) -> bool:
-        """Whether a compaction that was asked for is not complete."""
+        """Whether a requested compaction is not complete."""
         return self._compactor.full_before != 0
 
     def next_expiry(self) -> float:
-        """When keys expire next, in Unix seconds; infinity if none do."""
+        """Return when keys expire next, in Unix seconds, or infinity."""
         with self.context.lock:
             due_ms = self.log.index.due_ms
         return math.inf if due_ms == NEVER_MS else due_ms / 1000
 
     def metrics(self) -> dict[str, int]:
-        """Sizes in bytes and counters, for an operator."""
+        """Return sizes in bytes and counters for the operator."""
         context = self.context
         with context.lock:
             log = context.log
--- a/chutepin/store/errors.py
+++ b/chutepin/store/errors.py
@@ -1,56 +1,56 @@
-"""Errors of the store. Each is a `StoreError`."""
+"""Exceptions of the store. All public ones derive from `StoreError`."""
 
 from __future__ import annotations
 
 
 class StoreError(Exception):
-    """Base class of all errors of a store."""
+    """Base class of the errors that a store raises."""
 
 
 class StoreFullError(StoreError):
-    """A put has no space: on the disk, within the store's size limit or within the index's memory limit.
+    """A put does not fit on the disk, into the store's size limit or into the index's memory limit.
 
-    Nothing was changed, and no live record was dropped. Space is freed as records expire or are deleted."""
+    The put changed nothing, and no live record was dropped. Space is freed as records expire or are deleted."""
 
 
 class StoreBusyError(StoreError):
-    """The write queue is full at the moment; `await store.room()` returns when it has space again."""
+    """The write queue is full; `await store.room()` returns when it has been flushed."""
 
 
 class StoreLockedError(StoreError):
-    """Another store, in this process or another one, has the directory open."""
+    """Another store object, in this or another process, has locked the directory."""
 
 
 class StoreClosedError(StoreError):
-    """The store was closed."""
+    """The store is closed."""
 
 
 class StoreFailedError(StoreError):
-    """A write or a sync failed.
+    """A write or an fsync failed.
 
-    Records that were not acknowledged before may be lost. Nothing is acknowledged until the store is opened again, as
-    the page cache may show what the disk does not hold."""
+    Records that were not yet acknowledged may be lost. The store acknowledges no write until it is reopened, because
+    the page cache may return data that is not on the disk."""
 
 
 class StoreDamagedError(StoreError):
-    """Something that was durable is not as it was written. `file`, `offset` (bytes) and `what` say where and how."""
+    """Durable data is missing or corrupt: at `offset` (bytes) of `file`, for `reason`."""
 
-    def __init__(self, directory: str, file: str, offset: int, what: str) -> None:
+    def __init__(self, directory: str, file: str, offset: int, reason: str) -> None:
         super().__init__(
-            f"{directory}/{file} at byte {offset}: {what}; "
+            f"{directory}/{file} at byte {offset}: {reason}; "
             f"`python -m chutepin store check {directory}` lists all damage, "
             f"`store repair` salvages what can be read into a new directory"
         )
         self.directory = directory
         self.file = file
         self.offset = offset
-        self.what = what
+        self.reason = reason
 
 
 class CorruptDataError(StoreError):
-    """Bytes are not as they were written, from `offset` in their file on. Internal: a caller sees what follows."""
+    """The bytes from `offset` of a file on fail validation. Internal: callers of the store get StoreDamagedError."""
 
-    def __init__(self, offset: int, what: str) -> None:
-        super().__init__(what)
+    def __init__(self, offset: int, reason: str) -> None:
+        super().__init__(reason)
         self.offset = offset
-        self.what = what
+        self.reason = reason
--- a/chutepin/store/expiry.py
+++ b/chutepin/store/expiry.py
@@ -1,4 +1,4 @@
-"""When keys expire, by buckets of about a second. No clock: times are arguments, in ms of Unix time."""
+"""Schedule of key expiries in buckets of about a second. No clock: times are arguments, in Unix ms."""
 
 from __future__ import annotations
 
@@ -8,46 +8,46 @@
 
 from .codec import EXPIRY_BUCKET_BITS, NEVER_MS
 
-MAX_STALE_ENTRIES = 4096  # tolerated besides twice as many entries as there are keys
+MAX_STALE_ENTRIES = 4096  # allowed in addition to two entries per key
 
 
 class DueKey(NamedTuple):
-    """A key whose bucket is over. It may have been deleted, or its expiry put off."""
+    """A key whose bucket has ended. It may have been deleted or given a later expiry since."""
 
     key: bytes
     bucket: int
 
 
 class ExpirySchedule:
-    """Keys by the bucket of their expiry.
+    """Keys grouped by expiry bucket.
 
-    A key that is deleted or gets a later expiry keeps its entry, which is found stale when its bucket is over."""
+    A key that is deleted or given a later expiry keeps its entry, which is detected as stale when its bucket ends."""
 
     def __init__(self) -> None:
-        self.due_ms = NEVER_MS  # end of the first bucket
+        self.due_ms = NEVER_MS  # end of the earliest bucket
         self._buckets: dict[int, list[bytes]] = {}
-        self._heap: list[int] = []  # of buckets
+        self._heap: list[int] = []  # bucket numbers
         self._entries = 0
 
     def add(self, key: bytes, expires_ms: int) -> None:
-        """Add a key."""
+        """Add a key with its expiry."""
         self.add_all([key], expires_ms >> EXPIRY_BUCKET_BITS)
 
     def add_all(self, keys: list[bytes], bucket: int) -> None:
-        """Add keys of one bucket. The list is taken over."""
+        """Add keys of one bucket. The schedule takes ownership of the list."""
         if not keys:
             return
-        known = self._buckets.get(bucket)
-        if known is None:
+        bucket_keys = self._buckets.get(bucket)
+        if bucket_keys is None:
             self._buckets[bucket] = keys
             heapq.heappush(self._heap, bucket)
             self._update_due()
         else:
-            known.extend(keys)
+            bucket_keys.extend(keys)
         self._entries += len(keys)
 
     def pop_due(self, now_ms: int) -> DueKey | None:
-        """Remove and return a key of a bucket that is over, if there is one."""
+        """Remove and return a key of a bucket that has ended, or None."""
         if self.due_ms > now_ms:
             return None
         bucket = self._heap[0]
@@ -61,17 +61,17 @@
         return DueKey(key, bucket)
 
     def keys_due_soon(self, now_ms: int) -> Sequence[bytes]:
-        """Keys of the bucket that `now_ms` lies in; they stay in the schedule."""
+        """Return the keys of the bucket that contains `now_ms`, without removing them."""
         return self._buckets.get(now_ms >> EXPIRY_BUCKET_BITS, ())
 
     def has_many_stale_entries(self, key_count: int) -> bool:
-        """Whether entries outnumber the keys so far that the schedule should be rebuilt.
+        """Return whether so many entries may be stale that the schedule should be rebuilt.
 
-        Guards memory against keys that are put and deleted again and again with late expiries."""
+        Bounds memory when keys with late expiries are put and deleted repeatedly."""
         return self._entries > 2 * key_count + MAX_STALE_ENTRIES
 
     def rebuild(self, expiries: Iterable[tuple[bytes, int]]) -> None:
-        """Replace all entries by these keys with their expiries."""
+        """Replace all entries with the given keys and expiries."""
         self._buckets = {}
         self._entries = 0
         for key, expires_ms in expiries:
--- a/chutepin/store/file_system.py
+++ b/chutepin/store/file_system.py
@@ -1,16 +1,16 @@
-"""The file system as the store sees it: an interface, and the operating system's directory behind it.
+"""The file system interface of the store, and its implementation over a directory of the operating system.
 
-The store assumes this of its files, and nothing more:
+The store makes only these assumptions about its files:
 
-1. `File.sync` returns only when everything written to this file before is durable. A failed sync promises nothing,
-   neither for the writes before it nor for those that a later sync covers.
-2. Until then any subset of the written bytes, in any order, may be durable: complete sectors, parts of sectors, none.
-3. Creating, renaming or removing a name is durable when `FileSystem.sync_names` has returned; until then each such
+1. `File.sync` returns only when all earlier writes to the file are durable. A failed sync guarantees nothing, neither
+   for earlier writes nor for writes covered by a later sync.
+2. Until the sync, any subset of the written bytes may be durable, in any order: whole sectors, partial sectors or none.
+3. Creating, renaming or removing a name is durable once `FileSystem.sync_names` has returned; until then each such
    change may be durable or not, independently of the others.
-4. `rename` is atomic: after a power cut the name leads to the old file or to the new one.
-5. Durable bytes stay as they are until they are written again.
+4. `rename` is atomic: after a power cut the name refers to the old file or to the new one.
+5. Durable bytes don't change until they are overwritten.
 
-Checksums check assumption 5. The tests model the others by a directory that loses what it may lose."""
+Checksums verify assumption 5. The tests model the others with a simulated directory that loses unsynced writes."""
 
 from __future__ import annotations
 
@@ -25,61 +25,61 @@
 from .errors import StoreLockedError
 
 LOCK_FILE = "LOCK"
-MAX_WRITE_BUFFERS = 1024  # in one system call (IOV_MAX)
+MAX_WRITE_BUFFERS = 1024  # per system call (IOV_MAX)
 
 
 class File(Protocol):
     """An open file."""
 
     def read(self, offset: int, length: int) -> bytes:
-        """Up to `length` bytes; fewer only at the end of the file."""
+        """Read up to `length` bytes; fewer only at the end of the file."""
 
     def write(self, offset: int, buffers: Sequence[bytes]) -> None:
-        """Write all buffers one after the other from `offset`. On OSError any part of them may have been written."""
+        """Write all buffers consecutively from `offset`. On OSError, any part of them may have been written."""
 
     def allocate(self, size: int) -> None:
-        """Preallocate an empty file: it has this size, reads as zeros, and writes inside it need no more space."""
+        """Extend an empty file to this size with zeros, so that writes within it need no more disk space."""
 
     def size(self) -> int:
-        """Size in bytes."""
+        """Return the size in bytes."""
 
     def sync(self) -> None:
         """Make all writes durable."""
 
     def close(self) -> None:
-        """Close the file, without a sync."""
+        """Close the file without syncing it."""
 
 
 class FileSystem(Protocol):
-    """The directory of one store. Errors of the system are OSError."""
+    """The directory of one store. Methods raise OSError."""
 
     @property
     def label(self) -> str:
-        """The directory, for messages."""
+        """The directory name for messages."""
 
     def lock(self, create: bool) -> None:
-        """Lock the directory, or raise StoreLockedError. `create`: make it if it is missing."""
+        """Lock the directory, creating it if `create` is set and it is missing. Raises StoreLockedError."""
 
     def unlock(self) -> None:
         """Release the lock."""
 
     def names(self) -> list[str]:
-        """Names of all files."""
+        """Return the names of all files."""
 
     def open(self, name: str) -> File:
         """Open an existing file."""
 
     def create(self, name: str) -> File:
-        """Create an empty file, replacing one of this name."""
+        """Create an empty file, replacing an existing one."""
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file, replacing one of the new name."""
+        """Rename a file atomically, replacing an existing one."""
 
     def remove(self, name: str) -> None:
         """Remove a file."""
 
     def sync_names(self) -> None:
-        """Make changes of names durable."""
+        """Make all created, renamed and removed names durable."""
 
 
 class LocalFile:
@@ -89,7 +89,7 @@
         self._descriptor = descriptor
 
     def read(self, offset: int, length: int) -> bytes:
-        """Up to `length` bytes."""
+        """Read up to `length` bytes; fewer only at the end of the file."""
         chunks = []
         while length > 0 and (chunk := os.pread(self._descriptor, length, offset)):
             chunks.append(chunk)
@@ -98,40 +98,40 @@
         return chunks[0] if len(chunks) == 1 else b"".join(chunks)
 
     def write(self, offset: int, buffers: Sequence[bytes]) -> None:
-        """Write all buffers; a short write is continued, one of no bytes is an error."""
+        """Write all buffers, continuing after short writes. A write of zero bytes raises OSError."""
         for first in range(0, len(buffers), MAX_WRITE_BUFFERS):
             remaining: Sequence[bytes | memoryview] = buffers[first : first + MAX_WRITE_BUFFERS]
             left = sum(map(len, remaining))
             while left:
                 written = os.pwritev(self._descriptor, remaining, offset)
                 if not written:
-                    raise OSError(errno.EIO, "the disk takes no bytes")
+                    raise OSError(errno.EIO, "the system wrote no bytes")
                 offset += written
                 left -= written
                 if left:
                     remaining = [memoryview(b"".join(remaining))[written:]]
 
     def allocate(self, size: int) -> None:
-        """Reserve blocks. Where the file system can't, the C library writes to each of them instead."""
+        """Allocate blocks. If the file system does not support that, the C library writes to each block instead."""
         os.posix_fallocate(self._descriptor, 0, size)
 
     def size(self) -> int:
-        """Bytes."""
+        """Return the size in bytes."""
         return os.fstat(self._descriptor).st_size
 
     def sync(self) -> None:
-        """Sync the data, and the metadata that reading it back needs."""
+        """Sync the data and the metadata needed to read it back."""
         os.fdatasync(self._descriptor)
 
     def close(self) -> None:
-        """Close the descriptor, once."""
+        """Close the descriptor. Later calls do nothing."""
         if self._descriptor >= 0:
             descriptor, self._descriptor = self._descriptor, -1
             os.close(descriptor)
 
 
 class LocalFileSystem:
-    """A directory of the operating system. Its lock is `flock`, which ends with the process, however that ends."""
+    """A directory of the operating system, locked with `flock`, which the system releases when the process ends."""
 
     def __init__(self, directory: str | Path) -> None:
         self._path = Path(directory)
@@ -139,11 +139,11 @@
 
     @property
     def label(self) -> str:
-        """The directory as it was given."""
+        """The path of the directory."""
         return str(self._path)
 
     def lock(self, create: bool) -> None:
-        """Lock the directory."""
+        """Lock the directory. Raises StoreLockedError."""
         if create and not self._path.is_dir():
             self._path.mkdir(parents=True, exist_ok=True)
             with contextlib.suppress(OSError):  # some file systems can't sync directories
@@ -165,18 +165,18 @@
             self._lock = -1
 
     def names(self) -> list[str]:
-        """Names of all files."""
+        """Return the names of all files, sorted."""
         return sorted(os.listdir(self._path))
 
     def open(self, name: str) -> LocalFile:
-        """Open for reading and writing; for reading only where the directory allows no more."""
+        """Open a file for reading and writing, or only for reading if permissions allow no more."""
         try:
             return LocalFile(os.open(self._path / name, os.O_RDWR | os.O_CLOEXEC))
         except PermissionError:
             return LocalFile(os.open(self._path / name, os.O_RDONLY | os.O_CLOEXEC))
 
     def create(self, name: str) -> LocalFile:
-        """Create or replace a file."""
+        """Create an empty file, replacing an existing one."""
         return LocalFile(os.open(self._path / name, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o640))
 
     def rename(self, old: str, new: str) -> None:
@@ -193,7 +193,7 @@
 
 
 def read_file(file_system: FileSystem, name: str) -> bytes:
-    """Read a small file completely."""
+    """Read an entire file."""
     file = file_system.open(name)
     try:
         return file.read(0, file.size())
--- a/chutepin/store/hint_files.py
+++ b/chutepin/store/hint_files.py
@@ -1,4 +1,4 @@
-"""Writes the hints of sealed segments."""
+"""Writes the hint files of sealed segments."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 
 
 class HintFiles:
-    """Hints of an open store.
+    """Writes the hint files of an open store.
 
-    They are not synced: a hint is checked whenever it is read, and the records are there without it."""
+    Hint files are not synced: a hint is validated when it is read, and recovery reads the records if it is invalid."""
 
     def __init__(self, context: StoreContext) -> None:
         self._context = context
-        self.never_written = True  # segments that were read back may lack their hints
+        self.never_written = True  # recovered segments may lack their hints
 
     def write_missing(self) -> None:
-        """Write the hint of each segment that is fully durable and has none."""
+        """Write the hint of each fully durable segment that has no hint file."""
         self.never_written = False
         segments = self._context.log.segments.values()
         for segment in [s for s in segments if s.hint is not None and s.fully_durable]:
             self.write(segment)
 
     def write(self, segment: Segment) -> None:
-        """Write a segment's hint. A failure is reported, and the next opening reads the records instead."""
+        """Write a segment's hint. A failure is only reported, as the next opening can read the records instead."""
         context = self._context
         assert segment.hint is not None
         data = segment.hint.encode(segment.number, segment.end, segment.record_count, segment.last_sequence)
--- a/chutepin/store/index.py
+++ b/chutepin/store/index.py
@@ -1,7 +1,7 @@
-"""The log index: the location of each key's live record, and what of each segment is live. No files, no clock.
+"""The index of the log: the location of each key's live record and the live bytes of each segment. No files, no clock.
 
-The log's order is the truth: the last record of a key is the live one. Times are Unix time in ms. Locations are packed
-as `codec.LOCATION`, which takes a third of the memory of a tuple."""
+The last record of a key in log order is its live record. Times are Unix time in ms. Locations are packed with
+`codec.LOCATION`, which takes a third of the memory of a tuple."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from .expiry import ExpirySchedule
 from .segment import Segment
 
-# Plain integers compare twice as fast as members of the enumeration.
+# Plain integers compare twice as fast as enum members.
 PUT = int(RecordKind.PUT)
 DELETE = int(RecordKind.DELETE)
 SEAL = int(RecordKind.SEAL)
-KEY_MEMORY_BYTES = 250  # of a key in the index besides its own length
+KEY_MEMORY_BYTES = 250  # estimated memory of an index entry, not counting the bytes of its key
 
 
 class RecordLocation(NamedTuple):
-    """Where a record lies, in bytes."""
+    """The location of a record; offset and size in bytes."""
 
     segment: int
     offset: int
@@ -28,20 +28,20 @@
 
 
 class AddedBytes(NamedTuple):
-    """What a put adds to the store; negative where it frees more than it adds."""
+    """The live bytes and index memory that a put adds; negative if the put frees more than it adds."""
 
     live: int
     memory: int
 
 
 class LogIndex:
-    """Live records of a store by key. Not thread-safe by itself."""
+    """Maps each key to its live record. Not thread-safe."""
 
     def __init__(self, segments: dict[int, Segment]) -> None:
         self.locations: dict[bytes, bytes] = {}
-        self.live_bytes = 0  # of all live records with their share of the hints
-        self.key_bytes = 0  # of all keys
-        self._segments = segments  # the log's, in its order
+        self.live_bytes = 0  # of all live records including their hint entries
+        self.key_bytes = 0  # total length of all keys
+        self._segments = segments  # the segments of the log, in log order
         self._schedule = ExpirySchedule()
 
     def __len__(self) -> int:
@@ -49,11 +49,11 @@
 
     @property
     def memory_bytes(self) -> int:
-        """Estimated memory of the index."""
+        """Estimated memory of the index, in bytes."""
         return self.key_bytes + KEY_MEMORY_BYTES * len(self.locations)
 
     def find(self, key: bytes, now_ms: int) -> RecordLocation | None:
-        """Location of a key's live record, unless it has expired."""
+        """Return the location of a key's live record, or None if there is none or it has expired."""
         location = self.locations.get(key)
         if location is None:
             return None
@@ -61,19 +61,19 @@
         return RecordLocation(segment, offset, size) if expires_ms > now_ms else None
 
     def location_of(self, key: bytes) -> RecordLocation | None:
-        """Location of a key's live record, expired or not."""
+        """Return the location of a key's live record, even if it has expired."""
         location = self.locations.get(key)
         return None if location is None else RecordLocation(*LOCATION.unpack(location)[1:])
 
     def live_items(self, now_ms: int) -> Iterator[tuple[bytes, RecordLocation]]:
-        """Each key that has not expired, with its location."""
+        """Iterate over all keys that have not expired, with their locations."""
         for key, location in self.locations.items():
             expires_ms, segment, offset, size = LOCATION.unpack(location)
             if expires_ms > now_ms:
                 yield key, RecordLocation(segment, offset, size)
 
     def added_bytes(self, key: bytes, size: int) -> AddedBytes:
-        """What a record of this size under this key adds."""
+        """Return what a put of this key with a record of this size would add."""
         old = self.locations.get(key)
         added = size + len(key) + HINT_ENTRY_BYTES
         if old is None:
@@ -81,7 +81,7 @@
         return AddedBytes(added - (LOCATION.unpack(old)[3] + len(key) + HINT_ENTRY_BYTES), 0)
 
     def apply(self, segment: Segment, kind: int, key: bytes, expires_ms: int, location: bytes, size: int) -> None:
-        """Take in the next record of the log: a put or a delete."""
+        """Apply the next record of the log, a put or a delete."""
         old = self.locations.get(key)
         if old is not None:
             old_expires_ms = self._supersede(key, old, segment.number)
@@ -106,7 +106,7 @@
                 self._rebuild_schedule()
 
     def apply_run(self, segment: Segment, run: HintRun) -> None:
-        """Take in the records of a run. One of new keys is taken in by a single step, which makes opening fast."""
+        """Apply the records of a run. A run of only new keys is added in one operation, which speeds up opening."""
         if run.kind == SEAL:
             return
         if run.kind == PUT:
@@ -122,7 +122,7 @@
     def count_new_keys(
         self, segment: Segment, keys: list[bytes], key_size: int, record_bytes: int, bucket: int
     ) -> None:
-        """Account for new keys of one length and expiry bucket that were entered into `locations`."""
+        """Update the statistics for new keys of one length and expiry bucket that were added to `locations`."""
         added = record_bytes + len(keys) * (key_size + HINT_ENTRY_BYTES)
         segment.live_bytes += added
         segment.live_records += len(keys)
@@ -132,7 +132,7 @@
             self._schedule.add_all(keys, bucket)
 
     def _supersede(self, key: bytes, location: bytes, by_segment: int) -> int:
-        """Make the record at a location dead, overruled by one in another or the same segment; its expiry."""
+        """Mark the record at a location dead, superseded by a record in `by_segment`, and return its expiry."""
         expires_ms, number, _, size = LOCATION.unpack(location)
         self._subtract_live(number, size + len(key) + HINT_ENTRY_BYTES)
         if number != by_segment:
@@ -146,11 +146,11 @@
 
     @property
     def due_ms(self) -> int:
-        """When keys expire next, at the latest: the end of an expiry bucket."""
+        """End of the earliest expiry bucket."""
         return self._schedule.due_ms
 
     def expire(self, now_ms: int, limit: int) -> bool:
-        """Forget at most `limit` keys of expiry buckets that are over; whether there are more."""
+        """Remove up to `limit` keys from expiry buckets that have ended; return whether more remain."""
         for _ in range(limit):
             due = self._schedule.pop_due(now_ms)
             if due is None:
@@ -159,16 +159,16 @@
         return self._schedule.due_ms <= now_ms
 
     def expire_all(self, now_ms: int) -> None:
-        """Forget every key that has expired, also in the bucket that is not over yet."""
+        """Remove all expired keys, including those in the current bucket."""
         while (due := self._schedule.pop_due(now_ms)) is not None:
             self._expire_key(due.key, now_ms, due.bucket)
         for key in self._schedule.keys_due_soon(now_ms):
             location = self.locations.get(key)
             if location is not None and LOCATION.unpack(location)[0] <= now_ms:
-                self.forget(key)
+                self.remove_expired(key)
 
-    def forget(self, key: bytes) -> None:
-        """Remove a key that has expired: unlike a delete, this leaves no record."""
+    def remove_expired(self, key: bytes) -> None:
+        """Remove an expired key from the index. Unlike a delete, this appends no tombstone."""
         _, segment, _, size = LOCATION.unpack(self.locations[key])
         self._subtract_live(segment, size + len(key) + HINT_ENTRY_BYTES)
         self.key_bytes -= len(key)
@@ -180,7 +180,7 @@
             return
         expires_ms = LOCATION.unpack(location)[0]
         if expires_ms <= now_ms:
-            self.forget(key)
+            self.remove_expired(key)
         elif expires_ms < NEVER_MS and expires_ms >> EXPIRY_BUCKET_BITS > bucket:
             self._schedule.add(key, expires_ms)
 
--- a/chutepin/store/inspection.py
+++ b/chutepin/store/inspection.py
@@ -1,4 +1,4 @@
-"""Inspects a store that nobody has open: damage, statistics, records. Writes nothing."""
+"""Inspects a closed store: damage, statistics and records. Writes nothing."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One thing that is not as it should be. With `loss`, opening or reading fails; the next opening repairs others."""
+    """A defect of a store. With `loss`, opening or reading fails; otherwise the next opening repairs it."""
 
     file: str
     offset: int
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class CheckResult:
-    """What a check found."""
+    """The result of a check: findings, and the numbers of checked segments, records and bytes."""
 
     findings: list[Finding] = field(default_factory=list)
     segments: int = 0
@@ -47,17 +47,17 @@
 
     @property
     def sound(self) -> bool:
-        """Whether nothing is lost."""
+        """Whether no finding is a loss."""
         return not any(finding.loss for finding in self.findings)
 
     def as_dict(self) -> dict[str, object]:
-        """For `--json`."""
+        """Return the result as a dictionary for `--json`."""
         return asdict(self) | {"sound": self.sound}
 
 
 @contextmanager
 def locked_directory(path: str | Path) -> Iterator[FileSystem]:
-    """A store's directory, locked while it is inspected. Raises StoreLockedError, or StoreError if there is none."""
+    """Lock a store's directory for inspection. Raises StoreLockedError, or StoreError if there is no store."""
     file_system = LocalFileSystem(path)
     try:
         file_system.lock(create=False)
@@ -73,7 +73,7 @@
 
 @contextmanager
 def opened(file_system: FileSystem, name: str) -> Iterator[File]:
-    """A file that is closed afterwards."""
+    """Open a file, and close it on exit."""
     file = file_system.open(name)
     try:
         yield file
@@ -82,14 +82,16 @@
 
 
 def check(file_system: FileSystem) -> CheckResult:
-    """Read every byte that matters, and list all damage, not only the first."""
+    """Validate the whole store and list all damage, not only the first."""
     result = CheckResult()
     names = set(file_system.names())
     manifest = _check_manifest(result, file_system, names)
     if manifest is None:
         return result
     if MARKER_FILE not in names or not decode_markers(read_file(file_system, MARKER_FILE)):
-        result.findings.append(Finding(MARKER_FILE, 0, "no sound watermark; the next opening writes one", loss=False))
+        result.findings.append(
+            Finding(MARKER_FILE, 0, "no valid durability marker; the next opening writes one", loss=False)
+        )
     for entry in manifest.segments:
         name = segment_name(entry.number)
         result.segments += 1
@@ -110,7 +112,7 @@
         return decode_manifest(read_file(file_system, MANIFEST_FILE))
     except FileNotFoundError:
         if any(name.endswith(".seg") for name in names):
-            result.findings.append(Finding(MANIFEST_FILE, 0, "missing, while segments are there"))
+            result.findings.append(Finding(MANIFEST_FILE, 0, "missing, but segments exist"))
     except CorruptDataError as error:
         result.findings.append(Finding(MANIFEST_FILE, error.offset, str(error)))
     return None
@@ -120,7 +122,7 @@
     name = segment_name(entry.number)
     size = file.size()
     if size != segment_bytes:
-        result.findings.append(Finding(name, size, f"{size} bytes, but laid out with {segment_bytes}"))
+        result.findings.append(Finding(name, size, f"{size} bytes, but created with {segment_bytes}"))
     try:
         check_segment_header(file.read(0, FIRST_RECORD_OFFSET), entry.number, segment_bytes)
     except CorruptDataError as error:
@@ -128,58 +130,63 @@
     for part in salvage(file, entry.end or size):
         if isinstance(part, Record):
             result.records += 1
-        elif entry.end:  # in another segment the check of the log decides whether it matters
-            result.findings.append(Finding(name, part.offset, f"{part.end - part.offset} bytes: {part.what}"))
+        elif entry.end:  # in an unsealed segment `_check_log` decides whether the range is a torn tail
+            result.findings.append(Finding(name, part.offset, f"{part.end - part.offset} bytes: {part.reason}"))
 
 
 def _check_hint(result: CheckResult, file_system: FileSystem, entry: SegmentEntry, names: set[str]) -> None:
     name = hint_name(entry.number)
     if name not in names:
-        result.findings.append(Finding(name, 0, "missing; the next opening writes it", loss=False))
+        result.findings.append(Finding(name, 0, "missing; the next opening rebuilds it", loss=False))
         return
     try:
         data = read_file(file_system, name)
         decode_hint(data, entry.number, entry.end, entry.record_count, entry.last_sequence)
     except CorruptDataError as error:
-        result.findings.append(Finding(name, 0, f"{error}; the next opening writes it anew", loss=False))
+        result.findings.append(Finding(name, 0, f"{error}; the next opening rebuilds it", loss=False))
 
 
 def _check_log(result: CheckResult, file_system: FileSystem) -> None:
-    """Check what only the files together show, such as a log that ends before the durability marker."""
+    """Check properties that span files, such as a log that ends before the durability marker."""
     try:
-        found = StoreReader(file_system).read(hints=False)
+        recovered = StoreReader(file_system).read(hints=False)
     except StoreDamagedError as error:
-        if not any(f.loss and f.file == error.file and f.offset == error.offset for f in result.findings):
-            result.findings.append(Finding(error.file, error.offset, error.what))
+        if not any(
+            finding.loss and finding.file == error.file and finding.offset == error.offset
+            for finding in result.findings
+        ):
+            result.findings.append(Finding(error.file, error.offset, error.reason))
         return
-    if found is not None and found.torn_bytes and found.tail is not None:
+    if recovered is not None and recovered.torn_bytes and recovered.tail is not None:
         result.findings.append(
             Finding(
-                segment_name(found.tail.number),
-                found.tail.end,
-                f"{found.torn_bytes} bytes of a batch that was never acknowledged; the next opening drops them",
+                segment_name(recovered.tail.number),
+                recovered.tail.end,
+                f"{recovered.torn_bytes} bytes of an unacknowledged batch; the next opening drops them",
                 loss=False,
             )
         )
 
 
 def statistics(file_system: FileSystem) -> dict[str, object]:
-    """Statistics of the store and of each segment, by the names of `store stat`. Raises StoreDamagedError."""
-    found = StoreReader(file_system).read()
-    if found is None:
+    """Return statistics of the store and its segments, under the names that `store stat` prints.
+
+    Raises StoreDamagedError."""
+    recovered = StoreReader(file_system).read()
+    if recovered is None:
         return {"keys": 0, "segments": []}
-    log = found.log
-    log.index.expire_all(found.time_ms)
+    log = recovered.log
+    log.index.expire_all(recovered.time_ms)
     return {
         "keys": len(log.index),
         "live_bytes": log.index.live_bytes,
         "disk_bytes": log.disk_bytes,
         "memory_bytes": log.index.memory_bytes,
         "segment_bytes": log.segment_bytes,
-        "generation": found.manifest.generation,
+        "generation": recovered.manifest.generation,
         "last_seq": log.last_sequence,
-        "torn_bytes": found.torn_bytes,
-        "hints_to_rebuild": len(found.segments_without_hint),
+        "torn_bytes": recovered.torn_bytes,
+        "hints_to_rebuild": len(recovered.segments_without_hint),
         "segments": [
             {
                 "number": segment.number,
@@ -196,15 +203,15 @@
 
 
 def dump(file_system: FileSystem, include_dead: bool = False) -> Iterator[Record]:
-    """The live records, or all of them with `include_dead`, in log order."""
-    found = StoreReader(file_system).read(hints=False)
-    if found is None:
+    """Iterate over the live records, or all records with `include_dead`, in log order."""
+    recovered = StoreReader(file_system).read(hints=False)
+    if recovered is None:
         return
-    for segment in found.log.segments.values():
+    for segment in recovered.log.segments.values():
         with opened(file_system, segment_name(segment.number)) as file:
-            for record in SegmentScan(file, found.log.segment_bytes):
+            for record in SegmentScan(file, recovered.log.segment_bytes):
                 location = (segment.number, record.offset, record.size)
-                is_latest = found.log.index.location_of(record.key) == location
-                is_live = record.kind is RecordKind.PUT and is_latest and record.expires_ms > found.time_ms
+                is_latest = recovered.log.index.location_of(record.key) == location
+                is_live = record.kind is RecordKind.PUT and is_latest and record.expires_ms > recovered.time_ms
                 if include_dead or is_live:
                     yield record
--- a/chutepin/store/log.py
+++ b/chutepin/store/log.py
@@ -1,4 +1,4 @@
-"""The log in memory: its segments, where the next record goes, and what waits to be written. No files, no clock."""
+"""The in-memory log: its segments, index and write queue. No files, no clock."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class SegmentedLog:
-    """Segments, index and write queue of one store. Not thread-safe by itself."""
+    """The segments, index and write queue of one store. Not thread-safe."""
 
     def __init__(self, segment_bytes: int) -> None:
         self.segment_bytes = segment_bytes
@@ -31,22 +31,22 @@
         self.segments: dict[int, Segment] = {}  # in log order
         self.index = LogIndex(self.segments)
         self.queue = WriteQueue()
-        self.active: Segment | None = None  # takes the next record
+        self.active: Segment | None = None  # the segment that records are appended to
         self.spares: deque[Segment] = deque()  # preallocated, durable and listed in the manifest; used in this order
-        self.last_sequence = 0  # of the last record appended
-        self.durable_sequence = 0  # everything up to this was synced
-        self._file_bytes = 0  # of all segments and of the hints of sealed ones
+        self.last_sequence = 0  # sequence number of the last appended record
+        self.durable_sequence = 0  # sequence number of the last synced record
+        self._file_bytes = 0  # of all segments and the hints of sealed segments
 
     @property
     def disk_bytes(self) -> int:
-        """Bytes of all segments and hints, including hints that are not written yet."""
+        """Bytes of all segments and hints, including hints not yet written."""
         active = self.active
         if active is None or active.hint is None:
             return self._file_bytes
         return self._file_bytes + active.hint.bytes
 
     def durability_marker(self, now_ms: int) -> DurabilityMarker:
-        """How far the log is durable."""
+        """Return the current watermark."""
         if self.active is None:
             return DurabilityMarker(self.durable_sequence, 0, 0, now_ms)
         return DurabilityMarker(self.durable_sequence, self.active.number, self.active.durable_end, now_ms)
@@ -57,16 +57,16 @@
         self._file_bytes += self.segment_bytes + segment.hint_bytes
 
     def set_hint_bytes(self, segment: Segment, size: int) -> None:
-        """Account for the size of a sealed segment's hint."""
+        """Set the hint size of a sealed segment."""
         self._file_bytes += size - segment.hint_bytes
         segment.hint_bytes = size
 
     def fits_active_segment(self, size: int) -> bool:
-        """Whether the active segment has space for a record of this size and the seal after it."""
+        """Return whether the active segment has space for a record of this size and a seal after it."""
         return self.active is not None and self.active.end + size + SEAL_RECORD_BYTES <= self.segment_bytes
 
     def advance(self) -> None:
-        """Seal the active segment, if there is one, and continue in the next spare segment."""
+        """Seal the active segment, if any, and make the next spare segment active."""
         if self.active is not None:
             self.append(SEAL, b"", b"", NEVER_MS)
             self.active.sealed = True
@@ -75,7 +75,7 @@
         self.active = self.spares.popleft()
 
     def drop(self, numbers: Iterable[int]) -> None:
-        """Remove segments. Nothing in them is live, and they shadow no segment that stays."""
+        """Remove segments that hold no live records and shadow no remaining segment."""
         dropped = set(numbers)
         for number in dropped:
             segment = self.segments.pop(number)
@@ -85,7 +85,7 @@
             segment.shadowed_segments -= dropped
 
     def append(self, kind: int, key: bytes, value: bytes, expires_ms: int) -> None:
-        """Append a record to the active segment. The caller has made sure that it fits."""
+        """Append a record to the active segment. The caller must ensure that it fits."""
         segment = self.active
         assert segment is not None and segment.hint is not None
         number = segment.number
@@ -109,9 +109,9 @@
             self.index.apply(segment, kind, key, expires_ms, location, size)
 
     def append_many(self, items: Sequence[tuple[bytes, bytes]], expires_ms: int) -> int:
-        """Append puts of new keys of one length, as many as fit into the active segment; how many.
+        """Append puts of new keys of one length until the active segment is full; return how many were appended.
 
-        Does once for all records what `append` does for each, which is three times as fast."""
+        Three times as fast as `append` for each record, because bookkeeping is done once per batch."""
         segment = self.active
         assert segment is not None and segment.hint is not None
         number = segment.number
--- a/chutepin/store/manifest_file.py
+++ b/chutepin/store/manifest_file.py
@@ -1,4 +1,4 @@
-"""The manifest of an open store: which segments make up the log."""
+"""Replaces the manifest of an open store, the list of the log's segments."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ManifestFile:
-    """The manifest that is in force, and the number of the next segment."""
+    """The current manifest, and the number of the next segment."""
 
     def __init__(self, context: StoreContext) -> None:
         self._context = context
@@ -23,15 +23,15 @@
         self.next_segment = 1
 
     def load(self, manifest: Manifest) -> None:
-        """Continue from a manifest that was read."""
+        """Adopt a manifest that recovery has read."""
         self._generation = manifest.generation
         self._entries = {entry.number: entry for entry in manifest.segments}
         self.next_segment = manifest.next_segment
 
     def replace(self, segments: list[Segment]) -> None:
-        """Replace the manifest durably.
+        """Replace the manifest durably with one that lists `segments`.
 
-        Raises OSError for a full disk, with the old manifest in force; StoreFailedError for any other error."""
+        Raises OSError if the disk is full, which leaves the old manifest in place; StoreFailedError otherwise."""
         context = self._context
         with context.lock:
             entries = [_entry(segment) for segment in segments]
@@ -58,16 +58,16 @@
         self._entries = {entry.number: entry for entry in entries}
 
     def list_sealed_segments(self) -> bool:
-        """State the end of every segment that is fully durable, so that opening reads its hint alone.
+        """Record the end of every fully durable segment, so that recovery can read its hint instead of its records.
 
-        Returns whether the manifest had to be replaced for that."""
+        Returns whether the manifest was replaced."""
         with self._context.lock:
             segments = list(self._context.log.segments.values())
             if not any(segment.fully_durable and not self._entries[segment.number].end for segment in segments):
                 return False
         try:
             self.replace(segments)
-        except OSError:  # a full disk; the old manifest is as valid as before
+        except OSError:  # the disk is full; the old manifest remains valid
             return False
         return True
 
--- a/chutepin/store/marker_file.py
+++ b/chutepin/store/marker_file.py
@@ -1,4 +1,4 @@
-"""The file of durability markers, from which the next opening learns how far the log was acknowledged."""
+"""The file of durability markers, from which recovery reads how far the log was acknowledged."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 
 class DurabilityMarkerFile:
-    """Two markers, written in turn.
+    """A file of two durability markers, written alternately.
 
-    A marker is written after the log was synced and is not synced itself: it survives the end of the process, and
-    mostly a power cut. It never states more than what is durable."""
+    A marker is written after the log has been synced and is not synced itself: it survives the end of the process and
+    usually a power cut. It never exceeds the durable end of the log."""
 
     def __init__(self, file_system: FileSystem) -> None:
         self._file_system = file_system
         self._file: File | None = None
-        self._turn = 0
+        self._slot = 0
 
     def create(self) -> None:
-        """Create an empty file, durably."""
+        """Create the file without markers, durably."""
         self._file = self._file_system.create(MARKER_FILE)
         self._file.write(0, [bytes(MARKER_FILE_BYTES)])
         self._file.sync()
         self._file_system.sync_names()
 
     def open(self) -> None:
-        """Open the file, or create it anew if it is missing or has another size."""
+        """Open the file, or recreate it if it is missing or has the wrong size."""
         if MARKER_FILE not in self._file_system.names():
             self.create()
             return
@@ -38,8 +38,8 @@
     def write(self, marker: DurabilityMarker) -> None:
         """Replace the older of the two markers."""
         assert self._file is not None
-        self._turn ^= 1
-        self._file.write(MARKER_OFFSETS[self._turn], [encode_marker(marker)])
+        self._slot ^= 1
+        self._file.write(MARKER_OFFSETS[self._slot], [encode_marker(marker)])
 
     def sync(self) -> None:
         """Make the markers durable."""
@@ -47,6 +47,6 @@
         self._file.sync()
 
     def release(self) -> list[File]:
-        """Forget the file; it, if it is open, for the caller to close."""
+        """Detach the open file, if any, and return it for the caller to close."""
         file, self._file = self._file, None
         return [] if file is None else [file]
--- a/chutepin/store/repair.py
+++ b/chutepin/store/repair.py
@@ -1,4 +1,4 @@
-"""Repairs a damaged store that nobody has open: salvages what can be read into a new one."""
+"""Repairs a closed, damaged store by salvaging its readable records into a new store."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 
 @dataclass(slots=True)
 class RepairResult:
-    """What a repair kept and what it could not."""
+    """The result of a repair: keys kept, and ranges and records that could not be read."""
 
     kept: int = 0  # keys
     read: int = 0  # records
     expired: int = 0
     gaps: list[Finding] = field(default_factory=list)
-    missing: int = 0  # records that are known to have existed and can't be read, whatever they were
+    missing: int = 0  # records known to have existed that can't be read
 
     def as_dict(self) -> dict[str, object]:
-        """For `--json`."""
+        """Return the result as a dictionary for `--json`."""
         return asdict(self)
 
 
 def repair(file_system: FileSystem, into: str | Path, now: Callable[[], float], max_bytes: int) -> RepairResult:
-    """Salvage everything that can be read into a new store at `into`, which must not hold one yet.
+    """Salvage all readable records into a new store at `into`, which must be empty.
 
-    A record that can't be read may have been the last of its key, perhaps a delete: then an older value comes back.
-    That is why a store never does this by itself, and why every unreadable range is listed."""
+    An unreadable record may have been the latest of its key, possibly a delete, in which case an older value is
+    restored. A store therefore never repairs itself, and every unreadable range is listed."""
     if Path(into).exists() and any(Path(into).iterdir()):
         raise StoreError(f"{into}: not empty; repair writes into a new directory")
     result = RepairResult()
@@ -58,23 +58,23 @@
 @dataclass(frozen=True, slots=True)
 class _SegmentToRead:
     name: str
-    record_count: int | None  # if the manifest states it
+    record_count: int | None  # None if the manifest does not state it
 
 
 def _segments_to_read(result: RepairResult, file_system: FileSystem) -> list[_SegmentToRead]:
-    """The segments of the log, in its order; all that exist if the manifest can't be read."""
+    """Return the segments of the log in log order, or all existing ones if the manifest is unreadable."""
     existing = sorted(name for name in file_system.names() if name.endswith(".seg"))
     try:
         manifest = decode_manifest(read_file(file_system, MANIFEST_FILE))
     except (CorruptDataError, FileNotFoundError) as error:
-        result.gaps.append(Finding(MANIFEST_FILE, 0, f"{error}; every segment that is there is read"))
+        result.gaps.append(Finding(MANIFEST_FILE, 0, f"{error}; all existing segments are read"))
         return [_SegmentToRead(name, None) for name in existing]
     listed = {segment_name(entry.number): entry for entry in manifest.segments}
     result.gaps += [Finding(name, 0, "missing") for name in sorted(set(listed) - set(existing))]
     return [
         _SegmentToRead(name, listed[name].record_count if listed[name].end else None)
         for name in existing
-        if name in listed  # the others had left the log
+        if name in listed  # the others are no longer part of the log
     ]
 
 
@@ -85,7 +85,7 @@
     with opened(file_system, segment.name) as file:
         for part in salvage(file, file.size()):
             if isinstance(part, UnreadableRange):
-                description = f"{part.end - part.offset} bytes: {part.what}"
+                description = f"{part.end - part.offset} bytes: {part.reason}"
                 result.gaps.append(Finding(segment.name, part.offset, description))
                 continue
             sequences.append(part.sequence)
@@ -93,6 +93,6 @@
                 latest[part.key] = part
     result.read += len(sequences)
     expected = segment.record_count
-    if expected is None:  # sequence numbers have no gap inside a segment, but its last records may be missing
+    if expected is None:  # sequence numbers have no gaps within a segment, but its last records may be missing
         expected = sequences[-1] - sequences[0] + 1 if sequences else 0
     result.missing += expected - len(sequences)
--- a/chutepin/store/salvage.py
+++ b/chutepin/store/salvage.py
@@ -1,4 +1,4 @@
-"""Finds every readable record of a segment, also after places that can't be read."""
+"""Finds all valid records of a segment, including those after corrupt ranges."""
 
 from __future__ import annotations
 
@@ -10,53 +10,53 @@
 from .file_system import File
 
 _MAGIC = MAGIC.to_bytes(2, "little")
-_MAGIC_OFFSET = 4  # in a record
+_MAGIC_OFFSET = 4  # offset of the magic within a record
 
 
 @dataclass(frozen=True, slots=True)
 class UnreadableRange:
-    """Bytes that hold no record that can be read."""
+    """A range of a segment that contains no valid record."""
 
     offset: int
     end: int
-    what: str
+    reason: str
 
 
 def salvage(file: File, end: int) -> Iterator[Record | UnreadableRange]:
-    """All readable records of a segment up to `end`, and the unreadable ranges between them.
+    """Iterate over the valid records of a segment up to `end` and the unreadable ranges between them.
 
-    After a place that can't be read, the next valid record is searched for byte by byte. Zeros up to the end are not
-    an unreadable range."""
+    After a corrupt record, the next valid one is found by searching for the magic. Zeros up to the end of the segment
+    are not reported as an unreadable range."""
     data = file.read(FIRST_RECORD_OFFSET, max(0, end - FIRST_RECORD_OFFSET))
-    at = 0
+    position = 0
     unreadable_from = -1
     reason = ""
-    while at < len(data):
+    while position < len(data):
         record: Record | int | None = None
         try:
-            record = decode_record(data, at, FIRST_RECORD_OFFSET)
+            record = decode_record(data, position, FIRST_RECORD_OFFSET)
         except CorruptDataError as error:
             reason = reason or str(error)
         if isinstance(record, Record):
             if unreadable_from >= 0:
-                yield UnreadableRange(FIRST_RECORD_OFFSET + unreadable_from, FIRST_RECORD_OFFSET + at, reason)
+                yield UnreadableRange(FIRST_RECORD_OFFSET + unreadable_from, FIRST_RECORD_OFFSET + position, reason)
                 unreadable_from = -1
                 reason = ""
             yield record
             if record.kind is RecordKind.SEAL:
                 return
-            at += record.size
+            position += record.size
             continue
         if unreadable_from < 0:
-            if not data[at:].strip(b"\0"):
+            if not data[position:].strip(b"\0"):
                 return
-            unreadable_from = at
-            reason = reason or "a record is cut"
-        next_magic = data.find(_MAGIC, at + _MAGIC_OFFSET + 1)
+            unreadable_from = position
+            reason = reason or "truncated record"
+        next_magic = data.find(_MAGIC, position + _MAGIC_OFFSET + 1)
         if next_magic < 0:
             break
-        at = next_magic - _MAGIC_OFFSET
+        position = next_magic - _MAGIC_OFFSET
     if unreadable_from >= 0:
-        used = len(data[unreadable_from:].rstrip(b"\0"))
+        used_bytes = len(data[unreadable_from:].rstrip(b"\0"))
         begin = FIRST_RECORD_OFFSET + unreadable_from
-        yield UnreadableRange(begin, begin + used, reason)
+        yield UnreadableRange(begin, begin + used_bytes, reason)
--- a/chutepin/store/segment.py
+++ b/chutepin/store/segment.py
@@ -1,4 +1,4 @@
-"""A segment of the log, as it is known in memory, and a batch of records that is to be written to one."""
+"""In-memory state of a segment, and a batch of records to be written to one."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 @dataclass(slots=True)
 class Segment:
-    """A segment of the log. Offsets and sizes in bytes."""
+    """In-memory state of a segment of the log. Offsets and sizes in bytes."""
 
     number: int
-    end: int = FIRST_RECORD_OFFSET  # offset of the next record, or the end of the sealed segment
-    live_bytes: int = 0  # of live records, with their share of the hint
+    end: int = FIRST_RECORD_OFFSET  # offset at which the next record is appended; after sealing, the end of the seal
+    live_bytes: int = 0  # of live records including their hint entries
     live_records: int = 0
     record_count: int = 0  # including the seal
-    last_sequence: int = 0  # of the last record
-    sealed: bool = False  # nothing more is appended
-    durable_end: int = FIRST_RECORD_OFFSET  # everything below was synced
+    last_sequence: int = 0  # sequence number of the last record
+    sealed: bool = False  # ends with a seal record; takes no more records
+    durable_end: int = FIRST_RECORD_OFFSET  # all bytes below this offset have been synced
     hint_bytes: int = 0
-    hint: HintWriter | None = None  # until the hint is written
-    # Older segments that hold records which a record here overrules. While one of them exists this segment must too:
-    # without it, what was deleted, replaced or expired would come back.
+    hint: HintWriter | None = None  # set until the hint file is written
+    # Older segments that hold records superseded by records here. This segment is kept while any of them exists:
+    # without it, recovery would restore deleted, replaced or expired values.
     shadowed_segments: set[int] = field(default_factory=set)
-    damaged: bool = False  # a read failed: compaction keeps the segment, for `repair`
+    damaged: bool = False  # a read failed; compaction keeps the segment so that `repair` can salvage it
 
     @property
     def data_bytes(self) -> int:
-        """Bytes of its records and their hint."""
+        """Bytes of the records and the hint."""
         hint_bytes = self.hint_bytes
         if not hint_bytes and self.hint is not None:
             hint_bytes = self.hint.bytes
@@ -36,18 +36,18 @@
 
     @property
     def fully_durable(self) -> bool:
-        """Whether it is sealed and synced up to its end."""
+        """Whether the segment is sealed and synced up to its end."""
         return self.sealed and self.durable_end == self.end
 
     @property
     def dead_records(self) -> int:
-        """Records that are no longer live, without the seal."""
+        """Number of records that are no longer live, not counting the seal."""
         return self.record_count - self.live_records - self.sealed
 
 
 @dataclass(slots=True)
 class WriteBatch:
-    """Consecutive records of one segment that are to be written."""
+    """Consecutive records of one segment that are queued for writing."""
 
     segment: int
     offset: int
@@ -55,10 +55,10 @@
 
     @property
     def size(self) -> int:
-        """Bytes."""
+        """Total size in bytes."""
         return sum(map(len, self.buffers))
 
 
 def record_size(key: bytes, value: bytes) -> int:
-    """Bytes of a record in its segment."""
+    """Return the encoded size of a record in bytes."""
     return RECORD_HEADER_BYTES + len(key) + len(value)
--- a/chutepin/store/segment_files.py
+++ b/chutepin/store/segment_files.py
@@ -1,4 +1,4 @@
-"""Open files of segments, in bounded number."""
+"""A bounded cache of open segment files."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class SegmentFiles:
-    """Segment files that are kept open, least recently used first."""
+    """An LRU cache of open segment files."""
 
     def __init__(self, context: StoreContext) -> None:
         self._context = context
         self._files: OrderedDict[int, File] = OrderedDict()
 
     def get(self, number: int) -> File:
-        """The segment's file, opened if it is not open."""
+        """Return the segment's file, opening it if necessary."""
         with self._context.lock:
             file = self._files.get(number)
             if file is None:
@@ -32,21 +32,21 @@
             return file
 
     def add(self, number: int, file: File) -> None:
-        """Keep the open file of a new segment."""
+        """Add the open file of a new segment."""
         self._files[number] = file
 
     def remove(self, numbers: Iterable[int]) -> list[File]:
-        """Forget these segments; their files, for the caller to close."""
+        """Remove segments from the cache and return their open files, which the caller closes."""
         return [self._files.pop(number) for number in numbers if number in self._files]
 
     def remove_all(self) -> list[File]:
-        """Forget all segments; their files, for the caller to close."""
+        """Remove all segments from the cache and return their open files, which the caller closes."""
         files = list(self._files.values())
         self._files.clear()
         return files
 
     def _close_oldest(self, keep: int) -> None:
-        """Close the least recently used file, but none that the writing thread may be using outside the lock."""
+        """Close the least recently used file of a durable segment. The writer may use the others outside the lock."""
         segments = self._context.log.segments
         for number in self._files:
             if number != keep and segments[number].fully_durable:
@@ -55,7 +55,7 @@
 
 
 def close_quietly(files: Iterable[File]) -> None:
-    """Close files whose contents no longer matter to the caller."""
+    """Close files and ignore errors."""
     for file in files:
         with contextlib.suppress(OSError):
             file.close()
--- a/chutepin/store/store.py
+++ b/chutepin/store/store.py
@@ -1,8 +1,8 @@
-"""The store as its users see it: an engine, and the one thread that writes for it.
+"""The public interface of the store: an engine with a writer thread.
 
-Any thread may call any method. A caller's thread waits for the disk only in `put`, `put_many` and `delete` while the
-write queue is full, in `commit`, `compact` and `close`, and in a `get` of what the page cache does not hold. On an
-event loop use `offer`, `withdraw`, `room` and `committed`."""
+All methods are thread-safe. A call blocks on the disk only in `put`, `put_many` and `delete` while the write queue is
+full, in `commit`, `compact` and `close`, and in a `get` of data that is not in the page cache. On an event loop use
+`offer`, `withdraw`, `room` and `committed`."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from ..clock import Clock
 from ..logs import Log
-from .context import Event
+from .context import EventReporter
 from .engine import Engine
 from .errors import StoreBusyError, StoreClosedError, StoreError
 from .file_system import FileSystem, LocalFileSystem
@@ -23,17 +23,17 @@
 DEFAULT_MAX_BYTES = 256 * 2**20
 DEFAULT_MAX_MEMORY_BYTES = 64 * 2**20
 MAX_DEFAULT_SEGMENT_BYTES = 8 * 2**20
-DEFAULT_SEGMENTS = 32  # of which max_bytes consists, unless the segments would be larger than that
+DEFAULT_SEGMENTS = 32  # max_bytes / segment_bytes, unless the segments would exceed MAX_DEFAULT_SEGMENT_BYTES
 MIN_SEGMENT_BYTES = 512
 SEGMENT_BYTES_LIMIT = 2**31  # offsets in a segment are 32-bit integers
 DEFAULT_SYNC_INTERVAL_S = 0.005
 
 
 class Store:
-    """Keys with values and expiries that survive the end of the process and a power cut.
+    """A key-value store with expiries, durable across process ends and power cuts.
 
-    What was acknowledged, by `commit` or `committed`, is there after any restart, or opening fails with a message.
-    What was not acknowledged may be there or not. Values are visible to `get` as soon as they are put."""
+    Writes acknowledged by `commit` or `committed` are present after any restart, or else opening fails with an error.
+    Unacknowledged writes may be present or not. Values are visible to `get` as soon as they are put."""
 
     def __init__(self, engine: Engine, sync_interval_s: float) -> None:
         self._engine = engine
@@ -49,23 +49,23 @@
         max_memory: int = DEFAULT_MAX_MEMORY_BYTES,
         sync_every: float = DEFAULT_SYNC_INTERVAL_S,
         clock: Callable[[], float] = time.time,
-        event: Event | None = None,
+        event: EventReporter | None = None,
         files: FileSystem | None = None,
     ) -> Store:
-        """Open a store, or begin one if the directory holds none.
+        """Open a store, or create one if the directory holds none.
 
-        Sizes are bytes: of one segment (at most an eighth of `max_bytes`; a store keeps its first one), of all files,
-        and of the index in memory. A record must fit into a segment. `sync_every` is the time in seconds after which
-        a put is made durable without a commit. `clock` returns Unix seconds. `event(name, **fields)` takes what an
-        operator should see; by default it goes to the log.
+        Sizes are in bytes: `segment_bytes` of one segment (at most an eighth of `max_bytes`; an existing store keeps
+        its segment size), `max_bytes` of all files, `max_memory` of the index. A record must fit into a segment. A put
+        is synced without a commit after `sync_every` seconds. `clock` returns Unix seconds. `event(name, **fields)`
+        receives events for the operator; the default writes them to the log.
 
-        Raises StoreDamagedError, StoreLockedError, or StoreError for what the system or the arguments do not allow."""
+        Raises StoreDamagedError, StoreLockedError, or StoreError for system errors and invalid arguments."""
         wanted = segment_bytes or min(MAX_DEFAULT_SEGMENT_BYTES, max_bytes // DEFAULT_SEGMENTS)
         size = min(wanted, max_bytes // MIN_SEGMENTS)
         if not MIN_SEGMENT_BYTES <= size < SEGMENT_BYTES_LIMIT:
             raise StoreError(
-                f"segment_bytes: {size}; from {MIN_SEGMENT_BYTES} to {SEGMENT_BYTES_LIMIT - 1}, "
-                f"and an eighth of max_bytes"
+                f"segment_bytes: {size}; must be from {MIN_SEGMENT_BYTES} to {SEGMENT_BYTES_LIMIT - 1}, "
+                f"and at most an eighth of max_bytes"
             )
         engine = Engine.open(
             files or LocalFileSystem(directory),
@@ -84,19 +84,19 @@
         self.close()
 
     def put(self, key: bytes, value: bytes, expires: float) -> None:
-        """Keep a value until `expires` (Unix seconds; `math.inf`: for good), in place of the key's present one.
+        """Set the value of a key until `expires` (Unix seconds; `math.inf` for no expiry).
 
-        Waits while the write queue is full. Raises StoreFullError, and then nothing has changed; StoreFailedError
+        Waits while the write queue is full. Raises StoreFullError, in which case nothing has changed; StoreFailedError
         after a failed write; StoreClosedError."""
         if not self._engine.put(key, value, expires):
             self._thread.wait_for_space(lambda: self._engine.put(key, value, expires, waited=True))
         self._thread.schedule_flush()
 
     def put_many(self, items: Sequence[tuple[bytes, bytes]], expires: float) -> None:
-        """Put many keys and values with one expiry, several times as fast as one by one.
+        """Put many keys and values with one expiry, several times as fast as separate calls of `put`.
 
-        Raises StoreFullError, and then nothing has changed, if there is no space for all of them. They become durable
-        one by one, as with as many calls of `put`."""
+        Raises StoreFullError, in which case nothing has changed, if there is no space for all of them. The batch is not
+        atomic: records become durable one by one, as with separate calls of `put`."""
         done = self._engine.put_many(items, expires)
         while done < len(items):
             rest = items[done:]
@@ -108,70 +108,70 @@
         self._thread.schedule_flush()
 
     def offer(self, key: bytes, value: bytes, expires: float) -> None:
-        """As `put`, but raises StoreBusyError instead of waiting."""
+        """Put as `put` does, but raise StoreBusyError instead of waiting."""
         if not self._engine.put(key, value, expires):
             self._thread.wake()
             raise self._busy_error()
         self._thread.schedule_flush()
 
     def withdraw(self, key: bytes) -> None:
-        """As `delete`, but raises StoreBusyError instead of waiting."""
+        """Delete as `delete` does, but raise StoreBusyError instead of waiting."""
         if not self._engine.delete(key):
             self._thread.wake()
             raise self._busy_error()
         self._thread.schedule_flush()
 
     def delete(self, key: bytes) -> None:
-        """Remove a key; nothing happens if it is not there.
+        """Delete a key if it exists.
 
-        As `put`, but never StoreFullError because of what is live."""
+        Waits and raises as `put`, except that the limits on live bytes and memory never refuse a delete."""
         if not self._engine.delete(key):
             self._thread.wait_for_space(lambda: self._engine.delete(key, waited=True))
         self._thread.schedule_flush()
 
     def get(self, key: bytes) -> bytes | None:
-        """The value, or None. Raises StoreDamagedError if it can't be read as it was written."""
+        """Return the value of a key, or None. Raises StoreDamagedError if the record is unreadable."""
         return self._engine.get(key)
 
     def items(self) -> Iterator[tuple[bytes, bytes]]:
-        """All keys that were there at the call and still are, with their values, in no particular order."""
+        """Iterate over the keys that existed at the call and still exist, with their values, in no particular order."""
         for key in self._engine.keys():
             value = self._engine.get(key)
             if value is not None:
                 yield key, value
 
     def __len__(self) -> int:
-        """Number of keys that have not expired. Takes time for each key that expired lately."""
+        """Return the number of keys that have not expired. Takes time proportional to the recently expired keys."""
         return len(self._engine)
 
     def __contains__(self, key: bytes) -> bool:
         return self._engine.contains(key)
 
     def metrics(self) -> dict[str, int]:
-        """Sizes in bytes and counters, for an operator."""
+        """Return sizes in bytes and counters for the operator."""
         return self._engine.metrics()
 
     def commit(self) -> None:
-        """Wait until everything this thread has put and deleted is durable. Raises StoreFailedError if it won't be."""
+        """Wait until all puts and deletes of this thread are durable. Raises StoreFailedError if a write failed."""
         self._thread.commit()
 
     async def committed(self) -> None:
-        """As `commit`, for an event loop."""
+        """Wait as `commit` does, on an event loop."""
         await self._thread.committed()
 
     async def room(self) -> None:
-        """Wait until everything appended so far is durable, so that `offer` finds space. Raises as `commit`."""
+        """Wait until the write queue has been flushed, so that `offer` finds space. Raises as `commit`."""
         await self._thread.committed()
 
     def compact(self) -> None:
-        """Leave behind all records that are dead now.
+        """Remove all records that are dead now, and wait until that is done.
 
-        Raises StoreDamagedError if something can't be read, StoreFullError if there is no space to copy to,
+        Raises StoreDamagedError if a segment is unreadable, StoreFullError if there is no space for copies,
         StoreFailedError."""
         self._thread.compact()
 
     def close(self) -> None:
-        """Make everything durable, end the thread and unlock the directory. Raises StoreFailedError if that fails."""
+        """Flush the queue, stop the thread and unlock the directory. Raises StoreFailedError if a write fails."""
         self._thread.stop()
         try:
             self._engine.close()
@@ -180,4 +180,4 @@
 
     def _busy_error(self) -> StoreBusyError:
         queued_bytes = self._engine.log.queue.bytes
-        return StoreBusyError(f"{self._engine.context.label}: {queued_bytes} bytes wait for the disk")
+        return StoreBusyError(f"{self._engine.context.label}: {queued_bytes} bytes are queued for the disk")
--- a/chutepin/store/writer.py
+++ b/chutepin/store/writer.py
@@ -1,4 +1,4 @@
-"""Group commit: writes and syncs everything that was appended to the log since the last time."""
+"""Group commit: writes and syncs all records appended to the log since the last flush."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class GroupCommitWriter:
-    """Makes the log durable. Used by one thread at a time."""
+    """Writes and syncs the queued records. Used by one thread at a time."""
 
     def __init__(
         self, context: StoreContext, files: SegmentFiles, hints: HintFiles, markers: DurabilityMarkerFile
@@ -21,7 +21,7 @@
         self._markers = markers
 
     def flush(self) -> int:
-        """Write and sync all queued records; their bytes. Raises StoreFailedError, from then on always."""
+        """Write and sync all queued records; return their bytes. Raises StoreFailedError, also on all later calls."""
         context = self._context
         log = context.log
         with context.lock:
@@ -45,7 +45,7 @@
         return written
 
     def write_marker(self) -> None:
-        """Write how far the log is durable."""
+        """Write the current watermark to the marker file."""
         context = self._context
         with context.lock:
             marker = context.log.durability_marker(context.now_ms())
@@ -55,7 +55,7 @@
         file = self._files.get(batch.segment)
         size = batch.size
         file.write(batch.offset, batch.buffers)
-        # Synced before the next segment is touched: a record there proves that this segment is complete.
+        # Sync before writing to the next segment: recovery takes a record there as proof that this segment is complete.
         file.sync()
         with self._context.lock:
             self._context.log.segments[batch.segment].durable_end = batch.offset + size
--- a/tests/test_store_engine.py
+++ b/tests/test_store_engine.py
@@ -52,7 +52,7 @@
 def test_full_store_keeps_live_records_and_accepts_deletes() -> None:
     world = World()
     world.start()
-    with pytest.raises(StoreFullError, match="bytes are remembered"):
+    with pytest.raises(StoreFullError, match="live bytes are in use"):
         for index in range(1000):
             world.put(b"%d" % index, b"v" * 100)
     count = len(world.states) - 1
--- a/tests/test_store_recovery.py
+++ b/tests/test_store_recovery.py
@@ -179,7 +179,7 @@
     files = world.files.copy()
     files.seen["ACKED"].seen[:] = bytes(8192)  # as if no durability marker had reached the disk
     files.seen[f"{active.number:010d}.seg"].seen[64 + 40] ^= 1  # in the first record
-    with pytest.raises(StoreDamagedError, match="a later record proves it had been durable"):
+    with pytest.raises(StoreDamagedError, match="a later record proves that it had been durable"):
         World(files).start()
 
 
