--- a/chutepin/admission/__init__.py
+++ b/chutepin/admission/__init__.py
@@ -1,11 +1,11 @@
 """Connection admission: rate limits, caps, a reserve for trusted clients, and eviction.
 
-New connections are judged by address and by block of addresses; where the table or the process's file descriptors
-are full, the least useful connection makes room.
+Rules apply to the address of a new connection and to its address block. If the connection table or the process's file
+descriptors are exhausted, the least valuable connection is evicted.
 
-`table.ConnectionTable` decides and `descriptor_budget.DescriptorBudget` divides the descriptors, both without I/O;
-`acceptor.Acceptor` accepts. The package knows nothing of what is sent on a connection. `docs/admission.md` has the
-design, `docs/operators/admission.md` the settings."""
+`table.ConnectionTable` applies the rules and `descriptor_budget.DescriptorBudget` divides the descriptors, both without
+I/O; `acceptor.Acceptor` accepts connections. The package is independent of the protocol on a connection.
+`docs/admission.md` describes the design, `docs/operators/admission.md` the settings."""
 
 from .acceptor import MAX_CLOSING, AcceptDecision, Acceptor, AddressSharing
 from .deadlines import Deadlines
--- a/chutepin/admission/acceptor.py
+++ b/chutepin/admission/acceptor.py
@@ -1,9 +1,9 @@
-"""Accepts connections under rules, also when there is no file descriptor for them.
+"""Accepts connections under admission rules, even if no file descriptor is free.
 
-In place of `asyncio.start_server`, which accepts up to a hundred connections before any rule is asked, and pauses for
-a second when descriptors run out. Here a few are accepted in one iteration of the event loop, and each is judged before
-anything is allocated for it. One spare descriptor is kept: given up for a moment, it lets a new connection be rejected
-in order instead of waiting in the backlog."""
+`asyncio.start_server` accepts up to a hundred connections before a rule can apply, and pauses for a second when
+descriptors run out. `Acceptor` accepts a few connections per iteration of the event loop, and applies the rules to each
+before allocating anything for it. It holds one spare descriptor, which it releases to accept and reject a connection
+that would otherwise wait in the backlog."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 from ..logs import Log
 from .addresses import pack_address
 
-# In one iteration of the loop. It takes some four iterations until a connection is known to be dead or sends data, so
-# up to four times as many places of the table are taken by connections that were just accepted.
+# Per iteration of the event loop. Detecting that a connection is dead, or receiving its first data, takes about four
+# iterations, so newly accepted connections occupy up to four times as many places of the table.
 MAX_ACCEPTS_PER_ITERATION = 8
-# Connections that may be closing, dropped and evicted ones, while no descriptor is free. They come out of the budget's
-# margin: more would take what others have reserved there.
+# Limit on dropped and evicted connections that are not closed yet while no descriptor is free. Their descriptors come
+# from the budget's margin: more of them would use descriptors reserved for other parts.
 MAX_CLOSING = 2
-BACKLOG = 4096  # the system caps it; a burst that overflows it waits a second until its SYN is sent again
-RETRY_DELAY_S = 0.05  # after which accepting is tried again if nothing announces that it would work
-FAREWELL_READ_BYTES = 4096
+BACKLOG = 4096  # capped by the system; clients whose SYN is dropped on overflow retransmit it after a second
+RETRY_DELAY_S = 0.05  # accepting is retried after this delay if no freed descriptor resumes it earlier
+REJECT_READ_BYTES = 4096
 _NO_DESCRIPTOR = (errno.EMFILE, errno.ENFILE)
 _NO_MEMORY = (errno.ENOBUFS, errno.ENOMEM)
-# The peer or its network is gone: accept(2) passes on errors of the new socket. The next connection may work.
+# accept(2) reports pending network errors of the new socket: its peer is gone, but the next connection may succeed.
 _PEER_DISCONNECTED = (
     errno.ECONNABORTED,
     errno.EPROTO,
@@ -49,39 +49,40 @@
 
 
 class AcceptDecision(Enum):
-    """What is done with a new connection."""
+    """What to do with a new connection."""
 
     SERVE = 1
-    REJECT = 2  # rejected: the farewell is sent, and it is closed in order
-    # It is closed without a farewell a few iterations later. Its first request has arrived by then and is unread, so
-    # the system resets the connection, and an honest peer sends the request again elsewhere. After an immediate reset
-    # the peer would consider the node dead; after a farewell and a close in order it would count the request as lost.
+    REJECT = 2  # send the rejection message, then close the connection gracefully
+    # Close the connection without a message a few iterations later. By then its first request has arrived and is
+    # unread, so the system resets the connection, and a well-behaved client retries the request on another node. After
+    # an immediate reset the client would consider the node dead; after a message and a graceful close it would count
+    # the request as lost.
     DROP = 3
 
 
 class AddressSharing(Enum):
-    """Whether others may listen on the same address."""
+    """Whether another process may listen on the same address."""
 
     NONE = 1
-    LATER = 2  # nobody does now; another process of this node may later
-    BESIDE = 3  # another process of this node does now
+    LATER = 2  # no other process listens now; another process of this node may later
+    BESIDE = 3  # another process of this node listens now
 
 
 class ConnectionHandler(Protocol):
-    """Decides about new connections and serves them."""
+    """Decides on new connections and serves the admitted ones."""
 
     def decide(self, address: bytes, short: bool) -> AcceptDecision:
-        """What is done with a new connection from this address.
+        """Decide on a new connection from this address.
 
-        With `short` the process has only the spare descriptor left: then only a trusted connection is served, for which
-        another is evicted."""
+        `short` means that only the spare descriptor is left: then only a trusted client's connection is served, and
+        another connection is evicted for it."""
 
     def serve(self, sock: socket.socket, address: bytes) -> None:
-        """Take an admitted connection over."""
+        """Take over an admitted connection."""
 
 
 class _Endpoint(NamedTuple):
-    """Parameters of a listening socket, and the address it is bound to."""
+    """The parameters of a listening socket and its bind address."""
 
     family: socket.AddressFamily
     kind: socket.SocketKind
@@ -90,42 +91,42 @@
 
 
 async def _resolve(host: str, port: int) -> list[_Endpoint]:
-    """The endpoints of a host, each once. Raises OSError.
+    """Return the distinct endpoints of a host. Raises OSError.
 
-    Only a name is resolved in a thread: a numeric address needs no wait, and a start on a busy machine should not
-    depend on the scheduling of a second thread."""
+    Only a host name is resolved in a thread. A numeric address needs no blocking look-up, so that startup on a busy
+    machine does not depend on the scheduling of a second thread."""
     flags = socket.AI_PASSIVE | socket.AI_NUMERICHOST
     try:
-        found = socket.getaddrinfo(host, port, type=socket.SOCK_STREAM, flags=flags)
+        results = socket.getaddrinfo(host, port, type=socket.SOCK_STREAM, flags=flags)
     except socket.gaierror:
         loop = asyncio.get_running_loop()
-        found = await loop.getaddrinfo(host, port, type=socket.SOCK_STREAM, flags=socket.AI_PASSIVE)
-    endpoints = [_Endpoint(family, kind, protocol, address) for family, kind, protocol, _, address in found]
+        results = await loop.getaddrinfo(host, port, type=socket.SOCK_STREAM, flags=socket.AI_PASSIVE)
+    endpoints = [_Endpoint(family, kind, protocol, address) for family, kind, protocol, _, address in results]
     return list(dict.fromkeys(endpoints))
 
 
 class Acceptor:
-    """One listening address."""
+    """Accepts connections on the sockets of one listening address."""
 
     def __init__(
         self,
         handler: ConnectionHandler,
-        farewell: bytes,
+        rejection_message: bytes,
         counters: Counters,
         log: Log,
         has_descriptor: Callable[[int], bool] = lambda dropped: dropped < MAX_CLOSING,
     ) -> None:
-        """`has_descriptor(dropped)`: whether to accept one more connection while so many dropped ones are open."""
+        """`has_descriptor(dropped)`: whether to accept another connection while `dropped` dropped ones are open."""
         self._handler = handler
-        self._farewell = farewell
+        self._rejection_message = rejection_message
         self._counters = counters
         self._log = log
         self._has_descriptor = has_descriptor
         self._sockets: list[socket.socket] = []
         self._spare = -1
-        self._dropped = 0  # connections that were dropped and are not closed yet
-        self._halted = False
-        self._retry: asyncio.TimerHandle | None = None  # accepting is paused until then
+        self._dropped = 0  # dropped connections that are not closed yet
+        self._paused = False
+        self._retry_timer: asyncio.TimerHandle | None = None  # set while accepting is paused
 
     async def listen(self, host: str, port: int, share: AddressSharing = AddressSharing.NONE) -> None:
         """Listen on all addresses of a host. Raises OSError."""
@@ -137,7 +138,7 @@
                 sock.setblocking(False)
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                 if share is AddressSharing.LATER:
-                    # With SO_REUSEPORT the address would be shared with an unrelated process: bind without it first.
+                    # SO_REUSEPORT would share the address with an unrelated process: first check by a bind without it.
                     with socket.socket(family, kind, protocol) as probe:
                         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                         probe.bind(address)
@@ -154,7 +155,7 @@
         self._add_readers()
 
     def adopt(self, sockets: list[socket.socket]) -> None:
-        """Listen on sockets of another process of this node too."""
+        """Also accept on listening sockets received from another process of this node."""
         for sock in sockets:
             sock.setblocking(False)
             self._sockets.append(sock)
@@ -164,21 +165,21 @@
 
     @property
     def sockets(self) -> list[socket.socket]:
-        """The listening sockets, for a successor process."""
+        """The listening sockets, to be passed to a successor process."""
         return list(self._sockets)
 
     def pause(self) -> None:
-        """Accept no more, but keep the sockets: another process accepts what waits in their backlog."""
-        self._halted = True
-        if self._retry is not None:
-            self._retry.cancel()
-            self._retry = None
+        """Stop accepting, but keep the sockets open, so that another process can accept from their backlog."""
+        self._paused = True
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
+            self._retry_timer = None
         for sock in self._sockets:
             asyncio.get_running_loop().remove_reader(sock)
 
     def resume(self) -> None:
-        """Accept again."""
-        self._halted = False
+        """Resume accepting after `pause`."""
+        self._paused = False
         self._add_readers()
 
     @property
@@ -187,18 +188,18 @@
         return int(self._sockets[0].getsockname()[1])
 
     def accept_backlog(self) -> None:
-        """Accept everything in the backlog: closing the listening socket would reset it, with the data it has sent."""
-        for listener in self._sockets if not self._halted else ():
-            with contextlib.suppress(OSError):  # the backlog is empty, or no descriptor is left
+        """Accept all connections in the backlog, which closing the listening sockets would reset, losing their data."""
+        for listener in self._sockets if not self._paused else ():
+            with contextlib.suppress(OSError):  # the backlog is empty or no descriptor is free
                 for _ in range(BACKLOG):
                     sock, address = listener.accept()
                     self._handle_accepted(sock, pack_address(str(address[0])), short=False)
 
     def close(self) -> None:
-        """Stop listening."""
-        if self._retry is not None:
-            self._retry.cancel()
-            self._retry = None
+        """Close the listening sockets and the spare descriptor."""
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
+            self._retry_timer = None
         for sock in self._sockets:
             with contextlib.suppress(RuntimeError, ValueError):
                 asyncio.get_running_loop().remove_reader(sock)
@@ -209,32 +210,32 @@
             self._spare = -1
 
     def descriptor_freed(self) -> None:
-        """A descriptor was freed: resume accepting if it is paused."""
+        """Resume accepting if it is paused, as a descriptor was freed."""
         if self._spare < 0 and self._sockets:
             self._open_spare()
-        if self._retry is not None:
-            self._retry.cancel()
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
             self._resume()
 
     def _add_readers(self) -> None:
-        if self._halted:
+        if self._paused:
             return
         loop = asyncio.get_running_loop()
         for sock in self._sockets:
-            loop.add_reader(sock, self._accept_some, sock)
+            loop.add_reader(sock, self._accept_batch, sock)
 
     def _pause_briefly(self, counter: str = "admission.rests") -> None:
-        """Stop accepting for a while, so that the loop does not spin on a backlog that can't be accepted."""
-        if self._retry is not None:
+        """Pause accepting for `RETRY_DELAY_S`, so that the event loop does not spin on a backlog it can't accept."""
+        if self._retry_timer is not None:
             return
         self._counters.add(counter)
         loop = asyncio.get_running_loop()
         for sock in self._sockets:
             loop.remove_reader(sock)
-        self._retry = loop.call_at(loop.time() + RETRY_DELAY_S, self._resume)
+        self._retry_timer = loop.call_at(loop.time() + RETRY_DELAY_S, self._resume)
 
     def _resume(self) -> None:
-        self._retry = None
+        self._retry_timer = None
         if self._spare < 0:
             self._open_spare()
         self._add_readers()
@@ -243,7 +244,7 @@
         with contextlib.suppress(OSError):
             self._spare = os.open(os.devnull, os.O_RDONLY | os.O_CLOEXEC)
 
-    def _accept_some(self, listener: socket.socket) -> None:
+    def _accept_batch(self, listener: socket.socket) -> None:
         for _ in range(MAX_ACCEPTS_PER_ITERATION):
             if not self._has_descriptor(self._dropped):
                 self._pause_briefly("admission.waits")
@@ -257,11 +258,11 @@
                     return
                 continue
             self._handle_accepted(sock, pack_address(str(address[0])), short=False)
-            if self._retry is not None:
+            if self._retry_timer is not None:
                 return
 
     def _handle_accept_error(self, listener: socket.socket, error: OSError) -> bool:
-        """Whether to go on with the next connection after an error of accept."""
+        """Handle an error of accept(2); return whether to continue with the next connection."""
         if error.errno in _PEER_DISCONNECTED:
             self._counters.add("admission.aborted")
             return True
@@ -275,7 +276,7 @@
         return False
 
     def _accept_with_spare(self, listener: socket.socket) -> bool:
-        """Accept one connection with the spare descriptor; whether to go on."""
+        """Accept one connection with the spare descriptor; return whether to continue with the next."""
         self._counters.add("admission.no_descriptor")
         if self._spare < 0:
             self._pause_briefly()
@@ -284,7 +285,7 @@
         self._spare = -1
         try:
             sock, address = listener.accept()
-        except OSError:  # another part took the descriptor, or the peer has disconnected
+        except OSError:  # another part of the process took the descriptor, or the peer disconnected
             self._open_spare()
             return self._spare >= 0
         self._handle_accepted(sock, pack_address(str(address[0])), short=True)
@@ -301,7 +302,7 @@
         else:
             self._dropped += 1
             loop = asyncio.get_running_loop()
-            # Three iterations later: by then the first request of an honest peer has arrived.
+            # Close three iterations later, when the first request of a well-behaved client has arrived.
             loop.call_soon(loop.call_soon, loop.call_soon, self._close_dropped, sock)
 
     def _close_dropped(self, sock: socket.socket) -> None:
@@ -310,9 +311,9 @@
         self.descriptor_freed()
 
     def reject(self, sock: socket.socket) -> None:
-        """Send the farewell and close, after reading what was received: unread data would cause a reset."""
+        """Send the rejection message, read received data, and close. Unread data would cause a reset."""
         with contextlib.suppress(OSError):
-            sock.send(self._farewell)
+            sock.send(self._rejection_message)
             sock.shutdown(socket.SHUT_WR)
-            sock.recv(FAREWELL_READ_BYTES)
+            sock.recv(REJECT_READ_BYTES)
         sock.close()
--- a/chutepin/admission/addresses.py
+++ b/chutepin/admission/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses as packed bytes, the block of addresses that each belongs to, and sets of networks. Pure."""
+"""Packed addresses, their address blocks, and sets of networks. No I/O."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 import socket
 from collections.abc import Iterable
 
-LOCAL = b""  # the address of a peer that has none, such as one on a Unix socket
+LOCAL = b""  # stands for a peer without an IP address, such as on a Unix socket
 _MAPPED = bytes(10) + b"\xff\xff"  # prefix of an IPv4 address mapped into IPv6
 
 
 def pack_address(text: str) -> bytes:
-    """The 4 or 16 bytes of an address in the system's notation. An IPv4 address mapped into IPv6 becomes IPv4."""
+    """Return the 4 or 16 bytes of an address in text form. An IPv4-mapped IPv6 address is returned as IPv4."""
     text = text.partition("%")[0]
     try:
         packed = socket.inet_pton(socket.AF_INET6 if ":" in text else socket.AF_INET, text)
@@ -21,7 +21,7 @@
 
 
 def format_address(address: bytes) -> str:
-    """The usual notation of an address."""
+    """Return the text form of a packed address."""
     return str(ipaddress.ip_address(address)) if address else "local"
 
 
@@ -36,7 +36,7 @@
 
 
 def format_block(block: bytes, v4: int, v6: int) -> str:
-    """The usual notation of a block."""
+    """Return the text form of a block, as a network prefix."""
     if not block or not block[0]:
         return "local"
     size = block[0]
@@ -45,7 +45,7 @@
 
 
 class Networks:
-    """A set of networks. A look-up takes one step for each prefix length in it, 162 at most."""
+    """A set of networks. A look-up takes one step per distinct prefix length, at most 162."""
 
     def __init__(self, networks: Iterable[str] = ()) -> None:
         self._by_length: dict[tuple[int, int], set[bytes]] = {}
--- a/chutepin/admission/deadlines.py
+++ b/chutepin/admission/deadlines.py
@@ -1,8 +1,8 @@
-"""Deadlines of many keys, at a cost that does not grow with their slot: a timing wheel. Pure.
+"""Deadlines of many keys in a timing wheel. No clock: times are arguments.
 
-Time is divided into slots; setting, moving and cancelling a deadline are one step each, and looking for what is due
-touches nothing else. A deadline is due at the end of its slot, never early. After Varghese and Lauck (1987), scheme 4,
-with a dictionary and a heap of the slots in use in place of a fixed ring."""
+Time is divided into slots. Setting, moving and cancelling a deadline take constant time, and collecting due keys visits
+only those that are due. A deadline is due at the end of its slot, never early. After Varghese and Lauck (1987), scheme
+4, with a dictionary and a heap of the used slots instead of a fixed ring."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 
 class Deadlines:
-    """One deadline for each key."""
+    """A timing wheel with one deadline per key."""
 
     def __init__(self, slot_s: float = SLOT_S) -> None:
         self._slot_s = slot_s
         self._slots: dict[int, set[int]] = {}
-        self._heap: list[int] = []  # of slots
+        self._heap: list[int] = []  # numbers of the used slots
         self._slot_of: dict[int, int] = {}
 
     def __len__(self) -> int:
         return len(self._slot_of)
 
     def set(self, key: int, at: float) -> None:
-        """Set a key's deadline, in place of its present one. An infinite one is none."""
+        """Set or replace a key's deadline. An infinite deadline removes it."""
         slot = math.ceil(at / self._slot_s) if at < math.inf else None
         if self._slot_of.get(key) == slot:
             return
--- a/chutepin/admission/descriptor_budget.py
+++ b/chutepin/admission/descriptor_budget.py
@@ -1,47 +1,49 @@
-"""The budget of file descriptors: how many each part of the process may hold, so that none takes what another needs.
+"""Budget of file descriptors, which guarantees each part of the process its reserved share.
 
-Pure: it counts what it is told, and compares that with what the process is found to hold."""
+No I/O: the parts report the descriptors they open and close; `reconcile` compares the sum with the actual number."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MARGIN_DESCRIPTORS = 4  # never granted: whatever opens a file for a moment finds one
+MARGIN_DESCRIPTORS = 4  # never granted, so that code outside the budget can open a file briefly
 
 
 @dataclass(slots=True)
 class DescriptorShare:
-    """The share of one part of the process."""
+    """The descriptor share of one part of the process."""
 
-    reserved: int  # its own, whether it uses them or not
+    reserved: int  # guaranteed to the part, whether used or not
     maximum: int
     in_use: int = 0
-    refused: int = 0  # times that none was granted
+    refused: int = 0  # number of refused requests
 
 
 class DescriptorBudget:
-    """`limit` descriptors of the process, shared out over its parts."""
+    """Divides `limit` descriptors among the parts of the process."""
 
     def __init__(self, limit: int, parts: dict[str, tuple[int, int]], in_use: int = 0) -> None:
-        """`parts`: a name to (reserved, maximum). `in_use`: what the process has open before any part begins."""
+        """`parts` maps names to (reserved, maximum). `in_use` is the number of descriptors already open."""
         self.limit = limit
-        self.parts = {name: DescriptorShare(reserved, max(reserved, most)) for name, (reserved, most) in parts.items()}
-        self.unattributed = in_use  # open, but held by no part that is known here
+        self.parts = {
+            name: DescriptorShare(reserved, max(reserved, maximum)) for name, (reserved, maximum) in parts.items()
+        }
+        self.unattributed = in_use  # open descriptors that no part accounts for
 
     @property
     def in_use(self) -> int:
-        """Descriptors that the parts hold."""
+        """Number of descriptors held by all parts."""
         return sum(part.in_use for part in self.parts.values())
 
     def available(self, name: str) -> int:
-        """How many more a part may open now: neither past its own maximum nor into what others have reserved."""
+        """Return how many more descriptors a part may open without exceeding its maximum or using others' reserves."""
         part = self.parts[name]
         reserved = sum(max(0, other.reserved - other.in_use) for key, other in self.parts.items() if key != name)
-        left = self.limit - MARGIN_DESCRIPTORS - self.unattributed - self.in_use - reserved
-        return max(0, min(part.maximum - part.in_use, left))
+        unreserved = self.limit - MARGIN_DESCRIPTORS - self.unattributed - self.in_use - reserved
+        return max(0, min(part.maximum - part.in_use, unreserved))
 
     def acquire(self, name: str) -> bool:
-        """A part opens a descriptor; false if it may not."""
+        """Count a descriptor that a part is about to open; return False if the budget refuses it."""
         part = self.parts[name]
         if self.available(name) < 1:
             part.refused += 1
@@ -50,20 +52,20 @@
         return True
 
     def release(self, name: str) -> None:
-        """A part has closed a descriptor."""
+        """Count a descriptor that a part has closed."""
         part = self.parts[name]
         assert part.in_use > 0, name
         part.in_use -= 1
 
-    def reconcile(self, really: int) -> int:
-        """Compare with the number that the process really holds; what no part accounts for is nobody's to grant.
+    def reconcile(self, open_descriptors: int) -> int:
+        """Compare with the number of open descriptors of the process, and deduct unattributed ones from the budget.
 
-        Returns by how many the parts together claim more than there are, which should be none."""
-        self.unattributed = max(0, really - self.in_use)
-        return max(0, self.in_use - really)
+        Returns by how many the sum over the parts exceeds the actual number, which should be 0."""
+        self.unattributed = max(0, open_descriptors - self.in_use)
+        return max(0, self.in_use - open_descriptors)
 
     def metrics(self) -> dict[str, int]:
-        """Counters for an operator. The names are those of the log."""
+        """Return the counters for the operator, under their names in the log."""
         metrics = {"limit": self.limit, "other": self.unattributed}
         for name, part in self.parts.items():
             metrics |= {f"{name}.held": part.in_use, f"{name}.refused": part.refused}
--- a/chutepin/admission/eviction.py
+++ b/chutepin/admission/eviction.py
@@ -1,4 +1,4 @@
-"""Which connection is evicted for a new one. Pure."""
+"""Selects the connection to evict for a new one. No I/O."""
 
 from __future__ import annotations
 
@@ -8,47 +8,47 @@
 
 from .trust import ClientTrust, ConnectionUsage
 
-SETTLED_S = 0.5  # since a connection was opened or received a message; a request may be on its way before
-SPARE_QUEUE_ENTRIES = 64  # stale entries tolerated besides as many as there are connections
+SETTLED_S = 0.5  # minimum time since opening or the last message; before that a request may be in transit
+MAX_STALE_QUEUE_ENTRIES = 64  # allowed in addition to two entries per connection
 
 
 @dataclass(slots=True)
 class TrackedConnection:
-    """A connection in the table."""
+    """The state of a connection in the table."""
 
     key: int
     address: bytes
     block: bytes
     trust: ClientTrust
     usage: ConnectionUsage
-    last_active: float  # when it was opened or received its last message
-    busy: bool = False  # it has an open request
+    last_active: float  # time of opening or of the last received message
+    busy: bool = False  # has an open request
 
 
 class EvictionQueues:
-    """Idle connections by trust and usage, each queue in order of the last activity.
+    """Queues of idle connections by trust and usage, each ordered by last activity.
 
-    A queue keeps entries of connections that have changed since; they are recognised as stale by the connection
-    itself and dropped when they come to the front. Every step takes O(log n) time, amortised."""
+    Entries of connections that have changed since become stale. They are detected by comparison with the connection and
+    removed when they reach the front. Each operation takes O(log n) amortised time."""
 
     def __init__(self, connections: dict[int, TrackedConnection]) -> None:
-        self._connections = connections  # the table's
+        self._connections = connections  # the connections of the table, by key
         self._queues: dict[tuple[ClientTrust, ConnectionUsage], list[tuple[float, int]]] = {
             (trust, usage): [] for trust in ClientTrust for usage in ConnectionUsage
         }
 
     def add(self, connection: TrackedConnection) -> None:
-        """A connection became idle, or an idle one changed."""
+        """Add a connection that became idle, or an idle one that changed."""
         queue = self._queues[connection.trust, connection.usage]
         heapq.heappush(queue, (connection.last_active, connection.key))
-        # Guards memory where no connection is ever evicted.
-        if len(queue) > 2 * len(self._connections) + SPARE_QUEUE_ENTRIES:
+        # Bounds memory if no connection is ever evicted.
+        if len(queue) > 2 * len(self._connections) + MAX_STALE_QUEUE_ENTRIES:
             queue[:] = sorted(
                 {entry for entry in queue if self._is_current(connection.trust, connection.usage, *entry)}
             )
 
-    def first(self, now: float, max_trust: ClientTrust, usages: Iterable[ConnectionUsage]) -> int | None:
-        """The connection to evict first, among those of at most this trust and of these usages."""
+    def first_evictable(self, now: float, max_trust: ClientTrust, usages: Iterable[ConnectionUsage]) -> int | None:
+        """Return the first connection to evict of at most this trust and of these usages, or None."""
         for trust in ClientTrust:
             if trust > max_trust:
                 break
@@ -61,7 +61,7 @@
         return None
 
     def keys(self) -> set[int]:
-        """All idle connections."""
+        """Return the keys of all idle connections."""
         return {
             key
             for (trust, usage), queue in self._queues.items()
--- a/chutepin/admission/explanation.py
+++ b/chutepin/admission/explanation.py
@@ -1,4 +1,4 @@
-"""Explains to an operator which rules an address meets. The texts are part of the sub-command's output."""
+"""Explains to the operator which rules apply to an address. The texts are output of `admission explain`."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class RuleExplanation(NamedTuple):
-    """What a rule says of an address."""
+    """The effect of a rule on an address."""
 
     rule: str
     text: str
 
 
 def explain_rules(rules: Rules, limit: int, address: bytes, trust: ClientTrust) -> list[RuleExplanation]:
-    """Each rule for an address of this trust, at a table of `limit` connections, in the order of the rules."""
+    """Return the effect of each rule on an address of this trust, in rule order, for a table of `limit` connections."""
     is_limited = trust is not ClientTrust.LISTED
     is_untrusted = trust is ClientTrust.UNTRUSTED
     block = address_block(address, rules.block_v4, rules.block_v6)
--- a/chutepin/admission/rates.py
+++ b/chutepin/admission/rates.py
@@ -1,18 +1,18 @@
-"""Rate limiting of many keys. Pure: times are seconds of the caller's clock, which never runs backwards."""
+"""Rate limiting per key. No clock: times are seconds of the caller's monotonic clock."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 
-KEYS_CHECKED_PER_EVENT = 2  # so that keys at rest go faster than new ones come
+KEYS_CHECKED_PER_EVENT = 2  # more than 1, so that idle keys are removed faster than new ones are added
 
 
 class RateLimiter:
-    """The generic cell rate algorithm (GCRA): `rate` events a second for each key, and up to `burst` at once.
+    """The generic cell rate algorithm (GCRA): `rate` events per second for each key, and bursts of up to `burst`.
 
-    One number is kept for each key: when it would next be at rest. A key at rest needs none, so a flood of addresses
-    leaves nothing behind once it is over. While it lasts, at most `max_keys` are kept, and the one with the oldest
-    event is dropped for a new one. A dropped key has its burst again, which the rate of its block bounds.
+    The only state of a key is its theoretical arrival time. Once that time has passed, the key is idle and needs no
+    state, so a flood of addresses leaves nothing behind. During a flood at most `max_keys` keys are kept; a new key
+    replaces the one with the oldest event. The replaced key regains its burst, which the rate of its block bounds.
 
     After ITU-T I.371, annex A (virtual scheduling)."""
 
@@ -20,30 +20,32 @@
         self._interval_s = 1 / rate
         self._tolerance_s = (burst - 1) / rate
         self._max_keys = max_keys
-        self._rest_at: OrderedDict[bytes, float] = OrderedDict()  # in order of the last event
+        self._arrival_times: OrderedDict[bytes, float] = (
+            OrderedDict()
+        )  # theoretical arrival times, ordered by last event
 
     def __len__(self) -> int:
-        return len(self._rest_at)
+        return len(self._arrival_times)
 
     def wait(self, now: float, key: bytes) -> float:
-        """Seconds until an event of this key conforms; 0 if it does now. Changes nothing."""
-        return max(0.0, self._rest_at.get(key, now) - self._tolerance_s - now)
+        """Return the seconds until an event of this key conforms, or 0 if it conforms now. Changes nothing."""
+        return max(0.0, self._arrival_times.get(key, now) - self._tolerance_s - now)
 
     def take(self, now: float, key: bytes) -> None:
-        """Record an event that conforms."""
-        self._rest_at[key] = max(self._rest_at.pop(key, now), now) + self._interval_s
+        """Record a conforming event."""
+        self._arrival_times[key] = max(self._arrival_times.pop(key, now), now) + self._interval_s
         self.forget(now, KEYS_CHECKED_PER_EVENT)
-        if len(self._rest_at) > self._max_keys:
-            self._rest_at.popitem(last=False)
+        if len(self._arrival_times) > self._max_keys:
+            self._arrival_times.popitem(last=False)
 
     def forget(self, now: float, most: int) -> None:
-        """Drop up to `most` keys that are at rest, those with the oldest events first."""
+        """Check up to `most` keys, oldest events first, and remove the idle ones."""
         for _ in range(most):
-            key = next(iter(self._rest_at), None)
+            key = next(iter(self._arrival_times), None)
             if key is None:
                 return
-            if self._rest_at[key] > now:
-                # A long burst is at rest late: look at the other keys before this one again.
-                self._rest_at.move_to_end(key)
+            if self._arrival_times[key] > now:
+                # After a long burst a key becomes idle late: check the other keys before this one again.
+                self._arrival_times.move_to_end(key)
                 continue
-            del self._rest_at[key]
+            del self._arrival_times[key]
--- a/chutepin/admission/rules.py
+++ b/chutepin/admission/rules.py
@@ -1,4 +1,4 @@
-"""An operator's admission rules, and the result of applying them to a new connection."""
+"""The operator's admission rules, and the result of applying them to a new connection."""
 
 from __future__ import annotations
 
@@ -10,39 +10,39 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """An operator's settings.
+    """The admission settings.
 
-    0 switches off a cap, a rate or earned trust; a share of 1 the limit on new connections. The defaults switch off
-    all of them."""
+    0 disables a cap, a rate or earned trust; a share of 1 disables the limit on new connections. By default all rules
+    are disabled."""
 
-    per_address: int = 0  # connections
-    per_block: int = 0  # connections
-    block_v4: int = 24  # bits
-    block_v6: int = 64  # bits
-    rate_address: float = 0.0  # new connections a second
+    per_address: int = 0  # maximum connections of an address
+    per_block: int = 0  # maximum untrusted connections of a block
+    block_v4: int = 24  # prefix length in bits
+    block_v6: int = 64  # prefix length in bits
+    rate_address: float = 0.0  # new connections per second of an address
     burst_address: int = 10
-    rate_block: float = 0.0  # new connections a second
+    rate_block: float = 0.0  # new untrusted connections per second of a block
     burst_block: int = 50
-    new_share: float = 1.0  # part of the table for untrusted connections without a valid request yet
-    reserve: float = 0.0  # part of the table that untrusted connections may not take
+    new_share: float = 1.0  # fraction of the table for untrusted connections without a valid request
+    reserve: float = 0.0  # fraction of the table that is closed to untrusted connections
     known: Networks = field(default_factory=Networks)
-    relays: Networks = field(default_factory=Networks)  # state the client's address by the PROXY protocol
+    relays: Networks = field(default_factory=Networks)  # send the client's address in a PROXY protocol header
     earn_requests: int = 0
     earn_over: float = 10.0  # seconds
     earned_age: float = 3600.0  # seconds
-    remembered: int = 4096  # addresses, in each kind of memory
+    remembered: int = 4096  # maximum addresses or blocks in each of the rate limiters and reputation maps
 
     def reserved_places(self, limit: int) -> int:
-        """Places of a table of `limit` connections that untrusted ones may not take."""
+        """Return how many places of a table of `limit` connections are reserved for trusted clients."""
         return min(limit - 1, int(self.reserve * limit))
 
     def max_new(self, limit: int) -> int:
-        """Most untrusted connections without a valid request in a table of `limit` connections."""
+        """Return the maximum of untrusted connections without a valid request in a table of `limit` connections."""
         return max(1, int(self.new_share * limit))
 
 
 class RejectionReason(Enum):
-    """Why a new connection is rejected. Each is a counter `admission.refused.…`."""
+    """Reasons for rejecting a new connection. Each is counted as `admission.refused.…`."""
 
     RATE_ADDRESS = "rate_address"
     RATE_BLOCK = "rate_block"
@@ -50,13 +50,13 @@
     CAP_BLOCK = "cap_block"
     NEW = "new"
     FULL = "full"
-    DESCRIPTORS = "descriptors"  # the process has none left
+    DESCRIPTORS = "descriptors"  # the process has no free descriptor
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionResult:
-    """The result for a new connection: rejected for a reason, or admitted, in place of `evict` if that is set."""
+    """The result for a new connection: a rejection, or admission, for which connection `evict` is closed if set."""
 
     rejection: RejectionReason | None = None
     evict: int | None = None
-    retry_after_s: float = 0.0  # after which its rate would allow it
+    retry_after_s: float = 0.0  # delay after which a rate limit would admit the connection
--- a/chutepin/admission/table.py
+++ b/chutepin/admission/table.py
@@ -1,19 +1,18 @@
-"""The table of connections that keeps the admission rules. Pure: no socket, no clock.
+"""The connection table, which enforces the admission rules. No sockets, no clock.
 
-An address is trusted if the operator lists it or its history of valid requests has earned that; all others are
-untrusted. A new connection meets the rules in this order:
+An address is trusted if the operator lists it or if it has earned trust by valid requests; all others are untrusted.
+The rules apply to a new connection in this order:
 
-1. Not listed: the rate of new connections, and the cap, of its address.
-2. Untrusted: the same of its block, so that many addresses, each below its cap, are bounded together.
-3. Untrusted: the share of the table for connections that have not sent a valid request yet.
-4. The table: untrusted connections may not take the reserve. If there is no place, a connection is evicted.
+1. Unless listed: the connection rate and the connection cap of its address.
+2. If untrusted: the rate and cap of its block, which bound many addresses that each stay below their own limits.
+3. If untrusted: the share of the table for connections that have not sent a valid request yet.
+4. The size of the table, less the reserve if untrusted. If there is no free place, a connection is evicted.
 
-Evicted is an idle connection that was opened or received a message more than `SETTLED_S` ago: the least trusted
-first, and never one of more trust than the new connection; of those the ones that never sent a valid request, then
-health checks, then others; of these the one that is idle for longest. A request may have arrived and not been read yet
-on a connection that was active just now: closing it would lose the request.
+Only an idle connection that was opened and last active more than `SETTLED_S` ago is evicted, and never one with more
+trust than the new connection. The order is: least trust first; then connections without a valid request, health checks,
+others; then longest idle first. A recently active connection may have an unread request, which closing it would lose.
 
-Every step takes O(log n) time in the number of connections, amortised."""
+Each operation takes O(log n) amortised time in the number of connections."""
 
 from __future__ import annotations
 
@@ -28,25 +27,25 @@
 from .rules import AdmissionResult, RejectionReason, Rules
 from .trust import ClientTrust, ConnectionUsage
 
-MAX_FORGOTTEN = 64  # addresses of each kind in one call
+MAX_FORGOTTEN_PER_CALL = 64  # addresses of each kind per call of `forget`
 
 
 class TopConnections(NamedTuple):
-    """Addresses, and blocks of untrusted ones, with the most connections."""
+    """The addresses and the blocks of untrusted addresses with the most connections."""
 
     addresses: list[tuple[str, int]]
     blocks: list[tuple[str, int]]
 
 
 class ConnectionTable:
-    """All connections of a listener. A connection is identified by a number of the caller's."""
+    """All connections of a listener. The caller assigns each connection a unique integer key."""
 
     def __init__(self, rules: Rules, limit: int) -> None:
         self.rules = rules
         self.limit = limit
         self.entries: dict[int, TrackedConnection] = {}
         self.by_address: dict[bytes, set[int]] = {}
-        self.by_block: Counter[bytes] = Counter()  # untrusted connections alone
+        self.by_block: Counter[bytes] = Counter()  # counts untrusted connections only
         self.rejections: Counter[RejectionReason] = Counter()
         self.untrusted_count = 0
         self.new_count = 0  # untrusted connections without a valid request
@@ -55,10 +54,10 @@
         self._set_rates(rules)
 
     def apply(self, rules: Rules) -> None:
-        """Use these rules from now on.
+        """Replace the rules.
 
-        Connections stay; their trust and blocks follow the new rules. Earned trust is kept unless it is earned
-        differently now, rates begin anew."""
+        Open connections are kept; their trust and blocks are recomputed. Earned trust is kept unless the settings for
+        earning it change. Rate limiters start empty."""
         old = self.rules
         self.rules = rules
         self._set_rates(rules)
@@ -77,19 +76,19 @@
         self._block_rate = _rate_limiter(rules.rate_block, rules.burst_block, rules)
 
     def trust_of(self, now: float, address: bytes) -> ClientTrust:
-        """How well an address is known."""
+        """Return the trust of an address."""
         if address in self.rules.known or address in self.rules.relays:
             return ClientTrust.LISTED
         return ClientTrust.EARNED if self._reputation.is_earned(now, address) else ClientTrust.UNTRUSTED
 
     def judge(self, now: float, address: bytes) -> AdmissionResult:
-        """What the result for a new connection would be now. Changes nothing."""
+        """Return the result that `admit` would give a new connection now. Changes nothing."""
         trust = self.trust_of(now, address)
-        if trust is not ClientTrust.LISTED and (rejected := self._check_address(now, address)) is not None:
-            return rejected
+        if trust is not ClientTrust.LISTED and (rejection_result := self._check_address(now, address)) is not None:
+            return rejection_result
         if trust is ClientTrust.UNTRUSTED:
-            if (rejected := self._check_block(now, self._block_of(address))) is not None:
-                return rejected
+            if (rejection_result := self._check_block(now, self._block_of(address))) is not None:
+                return rejection_result
             if self.new_count >= self.rules.max_new(self.limit):
                 return self._evict_or_reject(now, trust, (ConnectionUsage.NEW,), RejectionReason.NEW)
         if self._has_place(trust):
@@ -97,7 +96,7 @@
         return self._evict_or_reject(now, trust, tuple(ConnectionUsage), RejectionReason.FULL)
 
     def _check_address(self, now: float, address: bytes) -> AdmissionResult | None:
-        """A rejection by the rate or cap of the address, or None."""
+        """Return a rejection by the rate or cap of the address, or None."""
         if self._address_rate is not None and (wait := self._address_rate.wait(now, address)) > 0:
             return AdmissionResult(RejectionReason.RATE_ADDRESS, retry_after_s=wait)
         if self.rules.per_address and len(self.by_address.get(address, ())) >= self.rules.per_address:
@@ -105,7 +104,7 @@
         return None
 
     def _check_block(self, now: float, block: bytes) -> AdmissionResult | None:
-        """A rejection by the rate or cap of the block, or None."""
+        """Return a rejection by the rate or cap of the block, or None."""
         if self._block_rate is not None and (wait := self._block_rate.wait(now, block)) > 0:
             return AdmissionResult(RejectionReason.RATE_BLOCK, retry_after_s=wait)
         if self.rules.per_block and self.by_block[block] >= self.rules.per_block:
@@ -115,7 +114,7 @@
     def _evict_or_reject(
         self, now: float, trust: ClientTrust, usages: tuple[ConnectionUsage, ...], reason: RejectionReason
     ) -> AdmissionResult:
-        evict = self.eviction_queues.first(now, trust, usages)
+        evict = self.eviction_queues.first_evictable(now, trust, usages)
         return AdmissionResult(reason) if evict is None else AdmissionResult(evict=evict)
 
     def _has_place(self, trust: ClientTrust) -> bool:
@@ -125,31 +124,31 @@
 
     @property
     def reserved(self) -> int:
-        """Places that untrusted connections may not take."""
+        """Number of places reserved for trusted clients."""
         return self.rules.reserved_places(self.limit)
 
     def evictable_below(self, now: float, address: bytes) -> int | None:
-        """The connection to evict first among those of less trust than this address."""
+        """Return the first connection to evict of less trust than this address, or None."""
         trust = self.trust_of(now, address)
         if trust is ClientTrust.UNTRUSTED:
             return None
-        return self.eviction_queues.first(now, ClientTrust(trust - 1), tuple(ConnectionUsage))
+        return self.eviction_queues.first_evictable(now, ClientTrust(trust - 1), tuple(ConnectionUsage))
 
     def admit(self, now: float, address: bytes) -> AdmissionResult:
-        """As `judge`, and charges its rates, also for a connection that another rule than its rate rejects."""
-        verdict = self.judge(now, address)
-        if verdict.rejection is not None:
-            self.rejections[verdict.rejection] += 1
-        if verdict.rejection not in (RejectionReason.RATE_ADDRESS, RejectionReason.RATE_BLOCK):
+        """Apply the rules to a new connection. Its rates are charged unless a rate limit rejects it."""
+        result = self.judge(now, address)
+        if result.rejection is not None:
+            self.rejections[result.rejection] += 1
+        if result.rejection not in (RejectionReason.RATE_ADDRESS, RejectionReason.RATE_BLOCK):
             trust = self.trust_of(now, address)
             if self._address_rate is not None and trust is not ClientTrust.LISTED:
                 self._address_rate.take(now, address)
             if self._block_rate is not None and trust is ClientTrust.UNTRUSTED:
                 self._block_rate.take(now, self._block_of(address))
-        return verdict
+        return result
 
     def opened(self, key: int, now: float, address: bytes) -> None:
-        """A connection that was admitted is open. One that was evicted for it has been closed before."""
+        """Add an admitted connection. A connection evicted for it must have been removed by `closed` before."""
         connection = TrackedConnection(
             key, address, self._block_of(address), self.trust_of(now, address), ConnectionUsage.NEW, now
         )
@@ -159,7 +158,7 @@
         self.eviction_queues.add(connection)
 
     def closed(self, key: int) -> None:
-        """A connection is closed; nothing happens if it is not in the table."""
+        """Remove a connection; do nothing if it is not in the table."""
         connection = self.entries.pop(key, None)
         if connection is None:
             return
@@ -170,15 +169,15 @@
             del self.by_address[connection.address]
 
     def message_received(self, key: int, now: float, usage: ConnectionUsage | None, open: bool) -> None:
-        """A complete, valid message was received.
+        """Record a complete, valid message.
 
-        `usage`: what the message uses the connection for; None says nothing of that. `open`: whether the connection
-        has an open request now."""
+        `usage` is the usage that the message implies, or None. `open` is whether the connection has an open request
+        after it."""
         connection = self.entries.get(key)
         if connection is None:
             return
         first = connection.usage is ConnectionUsage.NEW
-        # A connection that carries health checks counts as one, whatever else it carries.
+        # A connection that carries health checks is classed as CHECKS, whatever else it carries.
         if usage is not None and (first or usage < connection.usage):
             self._count(connection, -1)
             connection.usage = usage
@@ -192,14 +191,14 @@
                 self._update_trust(connection.address, now)
 
     def answered(self, key: int) -> None:
-        """A connection has no open request any more. Its last activity stays what it was."""
+        """Mark a connection idle after its last open request. This does not count as activity."""
         connection = self.entries.get(key)
         if connection is not None and connection.busy:
             connection.busy = False
             self.eviction_queues.add(connection)
 
     def malformed(self, key: int, now: float) -> None:
-        """A connection received malformed data: its address loses the trust that it had earned."""
+        """Revoke the earned trust of a connection's address, as it sent malformed data."""
         connection = self.entries.get(key)
         if connection is not None and self._reputation.record_malformed(now, connection.address):
             self._update_trust(connection.address, now)
@@ -218,7 +217,7 @@
             del self.by_block[connection.block]
 
     def _update_trust(self, address: bytes, now: float) -> None:
-        """Give all connections of an address the trust that it has now."""
+        """Recompute the trust of all connections of an address."""
         trust = self.trust_of(now, address)
         for key in self.by_address.get(address, ()):
             connection = self.entries[key]
@@ -228,8 +227,8 @@
             if not connection.busy:
                 self.eviction_queues.add(connection)
 
-    def forget(self, now: float, most: int = MAX_FORGOTTEN) -> None:
-        """Drop up to `most` remembered addresses of each kind that are at rest or have aged out."""
+    def forget(self, now: float, most: int = MAX_FORGOTTEN_PER_CALL) -> None:
+        """Remove up to `most` remembered addresses of each kind that are idle or expired."""
         for rate in (self._address_rate, self._block_rate):
             if rate is not None:
                 rate.forget(now, most)
@@ -237,12 +236,12 @@
 
     @property
     def remembered(self) -> int:
-        """Addresses and blocks of which something is remembered besides connections."""
+        """Number of addresses and blocks in the rate limiters and the reputation."""
         rates = sum(len(rate) for rate in (self._address_rate, self._block_rate) if rate is not None)
         return rates + len(self._reputation)
 
     def top(self, most: int) -> TopConnections:
-        """Addresses, and blocks of untrusted ones, with the most connections."""
+        """Return the addresses and the blocks of untrusted addresses with the most connections."""
         rules = self.rules
         by_address = Counter({address: len(keys) for address, keys in self.by_address.items()})
         return TopConnections(
@@ -254,7 +253,7 @@
         )
 
     def explain(self, now: float, address: bytes) -> list[RuleExplanation]:
-        """Which rules an address meets, and what each says of it now."""
+        """Return which rules apply to an address now, with the effect of each."""
         return explain_rules(self.rules, self.limit, address, self.trust_of(now, address))
 
 
--- a/chutepin/admission/trust.py
+++ b/chutepin/admission/trust.py
@@ -1,4 +1,4 @@
-"""How well an address is known, and what a connection has been used for."""
+"""Levels of client trust and of connection usage."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class ClientTrust(IntEnum):
-    """How well an address is known. More trust is kept in preference to less."""
+    """The trust of an address. Connections of lower trust are evicted first."""
 
     UNTRUSTED = 0
-    EARNED = 1  # by its history of valid requests
-    LISTED = 2  # by the operator
+    EARNED = 1  # by a history of valid requests
+    LISTED = 2  # listed by the operator
 
 
 class ConnectionUsage(IntEnum):
-    """What a connection has carried. Connections of the lowest usage are evicted first."""
+    """The messages that a connection has carried. Connections of lower usage are evicted first."""
 
-    NEW = 0  # no valid request yet
-    CHECKS = 1  # health checks
+    NEW = 0  # has sent no valid request
+    CHECKS = 1  # carries health checks
     REQUESTS = 2
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -36,7 +36,7 @@
 from chutepin.admission.acceptor import RETRY_DELAY_S
 from chutepin.admission.addresses import Networks, address_block, format_block, pack_address
 from chutepin.admission.eviction import SETTLED_S
-from chutepin.admission.proxy import proxy_head
+from chutepin.admission.proxy import encode_proxy_header
 from chutepin.admission.rates import RateLimiter
 from chutepin.admission.reputation import Reputation
 from chutepin.clock import Clock
@@ -375,7 +375,7 @@
 @given(st.integers(1, 9), st.booleans(), st.binary(max_size=20))
 def test_fragmented_proxy_header_yields_client_address(size: int, v6: bool, rest: bytes) -> None:
     source, target = (pack_address("2001:db8::7"), pack_address("2001:db8::1")) if v6 else (UNTRUSTED, TRUSTED)
-    data, head = proxy_head(source, target, 5000, 7000) + rest, ProxyHead()
+    data, head = encode_proxy_header(source, target, 5000, 7000) + rest, ProxyHead()
     for at in range(0, len(data), size):
         if head.done:
             head.rest += data[at : at + size]
@@ -384,7 +384,7 @@
     assert head.done and head.address == source and head.rest == rest
 
 
-GOOD = proxy_head(UNTRUSTED, TRUSTED, 1, 2)
+GOOD = encode_proxy_header(UNTRUSTED, TRUSTED, 1, 2)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from chutepin.admission.proxy import proxy_head
+from chutepin.admission.proxy import encode_proxy_header
 from chutepin.config import Address
 from chutepin.counters import Counters
 from chutepin.facade import End
@@ -131,7 +131,7 @@
 
         async def relayed(source: bytes) -> Balancer:
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port, local_addr=("127.0.77.5", 0))
-            writer.write(proxy_head(source, bytes(4), 1, 2) if source else b"*1\r\n$4\r\nPING\r\n")
+            writer.write(encode_proxy_header(source, bytes(4), 1, 2) if source else b"*1\r\n$4\r\nPING\r\n")
             return Balancer(reader, writer)
 
         strangers = [await relayed(bytes([203, 0, 113, 7])) for _ in range(12)]
@@ -141,7 +141,7 @@
         forged = await relayed(b"")
         await eventually(lambda: forged.ended)
         direct = await asyncio.open_connection("127.0.0.1", world.port, local_addr=("127.0.78.1", 0))
-        direct[1].write(proxy_head(bytes([10, 0, 0, 1]), bytes(4), 1, 2))  # not from a relay
+        direct[1].write(encode_proxy_header(bytes([10, 0, 0, 1]), bytes(4), 1, 2))  # not from a relay
         async with asyncio.timeout(20):
             assert (await direct[0].read()) == b"*2\r\n$1\r\n0\r\n$3\r\nBYE\r\n"
         log = await world.leave()
