--- a/tests/powercut.py
+++ b/tests/powercut.py
@@ -1,7 +1,7 @@
-"""A directory that loses what a power cut may lose, tears what it may tear, and fails on demand.
+"""A simulated directory that loses unsynced writes, tears writes and injects I/O errors.
 
-It models the assumptions that `chutepin/store/file_system.py` states and grants nothing beyond them. `cut_at` ends
-the run inside that file operation; `after` gives the directory as a restart may then find it."""
+It models exactly the assumptions stated in `chutepin/store/file_system.py`. `cut_at` raises PowerCut during that file
+operation; `after` returns the directory as a restart may find it."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 from chutepin.store.errors import StoreLockedError
 
 
-class PowerCut(Exception):  # noqa: N818 - it is an event, not an error of the program
-    """The power is cut during a file operation."""
+class PowerCut(Exception):  # noqa: N818 - an event, not an error of the program
+    """Power cut during a file operation."""
 
 
 @dataclass
 class Inode:
-    """A file: what is durable, what a reader sees, and the writes that make the difference."""
+    """The durable bytes of a file, the bytes that readers see, and the unsynced writes between them."""
 
     durable: bytearray = field(default_factory=bytearray)
-    seen: bytearray = field(default_factory=bytearray)
+    visible: bytearray = field(default_factory=bytearray)
     pending: list[tuple[int, bytes]] = field(default_factory=list)
 
-    def apply(self, offset: int, data: bytes, to: bytearray) -> None:
-        if len(to) < offset + len(data):
-            to.extend(bytes(offset + len(data) - len(to)))
-        to[offset : offset + len(data)] = data
+    def apply(self, offset: int, data: bytes, target: bytearray) -> None:
+        if len(target) < offset + len(data):
+            target.extend(bytes(offset + len(data) - len(target)))
+        target[offset : offset + len(data)] = data
 
 
 class SimulatedFile:
@@ -35,31 +35,32 @@
         self._files, self._inode, self._name = files, inode, name
 
     def read(self, offset: int, length: int) -> bytes:
-        return bytes(self._inode.seen[offset : offset + length])
+        return bytes(self._inode.visible[offset : offset + length])
 
     def write(self, offset: int, buffers: Sequence[bytes]) -> None:
         data = b"".join(buffers)
         self._inode.pending.append((offset, data))
         try:
-            self._files.operate("write", self._name)
+            self._files.perform("write", self._name)
         except OSError:
-            # Part of a failed write may have been done.
+            # A failed write may have been performed in part.
             self._inode.pending[-1] = (offset, data[: len(data) // 2])
-            self._inode.apply(offset, data[: len(data) // 2], self._inode.seen)
+            self._inode.apply(offset, data[: len(data) // 2], self._inode.visible)
             raise
-        self._inode.apply(offset, data, self._inode.seen)
+        self._inode.apply(offset, data, self._inode.visible)
 
     def allocate(self, size: int) -> None:
         self.write(0, [bytes(size)])
 
     def size(self) -> int:
-        return len(self._inode.seen)
+        return len(self._inode.visible)
 
     def sync(self) -> None:
         try:
-            self._files.operate("sync", self._name)
+            self._files.perform("sync", self._name)
         except OSError:
-            # As on Linux the pages are clean now: readers see what is not on the disk, and no later sync writes it.
+            # As on Linux, the pages are marked clean: readers see data that is not on the disk and that no later sync
+            # writes.
             self._inode.pending.clear()
             raise
         for offset, data in self._inode.pending:
@@ -74,11 +75,11 @@
 
 
 class SimulatedFileSystem:
-    """One directory. `fail` returns the error of an operation, `cut_at` numbers the one during which power is cut."""
+    """A simulated directory. `fail` returns the error to inject; power is cut during operation number `cut_at`."""
 
     def __init__(self) -> None:
         self.durable: Names = {}
-        self.seen: Names = {}
+        self.visible: Names = {}
         self.changes: list[Callable[[Names], None]] = []
         self.operations = 0
         self.cut_at = -1
@@ -86,7 +87,7 @@
         self.locked = False
         self.label = "sim"
 
-    def operate(self, operation: str, name: str) -> None:
+    def perform(self, operation: str, name: str) -> None:
         self.operations += 1
         if self.operations == self.cut_at:
             raise PowerCut
@@ -102,12 +103,12 @@
         self.locked = False
 
     def names(self) -> list[str]:
-        return sorted(self.seen)
+        return sorted(self.visible)
 
     def open(self, name: str) -> SimulatedFile:
-        if name not in self.seen:
+        if name not in self.visible:
             raise FileNotFoundError(2, "no such file", name)
-        return SimulatedFile(self, self.seen[name], name)
+        return SimulatedFile(self, self.visible[name], name)
 
     def create(self, name: str) -> SimulatedFile:
         inode = Inode()
@@ -115,7 +116,7 @@
         return SimulatedFile(self, inode, name)
 
     def rename(self, old: str, new: str) -> None:
-        inode = self.seen[old]
+        inode = self.visible[old]
 
         def change(names: Names) -> None:
             names.pop(old, None)
@@ -129,22 +130,22 @@
     def _change(self, operation: str, name: str, change: Callable[[Names], None]) -> None:
         self.changes.append(change)
         try:
-            self.operate(operation, name)
+            self.perform(operation, name)
         except OSError:
             self.changes.pop()
             raise
-        change(self.seen)
+        change(self.visible)
 
     def sync_names(self) -> None:
-        self.operate("sync names", "")
+        self.perform("sync names", "")
         for change in self.changes:
             change(self.durable)
         self.changes.clear()
 
     def after(self, survivors: str | random.Random) -> SimulatedFileSystem:
-        """The directory after a power cut now.
+        """Return the directory as it is after a power cut now.
 
-        `survivors`: of what was not durable `"none"`, `"all"`, or what a random source picks."""
+        `survivors` selects the unsynced changes that are kept: `"none"`, `"all"`, or a random choice."""
         restart = SimulatedFileSystem()
         names = dict(self.durable)
         for change in self.changes:
@@ -165,14 +166,14 @@
                                 kept = sector[: survivors.randrange(len(sector) + 1)]
                             inode.apply(at, kept, data)
                 copies[id(inode)] = Inode(data, bytearray(data))
-            restart.durable[name] = restart.seen[name] = copies[id(inode)]
+            restart.durable[name] = restart.visible[name] = copies[id(inode)]
         return restart
 
     def copy(self) -> SimulatedFileSystem:
-        """The directory as a restart of the process alone finds it."""
+        """Return the directory as a restart of the process without a power cut finds it."""
         restart = SimulatedFileSystem()
-        for name, inode in self.seen.items():
-            restart.durable[name] = restart.seen[name] = Inode(bytearray(inode.seen), bytearray(inode.seen))
+        for name, inode in self.visible.items():
+            restart.durable[name] = restart.visible[name] = Inode(bytearray(inode.visible), bytearray(inode.visible))
         return restart
 
 
@@ -185,10 +186,10 @@
 
 
 def _sectors(offset: int, data: bytes) -> list[tuple[int, bytes]]:
-    """A write in sectors, each of which becomes durable independently."""
-    pieces, at = [], 0
+    """Split a write into sectors, each of which becomes durable independently."""
+    sectors, at = [], 0
     while at < len(data):
         size = min(512 - (offset + at) % 512, len(data) - at)
-        pieces.append((offset + at, data[at : at + size]))
+        sectors.append((offset + at, data[at : at + size]))
         at += size
-    return pieces
+    return sectors
--- a/tests/store_world.py
+++ b/tests/store_world.py
@@ -1,4 +1,4 @@
-"""A store over a simulated directory, and the dictionary that it has to equal.
+"""Test harness: an engine over a simulated directory, compared with a dictionary.
 
 Sizes are small, so that short runs reach every boundary."""
 
@@ -20,11 +20,11 @@
 Contents = dict[bytes, bytes]
 
 
-class World:
-    """An engine over a simulated directory, and the dictionary that it has to equal.
+class StoreHarness:
+    """An engine over a simulated directory, and a dictionary model of its contents.
 
-    `states` holds what a reader would see after each change, from the beginning; `acknowledged` is the index of the
-    state that the last flush acknowledged."""
+    `states` holds the expected contents after each change, starting with the empty store; `acknowledged` is the index
+    of the state that the last flush acknowledged."""
 
     def __init__(self, files: SimulatedFileSystem | None = None, limits: Limits = LIMITS) -> None:
         self.files = files or SimulatedFileSystem()
@@ -36,7 +36,7 @@
         self.engine: Engine | None = None
 
     @property
-    def open(self) -> Engine:
+    def current_engine(self) -> Engine:
         assert self.engine is not None
         return self.engine
 
@@ -46,41 +46,44 @@
         )
 
     def put(self, key: bytes, value: bytes, expires: float = math.inf) -> None:
-        self._wait(lambda waited: self.open.put(key, value, expires, waited))
+        self._retry_until_appended(lambda waited: self.current_engine.put(key, value, expires, waited))
         self.states.append({**self.states[-1], key: (value, expires)})
 
     def delete(self, key: bytes) -> None:
-        self._wait(lambda waited: self.open.delete(key, waited))
+        self._retry_until_appended(lambda waited: self.current_engine.delete(key, waited))
         self.states.append({k: v for k, v in self.states[-1].items() if k != key})
 
-    def _wait(self, attempt: Callable[[bool], bool]) -> None:
+    def _retry_until_appended(self, append: Callable[[bool], bool]) -> None:
         waited = False
-        while not attempt(waited):
+        while not append(waited):
             self.flush()
-            self.open.step()
+            self.current_engine.step()
             waited = True
 
     def flush(self) -> None:
         before = len(self.states) - 1
-        self.open.flush()
+        self.current_engine.flush()
         self.acknowledged = before
 
     def settle(self) -> None:
         self.flush()
-        self.open.settle()
+        self.current_engine.settle()
 
-    def visible(self, index: int) -> Contents:
+    def expected_contents(self, index: int) -> Contents:
         return {key: value for key, (value, expires) in self.states[index].items() if expires > self.time}
 
     def check(self) -> None:
-        """The engine shows the last state."""
-        assert contents(self.open) == self.visible(-1)
+        """Check that the engine's contents equal the last state."""
+        assert contents(self.current_engine) == self.expected_contents(-1)
 
-    def check_recovered(self, files: SimulatedFileSystem, note: object = None) -> Engine:
-        """Opening shows the acknowledged state or a later one: nothing lost, nothing that was overruled back."""
+    def check_recovered(self, files: SimulatedFileSystem, failure_note: object = None) -> Engine:
+        """Open the store and check that its contents equal the acknowledged state or a later one."""
         engine = Engine.open(files, self.limits, lambda: self.time, lambda *_, **__: None)
         found = contents(engine)
-        assert any(found == self.visible(i) for i in range(self.acknowledged, len(self.states))), (note, found)
+        assert any(found == self.expected_contents(i) for i in range(self.acknowledged, len(self.states))), (
+            failure_note,
+            found,
+        )
         return engine
 
 
@@ -94,33 +97,33 @@
     return found
 
 
-def run_operations(world: World, steps: int = 90, seed: int = 3) -> None:
-    """Puts, deletes, expiry, commits and compaction of few keys, so that most records are soon replaced."""
+def run_operations(harness: StoreHarness, steps: int = 90, seed: int = 3) -> None:
+    """Run random puts, deletes, expiries, commits and compactions on few keys, so that most records are superseded."""
     rng = random.Random(seed)
-    world.start()
+    harness.start()
     for step in range(steps):
         key = b"key%d" % rng.randrange(9)
         match rng.randrange(10):
             case 0 | 1:
-                world.delete(key)
+                harness.delete(key)
             case 2 | 3:
-                world.put(key, rng.randbytes(rng.randrange(200)), world.time + rng.choice((0.5, 3.0, 40.0)))
+                harness.put(key, rng.randbytes(rng.randrange(200)), harness.time + rng.choice((0.5, 3.0, 40.0)))
             case _:
-                world.put(key, rng.randbytes(rng.randrange(200)))
+                harness.put(key, rng.randbytes(rng.randrange(200)))
         if rng.random() < 0.35:
-            world.flush()
+            harness.flush()
         if rng.random() < 0.3:
-            world.time += rng.choice((0.1, 1.5, 4.0))
+            harness.time += rng.choice((0.1, 1.5, 4.0))
         if rng.random() < 0.5:
-            world.open.step(300)
+            harness.current_engine.step(300)
         if step % 30 == 29:
-            world.open.compact()
-            world.settle()
-        world.check()
-    world.flush()
+            harness.current_engine.compact()
+            harness.settle()
+        harness.check()
+    harness.flush()
 
 
-def run_script(seed: int = 3) -> World:
-    world = World()
-    run_operations(world, seed=seed)
-    return world
+def run_script(seed: int = 3) -> StoreHarness:
+    harness = StoreHarness()
+    run_operations(harness, seed=seed)
+    return harness
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Connection admission: rules, rates, reputation, descriptors, deadlines, the PROXY header, accepting."""
+"""Connection admission: rules, rates, reputation, descriptors, deadlines, the PROXY header and accepting."""
 
 from __future__ import annotations
 
@@ -55,18 +55,18 @@
 LISTED = Networks(["10.0.0.0/24"])
 
 
-class Front:
-    """A table driven as the front does: an eviction is a close."""
+class TableDriver:
+    """Drives a connection table as the listener does: an evicted connection is closed first."""
 
     def __init__(self, rules: Rules, limit: int) -> None:
         self.table, self.now, self.keys = ConnectionTable(rules, limit), 100.0, 0
 
     def connect(self, address: bytes = UNTRUSTED) -> int | RejectionReason:
-        verdict = self.table.admit(self.now, address)
-        if verdict.rejection is not None:
-            return verdict.rejection
-        if verdict.evict is not None:
-            self.table.closed(verdict.evict)
+        result = self.table.admit(self.now, address)
+        if result.rejection is not None:
+            return result.rejection
+        if result.evict is not None:
+            self.table.closed(result.evict)
         self.keys += 1
         self.table.opened(self.keys, self.now, address)
         return self.keys
@@ -80,7 +80,7 @@
 # --- addresses ---
 
 
-def test_addresses_blocks_and_networks() -> None:
+def test_address_packing_blocks_and_networks() -> None:
     assert pack_address("::ffff:203.0.113.7") == UNTRUSTED
     assert pack_address("fe80::1%eth0") == pack_address("fe80::1")
     assert pack_address("@x") == b""
@@ -107,7 +107,7 @@
 
 
 @given(st.lists(st.floats(0, 2), max_size=40), st.integers(1, 6), st.sampled_from([0.5, 1.0, 7.0]))
-def test_no_window_has_more_events_than_rate_and_burst_allow(gaps: list[float], burst: int, rate: float) -> None:
+def test_events_in_any_window_stay_within_rate_and_burst(gaps: list[float], burst: int, rate: float) -> None:
     limit, now, taken = RateLimiter(rate, burst, 10), 0.0, list[float]()
     for gap in gaps:
         now += gap
@@ -123,7 +123,7 @@
 
 
 def test_connection_churn_leaves_no_state() -> None:
-    front = Front(
+    driver = TableDriver(
         Rules(
             per_address=5,
             per_block=50,
@@ -139,28 +139,28 @@
     rng = random.Random(1)
     most = 0
     for number in range(10_000):
-        key = front.connect(pack_address(f"198.{rng.randrange(64)}.{rng.randrange(256)}.{number % 256}"))
+        key = driver.connect(pack_address(f"198.{rng.randrange(64)}.{rng.randrange(256)}.{number % 256}"))
         if isinstance(key, int):
             if number % 3 == 0:
-                front.request(key)
-            front.table.closed(key)
-        front.now += 0.001
-        most = max(most, front.table.remembered)
+                driver.request(key)
+            driver.table.closed(key)
+        driver.now += 0.001
+        most = max(most, driver.table.remembered)
     assert 0 < most <= 3 * 512
-    front.now += 7200
+    driver.now += 7200
     for _ in range(100):
-        front.table.forget(front.now)
-    table = front.table
+        driver.table.forget(driver.now)
+    table = driver.table
     assert not (table.remembered or table.entries or table.by_address or table.by_block)
 
 
 def test_trust_is_earned_over_time_lost_by_malformed_data_and_ages() -> None:
     reputation = Reputation(3, 10, 100, 8)
-    assert not any(reputation.record_valid(now, b"a") for now in (0.0, 1.0, 2.0, 3.0))  # too soon
+    assert not any(reputation.record_valid(now, b"a") for now in (0.0, 1.0, 2.0, 3.0))  # not over a long enough time
     assert reputation.record_valid(11.0, b"a") and reputation.is_earned(12.0, b"a")
     assert reputation.is_earned(111.0, b"a") and not reputation.is_earned(111.1, b"a")
     reputation.record_valid(50.0, b"a")
-    for number in range(100):  # a flood of candidates takes nothing from who has it
+    for number in range(100):  # a flood of candidates does not displace a trusted address
         reputation.record_valid(60.0, b"%d" % number)
     assert reputation.is_earned(61.0, b"a") and len(reputation) <= 9
     assert reputation.record_malformed(62.0, b"a") and not reputation.is_earned(62.0, b"a")
@@ -174,78 +174,78 @@
 
 
 def test_block_cap_bounds_many_addresses_below_their_own_cap() -> None:
-    front = Front(Rules(per_address=3, per_block=40, known=LISTED), 400)
-    results = [front.connect(pack_address(f"203.0.113.{i}")) for i in range(200) for _ in range(3)]
+    driver = TableDriver(Rules(per_address=3, per_block=40, known=LISTED), 400)
+    results = [driver.connect(pack_address(f"203.0.113.{i}")) for i in range(200) for _ in range(3)]
     assert sum(isinstance(result, int) for result in results) == 40
-    assert front.table.rejections[RejectionReason.CAP_BLOCK] == 560
-    assert [isinstance(front.connect(pack_address("198.51.100.1")), int) for _ in range(4)] == [True] * 3 + [False]
-    assert front.table.rejections[RejectionReason.CAP_ADDRESS] == 1
+    assert driver.table.rejections[RejectionReason.CAP_BLOCK] == 560
+    assert [isinstance(driver.connect(pack_address("198.51.100.1")), int) for _ in range(4)] == [True] * 3 + [False]
+    assert driver.table.rejections[RejectionReason.CAP_ADDRESS] == 1
 
 
 def test_trusted_client_reconnects_at_limit_and_untrusted_stay_out_of_reserve() -> None:
-    front = Front(Rules(reserve=0.25, known=LISTED), 40)
-    held = front.connect(TRUSTED)
-    flood = [front.connect(pack_address(f"203.0.{i}.1")) for i in range(100)]
+    driver = TableDriver(Rules(reserve=0.25, known=LISTED), 40)
+    held = driver.connect(TRUSTED)
+    flood = [driver.connect(pack_address(f"203.0.{i}.1")) for i in range(100)]
     assert sum(isinstance(key, int) for key in flood) == 30 and isinstance(held, int)
-    for _ in range(3):  # while none of the flood may be closed, as all came just now
+    for _ in range(3):  # while no connection of the flood is evictable, as all are recent
         for _ in range(9):
-            assert isinstance(front.connect(TRUSTED), int)
-        front.now += SETTLED_S + 0.1
-        # Full: now the flood's makes room, before any of the known client's.
-        assert isinstance(front.connect(TRUSTED), int)
-        assert len(front.table.by_address[TRUSTED]) > 10
-        for key in list(front.table.by_address[TRUSTED])[1:]:
-            front.table.closed(key)
+            assert isinstance(driver.connect(TRUSTED), int)
+        driver.now += SETTLED_S + 0.1
+        # The table is full: a connection of the flood is evicted before any of the trusted client.
+        assert isinstance(driver.connect(TRUSTED), int)
+        assert len(driver.table.by_address[TRUSTED]) > 10
+        for key in list(driver.table.by_address[TRUSTED])[1:]:
+            driver.table.closed(key)
 
 
-def test_one_valid_request_a_connection_earns_no_trust() -> None:
-    front = Front(Rules(earn_requests=3, earn_over=1.0), 50)
+def test_single_valid_request_per_connection_earns_no_trust() -> None:
+    driver = TableDriver(Rules(earn_requests=3, earn_over=1.0), 50)
     for _ in range(200):
-        key = front.connect()
+        key = driver.connect()
         assert isinstance(key, int)
-        front.request(key)
-        front.table.closed(key)
-        front.now += 0.1
-    assert front.table.trust_of(front.now, UNTRUSTED) is ClientTrust.UNTRUSTED
-    key = front.connect()
+        driver.request(key)
+        driver.table.closed(key)
+        driver.now += 0.1
+    assert driver.table.trust_of(driver.now, UNTRUSTED) is ClientTrust.UNTRUSTED
+    key = driver.connect()
     assert isinstance(key, int)
     for _ in range(13):
-        front.request(key)
-        front.now += 0.1
-    assert front.table.trust_of(front.now, UNTRUSTED) is ClientTrust.EARNED
-    front.table.malformed(key, front.now)
-    assert front.table.trust_of(front.now, UNTRUSTED) is ClientTrust.UNTRUSTED
+        driver.request(key)
+        driver.now += 0.1
+    assert driver.table.trust_of(driver.now, UNTRUSTED) is ClientTrust.EARNED
+    driver.table.malformed(key, driver.now)
+    assert driver.table.trust_of(driver.now, UNTRUSTED) is ClientTrust.UNTRUSTED
 
 
 def test_share_of_new_connections_is_bounded_and_oldest_is_evicted() -> None:
-    front = Front(Rules(new_share=0.2), 50)
-    keys = [front.connect() for _ in range(12)]
+    driver = TableDriver(Rules(new_share=0.2), 50)
+    keys = [driver.connect() for _ in range(12)]
     assert sum(isinstance(key, int) for key in keys) == 10 and keys[-1] is RejectionReason.NEW
     assert isinstance(keys[0], int) and isinstance(keys[1], int)
-    front.request(keys[0])
-    assert isinstance(front.connect(), int)  # one of them is new no more
-    front.now += SETTLED_S + 0.1
-    assert isinstance(front.connect(), int) and keys[1] not in front.table.entries
+    driver.request(keys[0])
+    assert isinstance(driver.connect(), int)  # one connection no longer counts as new
+    driver.now += SETTLED_S + 0.1
+    assert isinstance(driver.connect(), int) and keys[1] not in driver.table.entries
 
 
 def test_new_rules_apply_to_open_connections_without_closing_any() -> None:
-    front = Front(Rules(), 50)
+    driver = TableDriver(Rules(), 50)
     for address in (UNTRUSTED, NEIGHBOUR, TRUSTED):
         for _ in range(4):
-            front.connect(address)
-    front.table.apply(Rules(per_address=2, per_block=5, known=LISTED, reserve=0.5))
-    assert len(front.table.entries) == 12 and front.table.by_block == {address_block(UNTRUSTED, 24, 64): 8}
-    assert front.connect() is RejectionReason.CAP_ADDRESS and isinstance(front.connect(TRUSTED), int)
-    front.table.apply(Rules())
-    assert isinstance(front.connect(), int)
+            driver.connect(address)
+    driver.table.apply(Rules(per_address=2, per_block=5, known=LISTED, reserve=0.5))
+    assert len(driver.table.entries) == 12 and driver.table.by_block == {address_block(UNTRUSTED, 24, 64): 8}
+    assert driver.connect() is RejectionReason.CAP_ADDRESS and isinstance(driver.connect(TRUSTED), int)
+    driver.table.apply(Rules())
+    assert isinstance(driver.connect(), int)
 
 
 class AdmissionStateMachine(RuleBasedStateMachine):
-    """Connections of everybody doing everything: what must hold whatever comes."""
+    """Random operations of trusted and untrusted clients, with invariants checked after each."""
 
     @initialize(reserve=st.sampled_from([0.0, 0.3]), caps=st.booleans(), share=st.sampled_from([0.3, 1.0]))
     def begin(self, reserve: float, caps: bool, share: float) -> None:
-        self.chosen = Rules(
+        self.admission_rules = Rules(
             per_address=4 * caps,
             per_block=9 * caps,
             rate_address=3.0 * caps,
@@ -257,63 +257,63 @@
             earned_age=5.0,
             remembered=16,
         )
-        self.front = Front(self.chosen, 20)
+        self.driver = TableDriver(self.admission_rules, 20)
         self.addresses = [pack_address(f"203.0.{i // 3}.{i}") for i in range(9)] + [TRUSTED]
         self.busy = set[int]()
 
-    @rule(who=st.integers(0, 9))
-    def connect(self, who: int) -> None:
-        table, now, address = self.front.table, self.front.now, self.addresses[who]
+    @rule(address_index=st.integers(0, 9))
+    def connect(self, address_index: int) -> None:
+        table, now, address = self.driver.table, self.driver.now, self.addresses[address_index]
         before = dict(table.entries)
-        result = self.front.connect(address)
+        result = self.driver.connect(address)
         for key in set(before) - set(table.entries):
             entry = before[key]
             assert key not in self.busy and entry.last_active < now - SETTLED_S
             assert entry.trust <= table.trust_of(now, address)
         if address == TRUSTED and len(before) < table.limit:
-            assert isinstance(result, int)  # the reserve is open to it
+            assert isinstance(result, int)  # a trusted client may use the reserve
         if isinstance(result, RejectionReason):
             assert before == table.entries
 
-    @rule(data=st.data(), answered=st.booleans(), use=st.sampled_from(ConnectionUsage))
-    def speak(self, data: st.DataObject, answered: bool, use: ConnectionUsage) -> None:
-        if not self.front.table.entries:
+    @rule(data=st.data(), answered=st.booleans(), usage=st.sampled_from(ConnectionUsage))
+    def send_message(self, data: st.DataObject, answered: bool, usage: ConnectionUsage) -> None:
+        if not self.driver.table.entries:
             return
-        key = data.draw(st.sampled_from(sorted(self.front.table.entries)))
-        busy = use is ConnectionUsage.REQUESTS and not answered
+        key = data.draw(st.sampled_from(sorted(self.driver.table.entries)))
+        busy = usage is ConnectionUsage.REQUESTS and not answered
         (self.busy.add if busy else self.busy.discard)(key)
-        self.front.table.message_received(key, self.front.now, None if use is ConnectionUsage.NEW else use, busy)
+        self.driver.table.message_received(key, self.driver.now, None if usage is ConnectionUsage.NEW else usage, busy)
 
     @rule(data=st.data(), malformed=st.booleans())
     def close(self, data: st.DataObject, malformed: bool) -> None:
-        if not self.front.table.entries:
+        if not self.driver.table.entries:
             return
-        key = data.draw(st.sampled_from(sorted(self.front.table.entries)))
+        key = data.draw(st.sampled_from(sorted(self.driver.table.entries)))
         if malformed:
-            self.front.table.malformed(key, self.front.now)
-        self.front.table.closed(key)
+            self.driver.table.malformed(key, self.driver.now)
+        self.driver.table.closed(key)
         self.busy.discard(key)
 
     @rule()
     def answer_all(self) -> None:
         for key in sorted(self.busy):
-            self.front.table.answered(key)
+            self.driver.table.answered(key)
         self.busy.clear()
 
     @rule(seconds=st.sampled_from([0.1, 0.6, 6.0]))
     def wait(self, seconds: float) -> None:
-        self.front.now += seconds
-        self.front.table.forget(self.front.now)
+        self.driver.now += seconds
+        self.driver.table.forget(self.driver.now)
 
     @rule(caps=st.booleans())
     def reload(self, caps: bool) -> None:
-        self.front.table.apply(Rules(per_block=9 * caps, reserve=self.chosen.reserve, known=LISTED))
+        self.driver.table.apply(Rules(per_block=9 * caps, reserve=self.admission_rules.reserve, known=LISTED))
 
     @invariant()
-    def counts_are_right(self) -> None:
-        if not hasattr(self, "front"):
+    def counts_are_consistent(self) -> None:
+        if not hasattr(self, "driver"):
             return
-        table = self.front.table
+        table = self.driver.table
         untrusted = [entry for entry in table.entries.values() if entry.trust is ClientTrust.UNTRUSTED]
         assert len(table.entries) <= table.limit
         assert table.untrusted_count == len(untrusted)
@@ -328,7 +328,7 @@
 TestAdmission = AdmissionStateMachine.TestCase
 
 
-# --- the descriptors and deadlines ---
+# --- descriptors and deadlines ---
 
 
 @given(
@@ -357,10 +357,10 @@
 @given(st.lists(st.tuples(st.integers(0, 5), st.floats(0, 30) | st.just(math.inf)), max_size=60))
 def test_deadline_is_due_once_in_time_and_never_early(steps: list[tuple[int, float]]) -> None:
     deadlines, expected, now = Deadlines(), dict[int, float](), 0.0
-    for key, ahead in steps:
-        deadlines.set(key, now + ahead)
-        expected[key] = now + ahead
-        now += ahead / 7 if ahead < math.inf else 0.5
+    for key, delay in steps:
+        deadlines.set(key, now + delay)
+        expected[key] = now + delay
+        now += delay / 7 if delay < math.inf else 0.5
         for due in deadlines.due(now):
             assert expected.pop(due) <= now
         assert all(at > now - 0.2501 for at in expected.values())
@@ -369,22 +369,22 @@
     assert not deadlines.due(1e9) and not len(deadlines)
 
 
-# --- the PROXY head ---
+# --- PROXY header ---
 
 
 @given(st.integers(1, 9), st.booleans(), st.binary(max_size=20))
 def test_fragmented_proxy_header_yields_client_address(size: int, v6: bool, rest: bytes) -> None:
     source, target = (pack_address("2001:db8::7"), pack_address("2001:db8::1")) if v6 else (UNTRUSTED, TRUSTED)
-    data, head = encode_proxy_header(source, target, 5000, 7000) + rest, ProxyHead()
+    data, parser = encode_proxy_header(source, target, 5000, 7000) + rest, ProxyHead()
     for at in range(0, len(data), size):
-        if head.done:
-            head.rest += data[at : at + size]
+        if parser.done:
+            parser.rest += data[at : at + size]
         else:
-            head.feed(data[at : at + size])
-    assert head.done and head.address == source and head.rest == rest
+            parser.feed(data[at : at + size])
+    assert parser.done and parser.address == source and parser.rest == rest
 
 
-GOOD = encode_proxy_header(UNTRUSTED, TRUSTED, 1, 2)
+VALID_HEADER = encode_proxy_header(UNTRUSTED, TRUSTED, 1, 2)
 
 
 @pytest.mark.parametrize(
@@ -392,11 +392,11 @@
     [
         b"*1\r\n$4\r\nPING\r\n",
         b"PROXY TCP4 203.0.113.7 10.0.0.5 1 2\r\n",
-        GOOD[:12] + b"\x11" + GOOD[13:],
-        GOOD[:12] + b"\x22" + GOOD[13:],
-        GOOD[:13] + b"\x12" + GOOD[14:],
-        GOOD[:14] + b"\x04\x00",
-        GOOD[:14] + b"\x00\x04" + GOOD[16:20],
+        VALID_HEADER[:12] + b"\x11" + VALID_HEADER[13:],
+        VALID_HEADER[:12] + b"\x22" + VALID_HEADER[13:],
+        VALID_HEADER[:13] + b"\x12" + VALID_HEADER[14:],
+        VALID_HEADER[:14] + b"\x04\x00",
+        VALID_HEADER[:14] + b"\x00\x04" + VALID_HEADER[16:20],
         b"\r\n\r\n\0\r\nQUIT\r",
     ],
 )
@@ -405,17 +405,17 @@
         ProxyHead().feed(data)
 
 
-def test_proxy_header_of_the_relay_itself_has_no_address() -> None:
-    head = ProxyHead()
-    head.feed(GOOD[:12] + b"\x20\x00\x00\x00rest")
-    assert head.done and head.address is None and head.rest == b"rest"
+def test_local_proxy_header_has_no_address() -> None:
+    parser = ProxyHead()
+    parser.feed(VALID_HEADER[:12] + b"\x20\x00\x00\x00rest")
+    assert parser.done and parser.address is None and parser.rest == b"rest"
 
 
 # --- accepting ---
 
 
-class Gate:
-    """Admits everybody, or only short of descriptors nobody."""
+class RecordingHandler:
+    """Connection handler that admits local connections, but none if only the spare descriptor is left."""
 
     def __init__(self) -> None:
         self.served: list[socket.socket] = []
@@ -427,32 +427,32 @@
         self.served.append(sock)
 
 
-def accepting(test: Callable[[Acceptor, Gate, Counters], object]) -> None:
+def run_with_acceptor(test: Callable[[Acceptor, RecordingHandler, Counters], object]) -> None:
     async def run() -> None:
-        counters, gate = Counters(), Gate()
-        acceptor = Acceptor(gate, b"BYE", counters, Log(Clock()))
+        counters, handler = Counters(), RecordingHandler()
+        acceptor = Acceptor(handler, b"BYE", counters, Log(Clock()))
         await acceptor.listen("127.0.0.1", 0)
         try:
-            await test(acceptor, gate, counters)  # type: ignore[misc]
+            await test(acceptor, handler, counters)  # type: ignore[misc]
         finally:
             acceptor.close()
-            for sock in gate.served:
+            for sock in handler.served:
                 sock.close()
 
     asyncio.run(run())
 
 
-async def heard(reader: asyncio.StreamReader) -> bytes:
+async def read_to_end(reader: asyncio.StreamReader) -> bytes:
     async with asyncio.timeout(20):
         return await reader.read()
 
 
-def test_listening_at_a_numeric_address_starts_no_thread() -> None:
-    """At two starts on a busy machine the loop was seen to stand still while a second thread ran: the look-up."""
+def test_listening_on_numeric_address_starts_no_thread() -> None:
+    """Guards against a look-up in a thread, which twice blocked the event loop at startup on a busy machine."""
 
     async def run() -> int:
         before = threading.active_count()
-        acceptor = Acceptor(Gate(), b"", Counters(), Log(Clock()))
+        acceptor = Acceptor(RecordingHandler(), b"", Counters(), Log(Clock()))
         await acceptor.listen("127.0.0.1", 0)
         acceptor.close()
         return threading.active_count() - before
@@ -462,7 +462,7 @@
 
 def test_host_name_is_resolved() -> None:
     async def run() -> None:
-        acceptor = Acceptor(Gate(), b"", Counters(), Log(Clock()))
+        acceptor = Acceptor(RecordingHandler(), b"", Counters(), Log(Clock()))
         await acceptor.listen("localhost", 0)
         assert acceptor.port
         acceptor.close()
@@ -470,24 +470,24 @@
     asyncio.run(run())
 
 
-def crowd(port: int) -> list[socket.socket]:
-    """Peers that have connected while the loop had no turn: all wait to be accepted at once."""
+def connect_peers(port: int) -> list[socket.socket]:
+    """Open 50 connections without yielding to the event loop, so that all wait in the backlog."""
     return [socket.create_connection(("127.0.0.1", port)) for _ in range(50)]
 
 
 def test_dropped_connections_hold_few_descriptors_at_a_time_and_are_all_closed() -> None:
-    class Dropping(Gate):
+    class DroppingHandler(RecordingHandler):
         def decide(self, address: bytes, short: bool) -> AcceptDecision:
             held.append(acceptor._dropped + 1)
             return AcceptDecision.DROP
 
     held: list[int] = []
     counters = Counters()
-    acceptor = Acceptor(Dropping(), b"BYE", counters, Log(Clock()))
+    acceptor = Acceptor(DroppingHandler(), b"BYE", counters, Log(Clock()))
 
     async def run() -> None:
         await acceptor.listen("127.0.0.1", 0)
-        peers = crowd(acceptor.port)
+        peers = connect_peers(acceptor.port)
         await eventually(lambda: len(held) == len(peers) and not acceptor._dropped)
         acceptor.close()
         for peer in peers:
@@ -498,20 +498,22 @@
     assert max(held) <= MAX_CLOSING and counters.counts["admission.waits"]
 
 
-def test_silent_operators_callers_hold_few_descriptors_beyond_their_share() -> None:
+def test_silent_operator_connections_hold_few_descriptors_beyond_their_share() -> None:
     most, held = 4, list[int]()
     descriptors = DescriptorBudget(64, {"ops": (most, most)})
 
-    class Watched(OperatorListener):
+    class RecordingListener(OperatorListener):
         def serve(self, sock: socket.socket, address: bytes) -> None:
             super().serve(sock, address)
             held.append(descriptors.parts["ops"].in_use)
 
     async def run() -> None:
-        listener = Watched(CommandTable(Lifecycle(), RequestMetrics(())), descriptors, Counters(), Log(Clock()))
+        listener = RecordingListener(
+            CommandTable(Lifecycle(), RequestMetrics(())), descriptors, Counters(), Log(Clock())
+        )
         port = await free_port()
         await listener.listen("127.0.0.1", port)
-        peers = crowd(port)
+        peers = connect_peers(port)
         await eventually(lambda: len(held) == len(peers))
         listener.close()
         for peer in peers:
@@ -522,74 +524,74 @@
     assert max(held) <= most + MAX_CLOSING
 
 
-def test_connections_without_descriptor_hear_farewell_and_service_resumes(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The process has none left but the spare one: modelled by an accept that fails while the spare is held."""
+def test_connections_without_descriptor_are_rejected_and_service_resumes(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Only the spare descriptor is left: modelled by an accept that fails while the spare is open."""
 
-    async def test(acceptor: Acceptor, gate: Gate, counters: Counters) -> None:
-        whole, short = socket.socket.accept, [True]
+    async def test(acceptor: Acceptor, handler: RecordingHandler, counters: Counters) -> None:
+        original_accept, short = socket.socket.accept, [True]
 
         def accept(self: socket.socket) -> tuple[socket.socket, object]:
             if short[0] and acceptor._spare >= 0:
                 raise OSError(errno.EMFILE, "Too many open files")
-            return whole(self)
+            return original_accept(self)
 
         monkeypatch.setattr(socket.socket, "accept", accept)
         for _ in range(5):
             reader, writer = await asyncio.open_connection("127.0.0.1", acceptor.port)
-            assert await heard(reader) == b"BYE"
+            assert await read_to_end(reader) == b"BYE"
             writer.close()
-        assert not gate.served and counters.counts["admission.no_descriptor"] >= 5
+        assert not handler.served and counters.counts["admission.no_descriptor"] >= 5
         short[0] = False
         reader, writer = await asyncio.open_connection("127.0.0.1", acceptor.port)
-        while not gate.served:
+        while not handler.served:
             await asyncio.sleep(0.005)
         writer.close()
 
-    accepting(test)
+    run_with_acceptor(test)
 
 
 def test_accepting_pauses_without_spare_descriptor_and_resumes_when_one_is_freed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def test(acceptor: Acceptor, gate: Gate, counters: Counters) -> None:
-        whole, opened, short, tries = socket.socket.accept, os.open, [True], [0]
+    async def test(acceptor: Acceptor, handler: RecordingHandler, counters: Counters) -> None:
+        original_accept, opened, short, attempts = socket.socket.accept, os.open, [True], [0]
 
         def accept(self: socket.socket) -> tuple[socket.socket, object]:
-            tries[0] += 1
+            attempts[0] += 1
             if short[0]:
                 raise OSError(errno.EMFILE, "Too many open files")
-            return whole(self)
+            return original_accept(self)
 
-        def no_open(path: str, flags: int) -> int:
+        def failing_open(path: str, flags: int) -> int:
             if short[0]:
                 raise OSError(errno.EMFILE, "Too many open files")
             return opened(path, flags)
 
         monkeypatch.setattr(socket.socket, "accept", accept)
-        monkeypatch.setattr(os, "open", no_open)
+        monkeypatch.setattr(os, "open", failing_open)
         _, writer = await asyncio.open_connection("127.0.0.1", acceptor.port)
         await asyncio.sleep(8 * RETRY_DELAY_S)
-        assert counters.counts["admission.rests"] and tries[0] < 60  # no spinning
+        assert counters.counts["admission.rests"] and attempts[0] < 60  # the event loop does not spin
         short[0] = False
         acceptor.descriptor_freed()
         await asyncio.sleep(0)
         await asyncio.sleep(0.01)
-        assert len(gate.served) == 1  # at once, not after the rest
+        assert len(handler.served) == 1  # immediately, not after the retry delay
         writer.close()
 
-    accepting(test)
+    run_with_acceptor(test)
 
 
-def test_connection_at_full_table_is_dropped_without_farewell(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def test(acceptor: Acceptor, gate: Gate, counters: Counters) -> None:
-        monkeypatch.setattr(gate, "decide", lambda address, short: AcceptDecision.DROP)
+def test_connection_at_full_table_is_dropped_without_rejection_message(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def test(acceptor: Acceptor, handler: RecordingHandler, counters: Counters) -> None:
+        monkeypatch.setattr(handler, "decide", lambda address, short: AcceptDecision.DROP)
         reader, writer = await asyncio.open_connection("127.0.0.1", acceptor.port)
         with contextlib.suppress(ConnectionResetError):
-            assert await heard(reader) == b""
+            assert await read_to_end(reader) == b""
         writer.close()
-        assert not gate.served
+        assert not handler.served
 
-    accepting(test)
+    run_with_acceptor(test)
 
 
 @pytest.mark.parametrize(
@@ -603,29 +605,29 @@
 def test_other_accept_error_affects_only_its_connection(
     number: int, counter: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def test(acceptor: Acceptor, gate: Gate, counters: Counters) -> None:
-        whole, times = socket.socket.accept, [3]
+    async def test(acceptor: Acceptor, handler: RecordingHandler, counters: Counters) -> None:
+        original_accept, times = socket.socket.accept, [3]
 
         def accept(self: socket.socket) -> tuple[socket.socket, object]:
             if times[0]:
                 times[0] -= 1
                 raise OSError(number, "made up")
-            return whole(self)
+            return original_accept(self)
 
         monkeypatch.setattr(socket.socket, "accept", accept)
         _, writer = await asyncio.open_connection("127.0.0.1", acceptor.port)
-        while not gate.served:
+        while not handler.served:
             await asyncio.sleep(0.005)
         assert counters.counts[counter] == 3
         writer.close()
 
-    accepting(test)
+    run_with_acceptor(test)
 
 
-# --- the operator's side ---
+# --- operator interface ---
 
 
-def test_example_block_is_valid_and_explained(tmp_path: object) -> None:
+def test_example_admission_block_is_valid_and_explained(tmp_path: object) -> None:
     text = (ROOT / "deploy" / "node.kdl").read_text().replace("/-admission", "admission")
     rules = rules_of(parse_setup(text).admission)
     assert rules.reserve == 0.25 and rules.rate_address == 10.0 and rules.earned_age == 3600
@@ -637,8 +639,8 @@
             ("10.20.3.4", "listed by the operator", "does not apply to it"),
             ("203.0.113.7", "stranger", "32 connections"),
         ):
-            told = json.loads(chutepin("admission", "explain", str(path), address).stdout)
-            assert told["rank"] == rank and told["cap of its address"] == cap
+            explanation = json.loads(chutepin("admission", "explain", str(path), address).stdout)
+            assert explanation["rank"] == rank and explanation["cap of its address"] == cap
         bad = chutepin("admission", "explain", str(path), "depot")
         assert bad.returncode == 2 and bad.stderr == "chutepin: ADDRESS: depot is no address\n"
     finally:
@@ -658,7 +660,7 @@
         ("reserve (%)60; new-share (%)50", "admission.new-share: with admission.reserve more than 100 %"),
     ],
 )
-def test_invalid_block_is_reported_in_one_line(text: str, message: str) -> None:
+def test_invalid_admission_block_is_reported_in_one_line(text: str, message: str) -> None:
     with pytest.raises(ConfigError) as error:
         parse_setup(f"admission {{ {text} }}")
     assert str(error.value).startswith(message) and "\n" not in str(error.value)
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -1,4 +1,4 @@
-"""The real program at a low limit of descriptors, under stand-in floods; the short form of benchmarks/admission.py."""
+"""The program with a low descriptor limit under simulated floods; a short form of benchmarks/admission.py."""
 
 from __future__ import annotations
 
@@ -46,11 +46,11 @@
 
 
 @pytest.mark.parametrize("kind", [FloodKind.ONE, FloodKind.SPREAD, FloodKind.SOUND, FloodKind.STORM])
-def test_a_known_client_is_served_while_a_flood_exhausts_the_descriptors(kind: FloodKind, tmp_path: Path) -> None:
+def test_trusted_client_is_served_while_flood_exhausts_descriptors(kind: FloodKind, tmp_path: Path) -> None:
     async def test(world: Standins, stack: AsyncExitStack) -> None:
         world.descriptors, world.calling = 96, False
         await world.start(stack, *setup(tmp_path))
-        # In a process of its own: beside it, in one event loop, the client hardly had a turn on a busy machine.
+        # The flood runs in its own process: in one event loop with it, the client was starved on a busy machine.
         flood = FloodProcess(kind, world.port, 20.0, held=200)
         await flood.start()
         stack.push_async_callback(flood.stop)
@@ -59,15 +59,15 @@
         await client.run(2.5)
         assert not flood.has_ended
         assert min(client.held.asked, client.new.asked) >= 3
-        # A busy machine may cost one request of each its second.
+        # On a busy machine one request on each connection may exceed its timeout of a second.
         assert client.held.served >= client.held.asked - 1 and client.new.served >= client.new.asked - 1
-        flooded = await flood.stop()
-        assert flooded["connected"]
+        flood_result = await flood.stop()
+        assert flood_result["connected"]
         ended = time.monotonic()
-        while True:  # a stranger is served as soon as the flood is over
-            stranger = KnownClient(world.port, source="127.0.200.1")
-            await stranger.run(0.05)
-            if stranger.new.served_share == 1 and stranger.held.served_share == 1:
+        while True:  # an untrusted client is served as soon as the flood is over
+            untrusted_client = KnownClient(world.port, source="127.0.200.1")
+            await untrusted_client.run(0.05)
+            if untrusted_client.new.served_share == 1 and untrusted_client.held.served_share == 1:
                 break
             assert time.monotonic() < ended + 10
         log = await world.leave()
@@ -77,7 +77,7 @@
     on_sockets(test)
 
 
-def test_records_that_take_all_descriptors_leave_the_front_what_it_needs(tmp_path: Path) -> None:
+def test_records_service_calls_leave_descriptors_for_balancer_connections(tmp_path: Path) -> None:
     async def test(world: Standins, stack: AsyncExitStack) -> None:
         world.descriptors, world.record_word = 64, "mute"
         await world.start(stack, *setup(tmp_path))
@@ -100,8 +100,8 @@
     on_sockets(test)
 
 
-def test_a_call_without_a_descriptor_proves_that_it_did_not_run(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def none_left(*_: object, **__: object) -> None:
+def test_records_call_without_descriptor_ends_as_unreachable(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def fail_without_descriptor(*_: object, **__: object) -> None:
         raise OSError(errno.EMFILE, "Too many open files")
 
     class Listener:
@@ -115,7 +115,7 @@
         listener.ends = []
         service = RecordsService(Address("127.0.0.1", 9), hand.clock, Counters(), Log(hand.clock), max_connections=3)
         service.listener = listener
-        monkeypatch.setattr(asyncio, "open_connection", none_left)
+        monkeypatch.setattr(asyncio, "open_connection", fail_without_descriptor)
         for number in range(5):
             service.call(f"{number}", hand.time + 5, b"", False)
         await eventually(lambda: len(listener.ends) == 5)
@@ -125,7 +125,7 @@
     asyncio.run(run())
 
 
-def test_behind_a_relay_the_rules_apply_to_the_true_address(tmp_path: Path) -> None:
+def test_rules_behind_relay_apply_to_client_address(tmp_path: Path) -> None:
     async def test(world: Standins, stack: AsyncExitStack) -> None:
         await world.start(stack, *setup(tmp_path, 'admission { per-address (connections)8; relays "127.0.77.0/24" }'))
 
@@ -134,25 +134,26 @@
             writer.write(encode_proxy_header(source, bytes(4), 1, 2) if source else b"*1\r\n$4\r\nPING\r\n")
             return Balancer(reader, writer)
 
-        strangers = [await relayed(bytes([203, 0, 113, 7])) for _ in range(12)]
-        await eventually(lambda: sum(balancer.ended for balancer in strangers) == 4)  # over the cap of its address
-        other = await relayed(bytes([203, 0, 113, 8]))
-        assert (await other.answer(other.call("position-push", b"x")))[0] == b"OK"
-        forged = await relayed(b"")
-        await eventually(lambda: forged.ended)
+        relayed_connections = [await relayed(bytes([203, 0, 113, 7])) for _ in range(12)]
+        # Four connections are above the cap of the address.
+        await eventually(lambda: sum(balancer.ended for balancer in relayed_connections) == 4)
+        other_client = await relayed(bytes([203, 0, 113, 8]))
+        assert (await other_client.answer(other_client.call("position-push", b"x")))[0] == b"OK"
+        connection_without_header = await relayed(b"")
+        await eventually(lambda: connection_without_header.ended)
         direct = await asyncio.open_connection("127.0.0.1", world.port, local_addr=("127.0.78.1", 0))
-        direct[1].write(encode_proxy_header(bytes([10, 0, 0, 1]), bytes(4), 1, 2))  # not from a relay
+        direct[1].write(encode_proxy_header(bytes([10, 0, 0, 1]), bytes(4), 1, 2))  # the sender is not a relay
         async with asyncio.timeout(20):
             assert (await direct[0].read()) == b"*2\r\n$1\r\n0\r\n$3\r\nBYE\r\n"
         log = await world.leave()
         assert "balancers.malformed=2" in log and "admission.refused.cap_address=4" in log
-        for balancer in (*strangers, other, forged):
+        for balancer in (*relayed_connections, other_client, connection_without_header):
             await balancer.close()
 
     on_sockets(test)
 
 
-def test_a_reload_brings_new_rules_and_keeps_connections(tmp_path: Path) -> None:
+def test_reload_applies_new_rules_and_keeps_connections(tmp_path: Path) -> None:
     async def test(world: Standins, stack: AsyncExitStack) -> None:
         await world.start(stack, *setup(tmp_path, "admission { per-address (connections)3 }"))
         kept = [await world.connect() for _ in range(3)]
@@ -167,39 +168,42 @@
             if word:
                 assert "states no unit" in await line_with(world, word)
 
-        async def gets_in() -> bool:
+        async def is_served() -> bool:
             balancer = await world.connect()
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(1):
                     return (await balancer.answer(balancer.call("position-push", b"x")))[0] == b"OK"
             return False
 
-        until = time.monotonic() + 30
-        while not await gets_in():
-            assert time.monotonic() < until
+        deadline = time.monotonic() + 30
+        while not await is_served():
+            assert time.monotonic() < deadline
         for balancer in kept:
-            if not balancer.ended:  # silent ones have 2 s
+            if not balancer.ended:  # silent connections are closed after 2 s
                 assert (await balancer.answer(balancer.call("position-push", b"x")))[0] == b"OK"
         await refused.close()
 
     on_sockets(test)
 
 
-def test_descriptor_budget_agrees_with_what_the_process_holds(tmp_path: Path) -> None:
+def test_descriptor_budget_matches_open_descriptors_of_process(tmp_path: Path) -> None:
     async def test(world: Standins, stack: AsyncExitStack) -> None:
         await world.start(stack, *setup(tmp_path))
         balancers = [await world.connect() for _ in range(7)]
         for balancer in balancers:
             await balancer.answer(balancer.call("position-push", b"x"))
         assert world.process is not None
-        really = len(list(Path(f"/proc/{world.process.pid}/fd").iterdir()))
+        open_descriptors = len(list(Path(f"/proc/{world.process.pid}/fd").iterdir()))
         send_signal(world.process, signal.SIGUSR1)
-        told = {
+        gauges = {
             name: int(value)
             for name, value in (part.split("=") for part in (await line_with(world, b"descriptors limit")).split()[2:])
         }
-        assert told["front.held"] == 7
-        assert abs(told["other"] + sum(v for name, v in told.items() if name.endswith(".held")) - really) <= 8
+        assert gauges["front.held"] == 7
+        assert (
+            abs(gauges["other"] + sum(v for name, v in gauges.items() if name.endswith(".held")) - open_descriptors)
+            <= 8
+        )
         for balancer in balancers:
             await balancer.close()
 
--- a/tests/test_store_command.py
+++ b/tests/test_store_command.py
@@ -1,4 +1,4 @@
-"""The sub-command `store`, and a node with a store."""
+"""The `store` sub-commands, and a node with a configured store."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
         for index in range(200):
             store.put(b"k%d" % (index % 40), b"%d" % index * 20, math.inf)
         store.put(b"\xff", b"text", 4e9)
-    checked = chutepin("store", "check", str(old))
-    assert checked.returncode == 0 and json.loads(checked.stdout)["sound"]
+    check_result = chutepin("store", "check", str(old))
+    assert check_result.returncode == 0 and json.loads(check_result.stdout)["sound"]
     assert json.loads(chutepin("store", "stat", str(old)).stdout)["keys"] == 41
     rows = [json.loads(row) for row in chutepin("store", "dump", str(old)).stdout.splitlines()]
     assert len(rows) == 41 and rows[-1] | {"seq": 0} == {
@@ -41,15 +41,15 @@
     data = bytearray(segment.read_bytes())
     data[100] ^= 1
     segment.write_bytes(data)
-    checked = chutepin("store", "check", str(old))
-    assert checked.returncode == 1 and json.loads(checked.stdout)["findings"][0]["file"] == segment.name
+    check_result = chutepin("store", "check", str(old))
+    assert check_result.returncode == 1 and json.loads(check_result.stdout)["findings"][0]["file"] == segment.name
     repaired = chutepin("store", "repair", str(old), str(new), "--yes")
     assert repaired.returncode == 1 and json.loads(repaired.stdout)["kept"] == 40
     with Store.open(new) as store:
         assert len(store) == 40
     for arguments in (["stat", str(tmp_path)], ["compact", str(tmp_path)]):
-        done = chutepin("store", *arguments)
-        assert done.returncode == 2 and "no store is here" in done.stderr and done.stderr.count("\n") == 1
+        result = chutepin("store", *arguments)
+        assert result.returncode == 2 and "no store is here" in result.stderr and result.stderr.count("\n") == 1
 
 
 def test_node_opens_configured_store_and_refuses_damaged_one(tmp_path: Path) -> None:
@@ -66,7 +66,7 @@
     (tmp_path / "store" / "MANIFEST").write_bytes(b"")
     config = tmp_path / "config.json"
     config.write_text(json.dumps(EXAMPLE))
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "chutepin", "node", "--setup", str(setup)],
         cwd=ROOT,
         text=True,
@@ -74,5 +74,9 @@
         capture_output=True,
         check=False,
     )
-    assert done.returncode == 2 and done.stderr.startswith("chutepin: store.directory: ") and "MANIFEST" in done.stderr
-    assert done.stderr.count("\n") == 1
+    assert (
+        result.returncode == 2
+        and result.stderr.startswith("chutepin: store.directory: ")
+        and "MANIFEST" in result.stderr
+    )
+    assert result.stderr.count("\n") == 1
--- a/tests/test_store_writer_thread.py
+++ b/tests/test_store_writer_thread.py
@@ -1,4 +1,4 @@
-"""The store with its writing thread: group commit, a disk that stalls or fails, killed processes."""
+"""The store with its writer thread: group commit, stalled and failed disks, killed processes."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 from .test_setup import chutepin
 
 
-class Disk(LocalFileSystem):
-    """The real directory; its syncs wait while `gate` is closed, and fail with `error`."""
+class GatedFileSystem(LocalFileSystem):
+    """A real directory whose syncs block while `gate` is cleared and fail with `error`."""
 
     def __init__(self, directory: Path) -> None:
         super().__init__(directory)
@@ -55,16 +55,16 @@
         return self._gated(super().create(name))
 
 
-def with_store(directory: Path, test: Callable[[Store, Disk], object]) -> None:
+def with_store(directory: Path, test: Callable[[Store, GatedFileSystem], object]) -> None:
     async def run() -> None:
-        disk = Disk(directory)
-        store = Store.open(directory, max_bytes=2**22, files=disk, sync_every=10.0)
+        file_system = GatedFileSystem(directory)
+        store = Store.open(directory, max_bytes=2**22, files=file_system, sync_every=10.0)
         store.put(b"first", b"", math.inf)
         await store.committed()
         try:
-            await test(store, disk)  # type: ignore[misc]
+            await test(store, file_system)  # type: ignore[misc]
         finally:
-            disk.gate.set()
+            file_system.gate.set()
             await asyncio.to_thread(_close, store)
 
     asyncio.run(run())
@@ -76,32 +76,32 @@
 
 
 def test_concurrent_commits_share_one_sync(tmp_path: Path) -> None:
-    async def test(store: Store, disk: Disk) -> None:
-        disk.gate.clear()
+    async def test(store: Store, file_system: GatedFileSystem) -> None:
+        file_system.gate.clear()
         store.put(b"a", b"", math.inf)
         blocked = asyncio.ensure_future(store.committed())
         await asyncio.sleep(0.05)
-        before = disk.syncs
+        before = file_system.syncs
         waiting = []
         for index in range(200):
             store.put(b"%d" % index, b"v", math.inf)
             waiting.append(asyncio.ensure_future(store.committed()))
         await asyncio.sleep(0.05)
         assert not blocked.done() and not any(future.done() for future in waiting)
-        disk.gate.set()
+        file_system.gate.set()
         await asyncio.gather(blocked, *waiting)
-        assert disk.syncs - before <= 4  # the blocked one, theirs, and at most those of a new segment
+        assert file_system.syncs - before <= 4  # the blocked sync, the shared one, and those of a new segment
 
     with_store(tmp_path, test)
 
 
 def test_stalled_disk_does_not_block_event_loop_and_full_queue_raises_busy(tmp_path: Path) -> None:
-    async def test(store: Store, disk: Disk) -> None:
-        disk.gate.clear()
-        longest, busy, put = 0.0, 0, 0
+    async def test(store: Store, file_system: GatedFileSystem) -> None:
+        file_system.gate.clear()
+        longest_call_s, busy, put = 0.0, 0, 0
         waiting = []
         for index in range(3000):
-            begun = time.monotonic()
+            start = time.monotonic()
             try:
                 store.offer(b"%d" % index, bytes(4000), math.inf)
                 put += 1
@@ -110,12 +110,12 @@
             except (StoreBusyError, StoreFullError):
                 busy += 1
             assert store.get(b"first") == b""
-            longest = max(longest, time.monotonic() - begun)
+            longest_call_s = max(longest_call_s, time.monotonic() - start)
             if index % 50 == 0:
                 await asyncio.sleep(0)
-        assert busy and put and longest < 1.0  # a stall of the disk lasts until the gate opens, 30 s
+        assert busy and put and longest_call_s < 1.0  # the disk stalls until the gate opens, up to 30 s
         assert not any(future.done() for future in waiting)
-        disk.gate.set()
+        file_system.gate.set()
         await store.room()
         await asyncio.gather(*waiting)
         store.offer(b"again", b"", math.inf)
@@ -125,16 +125,16 @@
 
 
 def test_failed_sync_fails_every_waiting_commit(tmp_path: Path) -> None:
-    async def test(store: Store, disk: Disk) -> None:
-        disk.gate.clear()
+    async def test(store: Store, file_system: GatedFileSystem) -> None:
+        file_system.gate.clear()
         store.put(b"a", b"", math.inf)
         waiting = [asyncio.ensure_future(store.committed()) for _ in range(5)]
         await asyncio.sleep(0.02)
-        disk.error = OSError(errno.EIO, "Input/output error")
-        disk.gate.set()
+        file_system.error = OSError(errno.EIO, "Input/output error")
+        file_system.gate.set()
         results = await asyncio.gather(*waiting, return_exceptions=True)
         assert all(isinstance(result, StoreFailedError) for result in results)
-        disk.error = None  # a later sync would succeed, and lie
+        file_system.error = None  # a later sync would succeed without the lost data
         with pytest.raises(StoreFailedError):
             store.put(b"b", b"", math.inf)
         for attempt in (store.commit, store.compact):
@@ -153,9 +153,9 @@
 def test_put_is_synced_after_interval_without_commit(tmp_path: Path) -> None:
     store = Store.open(tmp_path, max_bytes=2**22, sync_every=0.01)
     store.put(b"a", b"1", math.inf)
-    until = time.monotonic() + 30
+    deadline = time.monotonic() + 30
     while store.metrics()["queued_bytes"]:
-        assert time.monotonic() < until
+        assert time.monotonic() < deadline
         time.sleep(0.005)
     store.close()
     with pytest.raises(StoreClosedError):
@@ -190,8 +190,8 @@
     assert dict(store.items()) == whole
     store.compact()
     store.close()
-    with Store.open(tmp_path, max_bytes=2**19) as again:
-        assert dict(again.items()) == whole and len(again) == len(whole)
+    with Store.open(tmp_path, max_bytes=2**19) as reopened:
+        assert dict(reopened.items()) == whole and len(reopened) == len(whole)
 
 
 @pytest.mark.parametrize(
@@ -204,12 +204,12 @@
 
 def test_invalid_put_is_refused(tmp_path: Path) -> None:
     with Store.open(tmp_path, segment_bytes=4096, max_bytes=2**17) as store:
-        for key, value, expires, why in (
+        for key, value, expires, message in (
             (b"k" * 70000, b"", 1.0, "a key of"),
             (b"k", bytes(4096), 1.0, "at most"),
             (b"k", b"", math.nan, "not a number"),
         ):
-            with pytest.raises(StoreError, match=why):
+            with pytest.raises(StoreError, match=message):
                 store.put(key, value, expires)
 
 
--- a/tests/test_stored_data_errors.py
+++ b/tests/test_stored_data_errors.py
@@ -1,7 +1,7 @@
-"""Readers of what the node itself wrote to disk: whatever stands there, only the reader's own error escapes.
+"""Decoders of stored data raise only their own error on malformed data with a valid checksum.
 
-Checksums catch what a disk spoils. These tests put the right checksum on other content, as another version or a wrong
-tool would."""
+Checksums detect disk corruption. These tests compute valid checksums for malformed content, as another version or a
+faulty tool could write."""
 
 from __future__ import annotations
 
@@ -38,18 +38,18 @@
 MANIFEST_FIELDS = ["generation", "segment_bytes", "next", "mark", "segments"]
 
 
-def sealed_manifest(body: bytes) -> bytes:
-    """A manifest of this body with the right length and checksum."""
+def manifest_with_checksum(body: bytes) -> bytes:
+    """Return a manifest of this body with the correct length and checksum."""
     name = MANIFEST.partition(b"\n")[0].rsplit(b" ", 2)[0]
     return b"%b %08d %08x\n" % (name, len(body), crc32c(body)) + body
 
 
-def sealed_hint(content: bytes) -> bytes:
+def hint_with_checksum(content: bytes) -> bytes:
     return content + struct.pack("<I", crc32c(content))
 
 
-def sound_hint() -> bytes:
-    """The hint of a segment with three records in two runs."""
+def valid_hint() -> bytes:
+    """Return the hint of a segment with three records in two runs."""
     writer = HintWriter()
     location = struct.pack("<qIIQ", 1, 2, 3, 4)
     writer.add(1, b"key", 1, location, 40)
@@ -58,17 +58,19 @@
     return writer.encode(1, 4096, 3, 9)
 
 
-def test_seals_are_put_on_as_the_store_does() -> None:
-    """Else the tests below would only see wrong checksums."""
-    assert sealed_manifest(MANIFEST.partition(b"\n")[2]) == MANIFEST
-    assert sealed_hint(sound_hint()[:-4]) == sound_hint()
-    assert len(decode_hint(sound_hint(), 1, 4096, 3, 9)) == 2
+def test_checksum_helpers_match_store_encoding() -> None:
+    """Otherwise the tests below would only exercise checksum mismatches."""
+    assert manifest_with_checksum(MANIFEST.partition(b"\n")[2]) == MANIFEST
+    assert hint_with_checksum(valid_hint()[:-4]) == valid_hint()
+    assert len(decode_hint(valid_hint(), 1, 4096, 3, 9)) == 2
 
 
-# Guards against a traceback in place of the store's message of what is damaged.
+# Guards against an unhandled exception instead of the store's message on the damage.
 @FUZZ
 @given(data=st.data(), name=st.sampled_from(MANIFEST_FIELDS), value=PLAIN_VALUES)
-def test_manifest_of_another_shape_is_corrupt_data(data: st.DataObject, name: str, value: Any) -> None:
+def test_malformed_manifest_with_valid_checksum_raises_corrupt_data_error(
+    data: st.DataObject, name: str, value: Any
+) -> None:
     raw = json.loads(MANIFEST.partition(b"\n")[2])
     raw[name] = value
     if data.draw(st.booleans()):
@@ -77,18 +79,18 @@
     if data.draw(st.booleans()):
         body = data.draw(changed(body))
     try:
-        manifest = decode_manifest(sealed_manifest(body))
+        manifest = decode_manifest(manifest_with_checksum(body))
     except CorruptDataError:
         return
-    assert decode_manifest(encode_manifest(manifest)) == manifest  # every field is what it must be
+    assert decode_manifest(encode_manifest(manifest)) == manifest  # every field has its type
 
 
 @FUZZ
 @given(data=st.data())
-def test_hint_of_another_shape_is_corrupt_data(data: st.DataObject) -> None:
-    sound = sound_hint()
+def test_malformed_hint_with_valid_checksum_raises_corrupt_data_error(data: st.DataObject) -> None:
+    valid = valid_hint()
     try:
-        runs = decode_hint(sealed_hint(data.draw(changed(sound[:-4]))), 1, 4096, 3, 9)
+        runs = decode_hint(hint_with_checksum(data.draw(changed(valid[:-4]))), 1, 4096, 3, 9)
     except CorruptDataError:
         return
     for run in runs:
@@ -96,7 +98,7 @@
 
 
 def stored_values() -> dict[bytes, bytes]:
-    """What a journal keeps of a term, a snapshot and an entry after it."""
+    """Return the stored values of a journal with a term, a snapshot and an entry after it."""
     head = [4, 2, [["n1"], []], 0, 0, 5, [1, 0, 0]]
     return {
         TERM_KEY: msgpack.packb([3, "n1"]),
@@ -105,9 +107,9 @@
     }
 
 
-def test_stored_values_are_those_of_a_sound_journal() -> None:
-    saved, _ = Journal().load(stored_values().get)
-    assert saved.term == 3 and saved.base_index == 4 and len(saved.entries) == 1
+def test_sample_journal_is_valid() -> None:
+    state, _ = Journal().load(stored_values().get)
+    assert state.term == 3 and state.base_index == 4 and len(state.entries) == 1
 
 
 @FUZZ
@@ -117,25 +119,23 @@
     position=st.integers(0, 6),
     value=PLAIN_VALUES,
 )
-def test_journal_of_another_shape_is_a_journal_error(
-    data: st.DataObject, key: bytes, position: int, value: Any
-) -> None:
+def test_malformed_journal_raises_journal_error(data: st.DataObject, key: bytes, position: int, value: Any) -> None:
     values = stored_values()
     fields = msgpack.unpackb(values[key])
     fields[position % len(fields)] = value
     raw = msgpack.packb(fields)
     values[key] = data.draw(changed(raw)) if data.draw(st.booleans()) else raw
     try:
-        saved, _ = Journal().load(values.get)
+        state, _ = Journal().load(values.get)
     except JournalError:
         return
-    assert isinstance(saved.term, int) and isinstance(saved.voted_for, str)
-    for entry in saved.entries:
+    assert isinstance(state.term, int) and isinstance(state.voted_for, str)
+    for entry in state.entries:
         assert isinstance(entry.index, int) and isinstance(entry.term, int) and isinstance(entry.data, bytes)
 
 
 @pytest.mark.parametrize("count", [2**31, 2**63 - 1, -1])
-def test_snapshot_of_more_chunks_than_there_are_is_damaged_at_once(count: int) -> None:
+def test_snapshot_with_impossible_chunk_count_raises_journal_error_without_delay(count: int) -> None:
     values = stored_values()
     head = msgpack.unpackb(values[SNAPSHOT_KEY])
     head[3] = count
