--- a/chutepin/admission/addresses.py
+++ b/chutepin/admission/addresses.py
@@ -26,7 +26,7 @@
 
 
 def address_block(address: bytes, v4: int, v6: int) -> bytes:
-    """The first `v4` or `v6` bits of an address after a byte for its family, which its neighbours share."""
+    """Return the block of an address: a byte for the family, then the first `v4` or `v6` bits of the address."""
     bits = v4 if len(address) == 4 else v6
     full_bytes, remaining_bits = divmod(bits, 8)
     prefix = address[:full_bytes]
--- a/chutepin/admission/rules.py
+++ b/chutepin/admission/rules.py
@@ -27,9 +27,9 @@
     reserve: float = 0.0  # fraction of the table that is closed to untrusted connections
     known: Networks = field(default_factory=Networks)
     relays: Networks = field(default_factory=Networks)  # send the client's address in a PROXY protocol header
-    earn_requests: int = 0
-    earn_over: float = 10.0  # seconds
-    earned_age: float = 3600.0  # seconds
+    earn_requests: int = 0  # valid requests after which an address earns trust
+    earn_over: float = 10.0  # seconds over which the requests must be spread at least
+    earned_age: float = 3600.0  # seconds after the last request until earned trust expires
     remembered: int = 4096  # maximum addresses or blocks in each of the rate limiters and reputation maps
 
     def reserved_places(self, limit: int) -> int:
--- a/chutepin/admission/table.py
+++ b/chutepin/admission/table.py
@@ -50,7 +50,7 @@
         self.untrusted_count = 0
         self.new_count = 0  # untrusted connections without a valid request
         self.eviction_queues = EvictionQueues(self.entries)
-        self._reputation = _reputation(rules)
+        self._reputation = _new_reputation(rules)
         self._set_rates(rules)
 
     def apply(self, rules: Rules) -> None:
@@ -62,7 +62,7 @@
         self.rules = rules
         self._set_rates(rules)
         if _earning_settings(rules) != _earning_settings(old):
-            self._reputation = _reputation(rules)
+            self._reputation = _new_reputation(rules)
         self.by_block.clear()
         for connection in self.entries.values():
             connection.block = self._block_of(connection.address)
@@ -72,8 +72,8 @@
             self._update_trust(address, max((self.entries[key].last_active for key in keys), default=0.0))
 
     def _set_rates(self, rules: Rules) -> None:
-        self._address_rate = _rate_limiter(rules.rate_address, rules.burst_address, rules)
-        self._block_rate = _rate_limiter(rules.rate_block, rules.burst_block, rules)
+        self._address_rate = _new_rate_limiter(rules.rate_address, rules.burst_address, rules)
+        self._block_rate = _new_rate_limiter(rules.rate_block, rules.burst_block, rules)
 
     def trust_of(self, now: float, address: bytes) -> ClientTrust:
         """Return the trust of an address."""
@@ -257,7 +257,7 @@
         return explain_rules(self.rules, self.limit, address, self.trust_of(now, address))
 
 
-def _rate_limiter(rate: float, burst: int, rules: Rules) -> RateLimiter | None:
+def _new_rate_limiter(rate: float, burst: int, rules: Rules) -> RateLimiter | None:
     return RateLimiter(rate, burst, rules.remembered) if rate else None
 
 
@@ -265,5 +265,5 @@
     return rules.earn_requests, rules.earn_over, rules.earned_age, rules.remembered
 
 
-def _reputation(rules: Rules) -> Reputation:
+def _new_reputation(rules: Rules) -> Reputation:
     return Reputation(*_earning_settings(rules))
--- a/chutepin/store/inspection.py
+++ b/chutepin/store/inspection.py
@@ -62,7 +62,7 @@
     try:
         file_system.lock(create=False)
     except OSError as error:
-        raise StoreError(f"{path}: no store is here: {error.strerror or error}") from None
+        raise StoreError(f"{path}: no store in this directory: {error.strerror or error}") from None
     try:
         yield file_system
     except OSError as error:
--- a/chutepin/store/segment_files.py
+++ b/chutepin/store/segment_files.py
@@ -27,7 +27,7 @@
             if file is None:
                 file = self._files[number] = self._context.file_system.open(segment_name(number))
                 if len(self._files) > MAX_OPEN_SEGMENTS:
-                    self._close_oldest(keep=number)
+                    self._close_least_recently_used(keep=number)
             self._files.move_to_end(number)
             return file
 
@@ -45,7 +45,7 @@
         self._files.clear()
         return files
 
-    def _close_oldest(self, keep: int) -> None:
+    def _close_least_recently_used(self, keep: int) -> None:
         """Close the least recently used file of a durable segment. The writer may use the others outside the lock."""
         segments = self._context.log.segments
         for number in self._files:
--- a/tests/test_store_command.py
+++ b/tests/test_store_command.py
@@ -49,7 +49,9 @@
         assert len(store) == 40
     for arguments in (["stat", str(tmp_path)], ["compact", str(tmp_path)]):
         result = chutepin("store", *arguments)
-        assert result.returncode == 2 and "no store is here" in result.stderr and result.stderr.count("\n") == 1
+        assert (
+            result.returncode == 2 and "no store in this directory" in result.stderr and result.stderr.count("\n") == 1
+        )
 
 
 def test_node_opens_configured_store_and_refuses_damaged_one(tmp_path: Path) -> None:
--- a/tests/test_store_writer_thread.py
+++ b/tests/test_store_writer_thread.py
@@ -98,22 +98,22 @@
 def test_stalled_disk_does_not_block_event_loop_and_full_queue_raises_busy(tmp_path: Path) -> None:
     async def test(store: Store, file_system: GatedFileSystem) -> None:
         file_system.gate.clear()
-        longest_call_s, busy, put = 0.0, 0, 0
+        longest_call_s, refused, accepted = 0.0, 0, 0
         waiting = []
         for index in range(3000):
             start = time.monotonic()
             try:
                 store.offer(b"%d" % index, bytes(4000), math.inf)
-                put += 1
+                accepted += 1
                 if index % 100 == 0:
                     waiting.append(asyncio.ensure_future(store.committed()))
             except (StoreBusyError, StoreFullError):
-                busy += 1
+                refused += 1
             assert store.get(b"first") == b""
             longest_call_s = max(longest_call_s, time.monotonic() - start)
             if index % 50 == 0:
                 await asyncio.sleep(0)
-        assert busy and put and longest_call_s < 1.0  # the disk stalls until the gate opens, up to 30 s
+        assert refused and accepted and longest_call_s < 1.0  # the disk stalls until the gate opens, up to 30 s
         assert not any(future.done() for future in waiting)
         file_system.gate.set()
         await store.room()
@@ -186,12 +186,12 @@
         thread.start()
     for thread in threads:
         thread.join()
-    whole = {key: value for model in models for key, value in model.items()}
-    assert dict(store.items()) == whole
+    expected = {key: value for model in models for key, value in model.items()}
+    assert dict(store.items()) == expected
     store.compact()
     store.close()
     with Store.open(tmp_path, max_bytes=2**19) as reopened:
-        assert dict(reopened.items()) == whole and len(reopened) == len(whole)
+        assert dict(reopened.items()) == expected and len(reopened) == len(expected)
 
 
 @pytest.mark.parametrize(
@@ -214,10 +214,10 @@
 
 
 def test_short_write_is_continued(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    whole = os.pwritev
+    original_pwritev = os.pwritev
 
     def short(descriptor: int, buffers: Sequence[bytes], offset: int) -> int:
-        return whole(descriptor, [bytes(buffers[0])[: max(1, len(buffers[0]) // 2)]], offset)
+        return original_pwritev(descriptor, [bytes(buffers[0])[: max(1, len(buffers[0]) // 2)]], offset)
 
     monkeypatch.setattr(os, "pwritev", short)
     with Store.open(tmp_path, max_bytes=2**20) as store:
