--- a/chutepin/admission/acceptor.py
+++ b/chutepin/admission/acceptor.py
@@ -49,7 +49,7 @@
 
 
 class AcceptDecision(Enum):
-    """What to do with a new connection."""
+    """A decision on a new connection."""
 
     SERVE = 1
     REJECT = 2  # send the rejection message, then close the connection gracefully
@@ -61,7 +61,7 @@
 
 
 class AddressSharing(Enum):
-    """Whether another process may listen on the same address."""
+    """Sharing of a listening address with other processes."""
 
     NONE = 1
     LATER = 2  # no other process listens now; another process of this node may later
@@ -116,7 +116,7 @@
         log: Log,
         has_descriptor: Callable[[int], bool] = lambda dropped: dropped < MAX_CLOSING,
     ) -> None:
-        """`has_descriptor(dropped)`: whether to accept another connection while `dropped` dropped ones are open."""
+        """`has_descriptor(dropped)` decides whether to accept a connection while `dropped` dropped ones are open."""
         self._handler = handler
         self._rejection_message = rejection_message
         self._counters = counters
--- a/chutepin/store/compaction.py
+++ b/chutepin/store/compaction.py
@@ -53,7 +53,7 @@
 
     @property
     def waits_for_segment(self) -> bool:
-        """Whether the next record can't be copied until a segment is allocated."""
+        """Return whether the next record can't be copied until a segment is allocated."""
         return self._current is not None and self._current.pending_record is not None
 
     def request_full(self) -> None:
--- a/chutepin/store/engine.py
+++ b/chutepin/store/engine.py
@@ -129,15 +129,15 @@
         self.context.file_system.unlock()
 
     def put(self, key: bytes, value: bytes, expires: float, waited: bool = False) -> bool:
-        """See `RecordAppender.put`."""
+        """Append a put. See `RecordAppender.put`."""
         return self._appender.put(key, value, expires, waited)
 
     def put_many(self, items: Sequence[tuple[bytes, bytes]], expires: float, waited: bool = False) -> int:
-        """See `RecordAppender.put_many`."""
+        """Append puts with one expiry. See `RecordAppender.put_many`."""
         return self._appender.put_many(items, expires, waited)
 
     def delete(self, key: bytes, waited: bool = False) -> bool:
-        """See `RecordAppender.delete`."""
+        """Append a delete. See `RecordAppender.delete`."""
         return self._appender.delete(key, waited)
 
     def get(self, key: bytes) -> bytes | None:
@@ -226,7 +226,7 @@
 
     @property
     def is_compacting(self) -> bool:
-        """Whether a requested compaction is not complete."""
+        """Return whether a requested compaction is not complete."""
         return self._compactor.full_before != 0
 
     def next_expiry(self) -> float:
--- a/chutepin/store/inspection.py
+++ b/chutepin/store/inspection.py
@@ -47,7 +47,7 @@
 
     @property
     def sound(self) -> bool:
-        """Whether no finding is a loss."""
+        """Return whether no finding is a loss."""
         return not any(finding.loss for finding in self.findings)
 
     def as_dict(self) -> dict[str, object]:
--- a/chutepin/store/recovery.py
+++ b/chutepin/store/recovery.py
@@ -53,7 +53,7 @@
 
     @property
     def used(self) -> bool:
-        """Whether the segment holds records or torn bytes."""
+        """Return whether the segment holds records or torn bytes."""
         return bool(self.segment.record_count or self.torn_bytes)
 
 
--- a/chutepin/store/segment.py
+++ b/chutepin/store/segment.py
@@ -36,7 +36,7 @@
 
     @property
     def fully_durable(self) -> bool:
-        """Whether the segment is sealed and synced up to its end."""
+        """Return whether the segment is sealed and synced up to its end."""
         return self.sealed and self.durable_end == self.end
 
     @property
