--- a/chutepin/__init__.py
+++ b/chutepin/__init__.py
@@ -1,1 +1,1 @@
-"""chutepin: a node that brokers requests between callers, an executor and the service below."""
+"""chutepin: a broker of requests between callers, an executor and the records service."""
--- a/chutepin/__main__.py
+++ b/chutepin/__main__.py
@@ -1,7 +1,7 @@
-"""Entry of `python -m chutepin`.
+"""Entry point of `python -m chutepin`.
 
-Without arguments it is a node, and the library of the command line is not even loaded: that is 3 MB of the 32 MB
-which a node on the platform may have."""
+Without arguments the process runs a node and does not import the command-line library, which takes 3 MB of the 32 MB
+that a node on the platform may use."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def main() -> int:
-    """Run a node, or the sub-command that was asked for; its exit code."""
+    """Run a node, or the sub-command given in the arguments, and return the exit code."""
     if len(sys.argv) == 1:
         signals.install_handlers()
         from .serve import serve
--- a/chutepin/cli/admission.py
+++ b/chutepin/cli/admission.py
@@ -8,7 +8,7 @@
 from ..admission.addresses import LOCAL, pack_address
 from ..config import ConfigError, load_setup
 from ..logs import print_line
-from ..node import rules_of
+from ..node import build_rules
 from .output import as_json, show_json, show_table
 
 
@@ -33,7 +33,7 @@
 
     Standing that is earned shows only in a node."""
     try:
-        rules = rules_of(load_setup(file).admission)
+        rules = build_rules(load_setup(file).admission)
     except ConfigError as error:
         print_line(str(error))
         return 2
--- a/chutepin/counters.py
+++ b/chutepin/counters.py
@@ -1,4 +1,4 @@
-"""Named counters of what is received, sent and answered, and of invariants that did not hold."""
+"""Holds the named counters of the process, including those of violated invariants."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 
 
 class Counters:
-    """Named counts of what is taken in, sent and answered, and of invariants that did not hold."""
+    """A set of named counters: messages received, sent and answered, errors, and violated invariants."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
 
     def add(self, name: str, by: int = 1) -> None:
-        """Count an occurrence."""
+        """Increase a counter."""
         self.counts[name] += by
 
     def check_invariant(self, condition: bool, name: str) -> bool:
-        """Check an invariant: asserted in debug builds, counted in release builds (`python -O`)."""
+        """Count a violated invariant, and assert it unless assertions are off (`python -O`); return `condition`."""
         if not condition:
             self.add(f"invariant.{name}")
         assert condition, name
         return condition
 
     def as_line(self) -> str:
-        """All counts on one line."""
+        """Return all counters on one line."""
         return " ".join(f"{name}={count}" for name, count in sorted(self.counts.items()))
--- a/chutepin/descriptors.py
+++ b/chutepin/descriptors.py
@@ -1,4 +1,4 @@
-"""The file descriptors of the process: how many are open, and the shares that the parts of a node may take."""
+"""Counts the open file descriptors of the process and sets the share of each part of the node."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 def count_open_descriptors() -> int | None:
-    """Return how many descriptors the process has open; None where the system doesn't tell."""
+    """Return the number of open descriptors of the process; None if the system does not provide it."""
     try:
-        return len(os.listdir("/proc/self/fd")) - 1  # the listing itself holds one
+        return len(os.listdir("/proc/self/fd")) - 1  # listdir itself opens one
     except OSError:
         return None
 
@@ -18,10 +18,11 @@
 def build_budget(
     limit: int, amqp: bool, store: bool, ops: bool = False, cluster: bool = False, consensus: bool = False
 ) -> DescriptorBudget:
-    """Build the budget of a node with these optional parts.
+    """Build the descriptor budget of a node with these optional parts.
 
-    Half is for the front at most, two fifths for records, as after a reload old and new connections stand side by
-    side; what must reconnect has its own."""
+    The listener for balancers ("front") may take half of the limit. The records service may take two fifths, because
+    after a reload old and new connections are open at the same time. Parts that must be able to reconnect have
+    reserved descriptors."""
     return DescriptorBudget(
         limit,
         {
--- a/chutepin/handover_host.py
+++ b/chutepin/handover_host.py
@@ -1,4 +1,4 @@
-"""The node as a hand-over to or from its other process sees it."""
+"""Implements `handover.HandoverHost` on top of the broker, the listeners and the subsystems of a node."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class NodeHandoverHost:
-    """The node as the hand-over sees it (`handover.HandoverHost`)."""
+    """The node's side of a hand-over between its two processes (`handover.HandoverHost`)."""
 
     def __init__(
         self,
@@ -25,7 +25,7 @@
         descriptors: DescriptorBudget,
         max_descriptors: int,
     ) -> None:
-        """`max_descriptors`: of both processes together."""
+        """Initialize the host; `max_descriptors` is the limit of both processes together."""
         self._broker = broker
         self._front = front
         self._subsystems = subsystems
@@ -34,15 +34,15 @@
         self._max_descriptors = max_descriptors
 
     def records(self) -> list[IdempotencyRecord]:
-        """Return all records of this process."""
+        """Return all idempotency records of this process."""
         return list(self._broker.keys.records.values())
 
     def is_current(self, record: IdempotencyRecord) -> bool:
-        """The record is still in the table."""
+        """Return whether the record is still in the table."""
         return self._broker.keys.records.get(record.key) is record
 
     def peer_record_changed(self, record: IdempotencyRecord) -> None:
-        """Apply a record of the other process."""
+        """Apply a new or changed record of the other process."""
         self._broker.peer_exchange.peer_record_changed(record)
 
     def peer_key_removed(self, key: str) -> None:
@@ -50,45 +50,45 @@
         self._broker.peer_exchange.peer_key_removed(key)
 
     def peer_requests_key(self, request: KeyRequest) -> bool:
-        """Decide whether the other process may take a key."""
+        """Return whether the other process may take a key."""
         return self._broker.peer_exchange.peer_requests_key(request)
 
     def key_replied(self, request_id: str, key: str, is_granted: bool) -> None:
-        """Go on with a request that waits for its key."""
+        """Continue a request that waits for its key."""
         self._broker.peer_exchange.key_replied(request_id, key, is_granted)
 
     def peer_lost(self) -> None:
-        """Settle what the other process held."""
+        """Settle the records and keys that the other process held."""
         self._broker.peer_exchange.peer_lost()
 
     def learned_statistics(self) -> dict[str, object]:
-        """Return what the decision module has learned."""
+        """Return the statistics that the decision module has learned."""
         return self._broker.peer_exchange.learned()
 
     def adopt_statistics(self, statistics: dict[str, object]) -> None:
-        """Begin with what the predecessor's decision module had learned."""
+        """Start from the statistics that the predecessor's decision module had learned."""
         self._broker.peer_exchange.adopt(statistics)
 
     def usage(self) -> ProcessUsage:
-        """Return what this process uses of the node's limits."""
+        """Return this process's share of the node's limits: runs, memory and descriptors."""
         running, memory_kb = self._broker.peer_exchange.usage
         descriptors = self._descriptors.in_use + self._descriptors.unattributed
         return ProcessUsage(running, memory_kb, descriptors)
 
     def set_peer_usage(self, usage: ProcessUsage) -> None:
-        """Leave room for what the other process uses."""
+        """Subtract the other process's usage from the limits of this process."""
         self._descriptors.limit = self._max_descriptors - usage.descriptors
         self._broker.peer_exchange.set_peer_usage(usage.running, usage.memory_kb)
 
     def yield_ownership(self) -> None:
-        """Stop accepting: a successor serves."""
+        """Stop accepting connections: a successor serves."""
         self._lifecycle.apply(Transition.SUCCESSOR_READY)
         self._front.yield_ownership()
         for part in self._subsystems:
             part.yield_ownership()
 
     def resume_ownership(self) -> None:
-        """Accept again: the successor has gone."""
+        """Accept connections again: the successor has ended."""
         self._lifecycle.apply(Transition.SUCCESSOR_LOST)
         self._front.resume_ownership()
         for part in self._subsystems:
--- a/chutepin/lifecycle.py
+++ b/chutepin/lifecycle.py
@@ -1,6 +1,6 @@
-"""The states of the process and the transitions between them, as one table without I/O.
+"""Defines the states of the process and the transitions between them, as one table without I/O.
 
-Health checks, the operators' calls, the hand-over and SIGTERM read or drive it."""
+Health checks read the state; operators' commands, the hand-over and SIGTERM change it."""
 
 from __future__ import annotations
 
@@ -8,27 +8,27 @@
 
 
 class State(Enum):
-    """What the process is doing."""
+    """The state of the process."""
 
-    STARTING = "starting"  # the executor is not up, or a predecessor has not handed over
+    STARTING = "starting"  # the executor has not started, or a predecessor has not handed over
     SERVING = "serving"
-    DRAINED = "drained"  # by an operator's call: health checks fail, requests are served
-    HANDING_OVER = "handing over"  # a successor serves; what is open here is finished
-    LEAVING = "leaving"  # told to end
+    DRAINED = "drained"  # by an operator's command: health checks fail, requests are still served
+    HANDING_OVER = "handing over"  # a successor serves; this process finishes its open requests
+    LEAVING = "leaving"  # shutting down
 
 
 class Transition(Enum):
-    """What may change the state."""
+    """An event that may change the state."""
 
     CAN_SERVE = "can serve"
     DRAIN = "drain"
     RESUME = "resume"
-    SUCCESSOR_READY = "successor ready"  # a successor can serve
-    SUCCESSOR_LOST = "successor lost"  # the successor has gone
+    SUCCESSOR_READY = "successor ready"  # a successor is ready to serve
+    SUCCESSOR_LOST = "successor lost"  # the successor has ended
     LEAVE = "leave"
 
 
-# Every legal transition; any other changes nothing.
+# All valid transitions; any other leaves the state unchanged.
 TRANSITIONS: dict[State, dict[Transition, State]] = {
     State.STARTING: {Transition.CAN_SERVE: State.SERVING, Transition.LEAVE: State.LEAVING},
     State.SERVING: {
@@ -50,14 +50,14 @@
 
 
 class Lifecycle:
-    """The present state of the process."""
+    """The current state of the process."""
 
     def __init__(self) -> None:
         self.state = State.STARTING
-        self.handed_over = False  # a successor was serving when the process was told to leave
+        self.handed_over = False  # whether a successor was serving when the shutdown was requested
 
     def apply(self, transition: Transition) -> bool:
-        """Make a transition; false, and no change, where the present state does not allow it."""
+        """Make a transition; return False, without a change, if the current state does not allow it."""
         next_state = TRANSITIONS[self.state].get(transition)
         if next_state is None:
             return False
@@ -68,13 +68,13 @@
 
     @property
     def can_serve(self) -> bool:
-        """Requests that come are decided and answered."""
+        """Return whether the process decides and answers new requests."""
         return self.state in (State.SERVING, State.DRAINED)
 
     @property
     def healthy(self) -> bool:
-        """Health checks may pass, as far as the process's state goes.
+        """Return whether the state of the process allows health checks to pass.
 
-        Leaving does not fail them by itself: without a successor the decision module is notified of the drain and
-        fails them; with one the node goes on."""
+        A shutdown does not fail them here: without a successor the decision module, notified of the drain, fails them;
+        with a successor the node keeps serving."""
         return self.state is not State.DRAINED
--- a/chutepin/logs.py
+++ b/chutepin/logs.py
@@ -1,4 +1,4 @@
-"""The log: events with fields, rate-limited, on standard error."""
+"""Writes the log: rate-limited events with fields, on standard error."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
     from structlog.typing import EventDict, Processor
 
 MAX_BURST_LINES = 20
-MAX_LINES_PER_S = 5.0  # after a burst
+MAX_LINES_PER_S = 5.0  # sustained, after a burst
 
 
 class LogFormat(Enum):
-    """How an event is written: for people, or one JSON object a line."""
+    """The output format of an event: a readable line, or one JSON object a line."""
 
     PLAIN = "plain"
     JSON = "json"
 
 
 def print_line(text: str) -> None:
-    """Print a line. Guards the node against a log that nobody reads any more."""
+    """Print a line to standard error; ignore errors, such as a closed pipe, that must not end the node."""
     with contextlib.suppress(OSError, ValueError):
         print(f"chutepin: {text}", file=sys.stderr, flush=True)
 
 
-class _Sink:
-    """The end of the log: standard error, as it is at the time. Guards as `print_line` does."""
+class _StderrLogger:
+    """A structlog logger that writes to the current `sys.stderr` and, like `print_line`, ignores write errors."""
 
     def msg(self, message: str) -> None:
         """Write one line."""
@@ -42,11 +42,11 @@
     info = msg
 
 
-def _structlog() -> ModuleType:
-    """The library.
+def _import_structlog() -> ModuleType:
+    """Import structlog without rich.
 
-    Where the tools' rich is installed too, structlog's console renderer would load it: 5 MB that a node never uses.
-    So that import is refused meanwhile, which structlog provides for."""
+    If rich, a requirement of the tools, is installed, structlog's console renderer would import it: 5 MB that a node
+    never uses. The import of rich is blocked meanwhile; structlog treats rich as optional."""
     if "rich" in sys.modules or "structlog" in sys.modules:
         return importlib.import_module("structlog")
     sys.modules["rich"] = None  # type: ignore[assignment]
@@ -72,24 +72,24 @@
 
 
 class Log:
-    """Events with fields, through structlog to standard error.
+    """A log of events with fields, written by structlog to standard error.
 
-    Past the rate they are counted instead, so that a peer cannot flood the log."""
+    Events above the rate limit are dropped and counted, so that a peer cannot flood the log."""
 
     def __init__(self, clock: Clock, format: LogFormat = LogFormat.PLAIN) -> None:
-        structlog = _structlog()
+        structlog = _import_structlog()
         self._clock = clock
         self._logger: Any = structlog.wrap_logger(
-            _Sink(), processors=_processors(format), wrapper_class=structlog.BoundLogger
+            _StderrLogger(), processors=_processors(format), wrapper_class=structlog.BoundLogger
         )
-        self._tokens, self._at = float(MAX_BURST_LINES), clock.now()
+        self._tokens, self._refilled_at = float(MAX_BURST_LINES), clock.now()
         self.dropped = 0
 
     def event(self, name: str, /, **fields: object) -> None:
-        """Write one event, or count it."""
+        """Write one event, or drop and count it above the rate limit."""
         now = self._clock.now()
-        self._tokens = min(MAX_BURST_LINES, self._tokens + (now - self._at) * MAX_LINES_PER_S)
-        self._at = now
+        self._tokens = min(MAX_BURST_LINES, self._tokens + (now - self._refilled_at) * MAX_LINES_PER_S)
+        self._refilled_at = now
         if self._tokens < 1:
             self.dropped += 1
             return
@@ -97,5 +97,5 @@
         self.always(name, **fields)
 
     def always(self, name: str, /, **fields: object) -> None:
-        """Write one event that the rate limit must not drop: what an operator asked for."""
+        """Write one event regardless of the rate limit, such as output that an operator requested."""
         self._logger.info(name, **fields)
--- a/chutepin/loop_timer.py
+++ b/chutepin/loop_timer.py
@@ -1,4 +1,4 @@
-"""The broker's one timer, on the event loop."""
+"""Implements the broker's timer on the asyncio event loop."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 
 
 class LoopTimer:
-    """Calls `Broker.tick` at the time that was set last."""
+    """A timer that calls `Broker.tick` at the time set by the latest call of `set`."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._handle: asyncio.TimerHandle | None = None
-        self._at = 0.0
+        self._scheduled_at = 0.0
         self.broker: Broker | None = None
 
     def set(self, at: float) -> None:
-        """Have the broker ticked at this time."""
+        """Schedule `Broker.tick` for this Unix time, in place of the time set before."""
         if self._handle is not None:
-            if self._at == at and not self._handle.cancelled():
+            if self._scheduled_at == at and not self._handle.cancelled():
                 return
             self._handle.cancel()
         loop = asyncio.get_running_loop()
-        self._at = at
-        self._handle = loop.call_at(loop.time() + max(0.0, at - self._clock.now()), self._ring)
+        self._scheduled_at = at
+        self._handle = loop.call_at(loop.time() + max(0.0, at - self._clock.now()), self._on_expired)
 
-    def _ring(self) -> None:
+    def _on_expired(self) -> None:
         self._handle = None
         assert self.broker is not None
         self.broker.tick()
--- a/chutepin/node.py
+++ b/chutepin/node.py
@@ -1,4 +1,4 @@
-"""One node: its parts put together, served, reloaded and drained."""
+"""Assembles one node and owns its start, reload, hand-over, drain and shutdown."""
 
 from __future__ import annotations
 
@@ -38,22 +38,24 @@
     from .pcap import Recorder, Source
     from .store import Store
 
-STOP_MARGIN_S = 0.15  # before the process is stopped, by when everything is answered
-MAX_DEADLINE_S = 3.0  # of the longest deadline, what counts for the end after a hand-over
-FINISH_MARGIN_S = 0.7  # between that deadline and the stop after a hand-over
-POLL_INTERVAL_S = 0.01  # between looks at whether everything is answered
-MAX_TOP_ADDRESSES = 10  # addresses and blocks that SIGUSR1 names
-SWEEPS_PER_RECONCILIATION = 8  # between counts of the descriptors that the process holds
+STOP_MARGIN_S = 0.15  # every request is answered this long before the process is stopped
+MAX_DEADLINE_S = 3.0  # cap on the longest class deadline that a shutdown after a hand-over waits for
+FINISH_MARGIN_S = 0.7  # added to that deadline to get the stop after a hand-over
+POLL_INTERVAL_S = 0.01  # between checks for requests that still await an answer
+MAX_TOP_ADDRESSES = 10  # addresses, and as many blocks, that SIGUSR1 logs
+SWEEPS_PER_RECONCILIATION = 8  # sweeps from one count of the open descriptors to the next
 
 
-def rules_of(setup: AdmissionSetup) -> Rules:
-    """Build the admission rules from the operator's block."""
+def build_rules(setup: AdmissionSetup) -> Rules:
+    """Build the admission rules from the `admission` block of the operator's file."""
     values = {field.name: getattr(setup, field.name) for field in dataclasses.fields(setup)}
     return Rules(**values | {"known": Networks(setup.known), "relays": Networks(setup.relays)})
 
 
 def _open_store(setup: StoreSetup, clock: Clock, log: Log) -> Store:
-    """Open the store. Raises ConfigError where it can't be: the node must not start without it."""
+    """Open the store.
+
+    Raises ConfigError if the store cannot be opened: a node with a `store` block must not start without its store."""
     from .store import Store, StoreError
 
     try:
@@ -71,7 +73,7 @@
 
 
 class Node:
-    """The parts of one node, put together."""
+    """One node: the broker, its connections and listeners, and the optional subsystems."""
 
     def __init__(
         self,
@@ -90,7 +92,7 @@
         self.counters = Counters()
         self.lifecycle = Lifecycle()
         self.log = Log(self.clock, log_format)
-        # Descriptors that the process may really have, whatever the configuration allows.
+        # The soft limit of the system caps the number of descriptors that the configuration allows.
         self.sockets = min(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         self.descriptors = build_budget(
             self.sockets,
@@ -106,7 +108,7 @@
         self.broker = self._build_broker()
         self.front = self._build_front()
         self.store: Store | None = None
-        if self.setup.store is not None:  # loaded only where an operator switches it on
+        if self.setup.store is not None:  # the store's modules are imported only if the operator's file has the block
             self.store = _open_store(self.setup.store, self.clock, self.log)
         self.subsystems = build_subsystems(config, self.setup, self.descriptors, self.counters, self.log, self.store)
         self.listener = self._build_listener() if config.ops is not None else None
@@ -118,10 +120,10 @@
         self._is_serving = False
         self.reporter = Reporter(config.control, config.name, self._ready, self.counters, config.seed)
         self._leave_requested = asyncio.Event()
-        self._notice_at = 0.0  # when the notice to leave was given
+        self._leave_requested_at = 0.0  # Unix time of the request to shut down
 
     def _build_session(self) -> Session:
-        """Build the executor's session, which outlives its connections."""
+        """Build the executor session, which outlives single connections to the executor."""
         keeps_work = self.config.settings.cancellation is decision.Cancellation.KEEPS_WORK
         return Session(self.clock, self.counters, self.log, keeps_work)
 
@@ -133,7 +135,7 @@
         )
 
     def _build_broker(self) -> Broker:
-        """Build the broker, and have executor, records and timer report to it."""
+        """Build the broker and register it as the listener of the executor, the records service and the timer."""
         timer = LoopTimer(self.clock)
         broker = Broker(
             self.config.settings,
@@ -153,22 +155,22 @@
         return broker
 
     def _build_front(self) -> RespListener:
-        """Build the listener for balancers."""
+        """Build the listener that accepts connections of balancers."""
         return RespListener(
             self.broker,
             self.clock,
             self.counters,
             self.log,
             self.sockets,
-            rules_of(self.setup.admission),
+            build_rules(self.setup.admission),
             self.descriptors,
             self.lifecycle,
         )
 
-    # Each of these parts is optional; a module that only one of them needs is imported where that part is built.
+    # The following parts are optional; a module that only one part needs is imported in its build method.
 
     def _build_listener(self) -> OperatorListener:
-        """Build the operators' socket."""
+        """Build the listener of the operators' socket."""
         from .admin import CommandTable, OperatorListener
 
         commands = {name: command for part in self.subsystems for name, command in part.commands().items()}
@@ -179,13 +181,13 @@
         return OperatorListener(table, self.descriptors, self.counters, self.log)
 
     def _build_consumer(self, amqp: AmqpConfig) -> Consumer:
-        """Build the AMQP consumer."""
+        """Build the consumer of the AMQP queues."""
         from .net.amqp import Consumer
 
         return Consumer(amqp, self.broker, self.clock, self.counters, self.log, self.config.seed)
 
     def _build_recorder(self, path: str) -> Recorder:
-        """Build the recorder of balancers' traffic, a pcap file."""
+        """Build the recorder that writes the balancers' traffic to a pcap file."""
         from .pcap import Recorder
 
         recorder = Recorder(path, self.clock, self.counters, self.config.listen.port)
@@ -193,13 +195,13 @@
         return recorder
 
     def _build_source(self, path: str) -> Source:
-        """Build the source of requests from a pcap file."""
+        """Build the source that replays requests from a pcap file."""
         from .pcap import Source
 
         return Source(path, self.config.listen.port, self.front, self.clock)
 
     def _build_handover(self, directory: str) -> HandoverLink:
-        """Build the hand-over between two processes of this node, which meet at a socket in this directory."""
+        """Build the hand-over between two processes of this node, which connect through a socket in `directory`."""
         config = self.config
         window = max((cls.window for cls in config.settings.classes), default=0.0)
         path = rendezvous_path(directory, config.name, f"{config.listen.host}:{config.listen.port}")
@@ -214,7 +216,7 @@
         return link
 
     def print_counters(self) -> None:
-        """On request and at exit; never dropped by the rate limit."""
+        """Log all counters; the log's rate limit does not apply."""
         dropped = {"log.dropped": self.log.dropped} if self.log.dropped else {}
         store = {} if self.store is None else {f"store.{name}": count for name, count in self.store.metrics().items()}
         parts = {name: count for part in self.subsystems for name, count in part.metrics().items()}
@@ -228,7 +230,7 @@
         )
 
     def print_state(self) -> None:
-        """On SIGUSR1: the counters, the AMQP consumer, who is connected most, and the descriptors."""
+        """Log the counters, the AMQP consumer's state, the addresses with most connections and the descriptors."""
         self.print_counters()
         if self.consumer is not None:
             self.log.always("amqp.state", **self.consumer.describe())
@@ -241,10 +243,10 @@
         self.log.always("descriptors", **self.descriptors.metrics())
 
     def reload(self) -> None:
-        """Read the configuration again and meet executor, records and control plane where it says now.
+        """Read the configuration again and switch to its addresses of executor, records service and control plane.
 
-        Guards a node that serves against a file that is half written or wrong: it is checked whole before
-        anything is swapped, and a bad one changes nothing."""
+        The whole file is checked before any setting is replaced, so a half-written or invalid file leaves a serving
+        node unchanged."""
         try:
             config = load()
         except ConfigError as error:
@@ -269,7 +271,7 @@
         self._reload_setup()
 
     def _reload_setup(self) -> None:
-        """The rules of admission follow the operator's file; the rest of it is for the next start."""
+        """Apply the admission rules of the operator's file; its other blocks take effect at the next start."""
         if self._setup_path is None:
             return
         try:
@@ -281,17 +283,17 @@
         if dataclasses.replace(self.setup, admission=setup.admission) != setup:
             self.log.event("reload.only_admission", file=self._setup_path)
         if setup.admission != self.setup.admission:
-            self.front.apply(rules_of(setup.admission))
+            self.front.apply(build_rules(setup.admission))
         self.setup = dataclasses.replace(self.setup, admission=setup.admission)
 
     def _request_leave(self, at: float) -> None:
-        """Take the notice to leave, given at this time; a second one changes nothing."""
+        """Record a request, made at this Unix time, to shut down; later requests have no effect."""
         if not self._leave_requested.is_set():
-            self._notice_at = min(at, self.clock.now())
+            self._leave_requested_at = min(at, self.clock.now())
             self._leave_requested.set()
 
     async def run(self) -> int:
-        """Serve until told to leave, then leave."""
+        """Serve until a shutdown is requested, drain, and return the exit code."""
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(self._log_error)
         with signals.deliver(
@@ -352,7 +354,7 @@
             self.log.always("store.close_failed", why=str(error))
 
     async def _replay_file(self, source: Source) -> None:
-        """Feed a file once the executor is up; leave after its end."""
+        """Replay a pcap file once the executor has started, then request the shutdown."""
         while not self.broker.started:
             await asyncio.sleep(POLL_INTERVAL_S)
         await source.run()
@@ -362,16 +364,17 @@
         self._request_leave(self.clock.now())
 
     def _on_executor_started(self) -> None:
-        """The executor has started."""
+        """Pass the start of the executor on to the hand-over and the lifecycle."""
         if self.handover is not None:
             self.handover.session.executor_ready()
         if self._is_serving:
             self.lifecycle.apply(Transition.CAN_SERVE)
 
     async def _serve(self) -> None:
-        """Accept balancers, on the sockets of a predecessor where it passed them.
+        """Accept connections of balancers, on the sockets that a predecessor passed if there are any.
 
-        Raises OSError at the start only: beside a predecessor the node stays, and is asked again."""
+        Raises OSError only if no predecessor serves. Beside a predecessor a failure to listen is logged, and the
+        hand-over calls this method again."""
         sockets = self.handover.sockets if self.handover is not None else []
         for part in self.subsystems:
             sockets[:] = part.adopt(sockets)
@@ -400,21 +403,25 @@
             self.lifecycle.apply(Transition.CAN_SERVE)
 
     def _listening_sockets(self) -> list[socket.socket]:
-        """The listening sockets that a successor is to have."""
+        """Return the listening sockets to pass to a successor."""
         return self.front.listeners + [sock for part in self.subsystems for sock in part.sockets()]
 
     def _client_sockets(self, sockets: list[socket.socket]) -> list[socket.socket]:
-        """Of a predecessor's sockets those for clients. The others belong to a subsystem that is off here."""
-        port, mine = self.config.listen.port, []
+        """Return the sockets of a predecessor that listen for balancers, and close the others.
+
+        The others belong to subsystems that are disabled in this process."""
+        port, client_sockets = self.config.listen.port, []
         for sock in sockets:
             if sock.type == socket.SOCK_STREAM and sock.getsockname()[1] == port:
-                mine.append(sock)
+                client_sockets.append(sock)
             else:
                 sock.close()
-        return mine
+        return client_sockets
 
     async def _report(self) -> None:
-        """The list follows what all processes of the node report: one that does not serve yet has nothing to say."""
+        """Report to the control plane once this process serves.
+
+        The control plane combines the reports of all processes of a node, so a process must not report earlier."""
         while not self._is_serving:
             await asyncio.sleep(SWEEP_INTERVAL_S / 5)
         await self.reporter.run()
@@ -423,34 +430,38 @@
         return self.front.healthy and (self.lifecycle.handed_over or not self._leave_requested.is_set())
 
     def _log_error(self, _: asyncio.AbstractEventLoop, context: dict[str, object]) -> None:
-        """Guards the node against an error in one connection's handling: the rest serves on."""
+        """Count and log an unhandled error of the event loop, so that an error in one connection ends no other."""
         self.counters.add("errors")
         self.log.event("error", message=str(context.get("message")), error=repr(context.get("exception")))
 
     async def _restart_on_error(self, work: Callable[[], Awaitable[None]]) -> None:
-        """Begin a part's work again should an error of ours end it: without it the node would only look alive."""
+        """Restart a task of the node that ended with an error.
+
+        Without the restart the process would go on without that task and still appear to be running."""
         while True:
             try:
                 return await work()
-            except Exception as error:  # noqa: BLE001  whatever it is, it is counted and logged here
+            except Exception as error:  # noqa: BLE001  any error is counted and logged
                 self.counters.add("errors")
-                self.log.event("error", message="a part of the node is begun again", error=repr(error))
+                self.log.event("error", message="restarting a task of the node after an error", error=repr(error))
             await asyncio.sleep(SWEEP_INTERVAL_S)
 
     async def _sweep(self) -> None:
-        over = 0
-        for turn in itertools.count():
-            if turn % SWEEPS_PER_RECONCILIATION == 0 and (held := count_open_descriptors()) is not None:
-                # One look may fall between the claim of a descriptor and its opening.
-                over = over + 1 if self.descriptors.reconcile(held) else 0
-                self.counters.check_invariant(over < 3, "ledger")
+        consecutive_overruns = 0
+        for sweep in itertools.count():
+            if sweep % SWEEPS_PER_RECONCILIATION == 0 and (open_count := count_open_descriptors()) is not None:
+                # A single mismatch may be a descriptor that is claimed but not opened yet.
+                consecutive_overruns = consecutive_overruns + 1 if self.descriptors.reconcile(open_count) else 0
+                self.counters.check_invariant(consecutive_overruns < 3, "ledger")
             await asyncio.sleep(SWEEP_INTERVAL_S)
             self.front.close_idle()
             self.front.close_replayed()
             self.records.close_idle()
 
     async def _leave(self) -> None:
-        """Serve through the grace, ask balancers to close, and end once all is answered and they have closed."""
+        """Drain: serve through the grace period, ask balancers to close, and wait for open requests and connections.
+
+        The wait ends at the stop time at the latest."""
         self.log.event("leaving")
         self.lifecycle.apply(Transition.LEAVE)
         if self.lifecycle.handed_over:
@@ -458,8 +469,8 @@
             return
         for part in self.subsystems:
             part.leave()
-        stop = self._notice_at + self.config.stop - STOP_MARGIN_S
-        self.broker.drain(stop, self._notice_at)
+        stop = self._leave_requested_at + self.config.stop - STOP_MARGIN_S
+        self.broker.drain(stop, self._leave_requested_at)
         if self.consumer is not None:
             self.consumer.leave()
         grace = self.broker.last_arrival or stop
@@ -474,9 +485,9 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _finish(self) -> None:
-        """A successor serves: no drain, only an end once everything open here is over."""
+        """Finish the open attempts and connections of this process, without a drain: a successor serves."""
         longest = max((cls.deadline for cls in self.config.settings.classes), default=MAX_DEADLINE_S)
-        stop = self._notice_at + min(longest, MAX_DEADLINE_S) + FINISH_MARGIN_S - STOP_MARGIN_S
+        stop = self._leave_requested_at + min(longest, MAX_DEADLINE_S) + FINISH_MARGIN_S - STOP_MARGIN_S
         self.broker.finish(stop)
         if self.consumer is not None:
             self.consumer.leave()
--- a/chutepin/registry.py
+++ b/chutepin/registry.py
@@ -1,6 +1,6 @@
-"""Builds the subsystems that the operator's file asks for.
+"""Builds the subsystems that the operator's file configures.
 
-A subsystem's package is imported only where its block is there: a node without the block loads nothing of it."""
+A subsystem's package is imported only if the file has its block: a node without the block loads none of its modules."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 ) -> list[Subsystem]:
     """Build each subsystem that has a block in `setup`, in the order in which they start.
 
-    The replicated log needs the cluster and a store; the file's check refuses it without them."""
+    The replicated log needs the cluster and a store; `config.load_setup` rejects a file that lacks either."""
     if setup.cluster is None:
         return []
     from .cluster.subsystem import Cluster
--- a/chutepin/serve.py
+++ b/chutepin/serve.py
@@ -1,4 +1,4 @@
-"""Start one node from its configuration; bad configuration is one line and exit code 2."""
+"""Runs one node from its configuration files and maps the outcome to an exit code."""
 
 from __future__ import annotations
 
@@ -18,10 +18,11 @@
     record: str | None = None,
     log_format: LogFormat | None = None,
 ) -> int:
-    """Serve until told to leave.
+    """Run a node until it is told to leave and return the exit code.
 
-    `setup`, `amqp`, `read` and `record` are paths of the operator's file, the file of queues, a pcap file to take
-    requests from and one to write. Exit codes: 0 after a drain, 2 for bad configuration, 130 when interrupted."""
+    `setup` is the path of the operator's file, `amqp` that of the AMQP queues, `read` a pcap file to replay requests
+    from and `record` a pcap file to write. Exit codes: 0 after a drain, 2 for invalid configuration, which is printed
+    as one line, and 130 when interrupted."""
     signals.install_handlers()
     try:
         config = load()
--- a/chutepin/signals.py
+++ b/chutepin/signals.py
@@ -1,7 +1,8 @@
-"""Signals, each with the time at which it came, whatever the loop is doing and before there is a loop.
+"""Records signals with their arrival time and delivers them to handlers on the event loop.
 
-By its default each would end the process: a SIGHUP that crosses a start must not. A notice to leave counts from when it
-came, however late a busy loop or a slow start handles it. The module knows no node."""
+The handlers are installed before an event loop exists, because the default action of these signals ends the process: a
+SIGHUP during the start must not. The stop time of a node counts from the arrival of SIGTERM, however late a busy loop
+or a slow start handles it."""
 
 from __future__ import annotations
 
@@ -13,14 +14,15 @@
 from types import FrameType
 
 HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1)
-# When each signal came that is not delivered yet. A signal may come between any two steps below: the table never
-# changes its size, and an entry is cleared before its handler runs, so that one which comes meanwhile counts anew.
+# Unix time at which each undelivered signal arrived. A signal can come between any two instructions of this module, so
+# the table never changes its size, and an entry is cleared before its handler runs: a signal that arrives during the
+# handler is recorded again.
 _pending: dict[int, float | None] = dict.fromkeys(HANDLED_SIGNALS)
 _wake: Callable[[], object] | None = None
 
 
 def install_handlers() -> None:
-    """Keep signals that come from now on. Call it before anything that takes time."""
+    """Record signals from now on. Call this function before any slow step of the start."""
     for number in HANDLED_SIGNALS:
         signal.signal(number, _record)
 
@@ -28,13 +30,13 @@
 def ignore() -> None:
     """Ignore signals from now on: the process is about to exit.
 
-    The interpreter's end gives each signal its default back, and the next of a series would change the exit code."""
+    The interpreter restores the default actions when it exits; a repeated signal would then change the exit code."""
     for number in HANDLED_SIGNALS:
         signal.signal(number, signal.SIG_IGN)
 
 
 def _record(number: int, _: FrameType | None) -> None:
-    """Note the Unix time of a signal; runs between two steps of whatever is being done."""
+    """Record the Unix time of a signal. Runs as a signal handler, between any two instructions."""
     if _pending[number] is None:
         _pending[number] = time.time()
     if _wake is not None:
@@ -45,19 +47,19 @@
 def deliver(
     loop: asyncio.AbstractEventLoop, handlers: Mapping[signal.Signals, Callable[[float], None]]
 ) -> Iterator[None]:
-    """Call handlers on this loop, each with the signal's time, also for signals that came before.
+    """Call the handlers on this loop, each with the signal's arrival time, also for signals recorded earlier.
 
-    Signals that come after the context are kept."""
-    global _wake  # noqa: PLW0603  a signal's handler has no other place to look
+    Signals that arrive after the context has ended are recorded but not delivered."""
+    global _wake  # noqa: PLW0603  the signal handler can only read module state
 
     def deliver_pending() -> None:
-        for number in HANDLED_SIGNALS if _wake is wake else ():  # else the context has ended since this was scheduled
+        for number in HANDLED_SIGNALS if _wake is wake else ():  # otherwise the context has ended
             if (at := _pending[number]) is not None:
                 _pending[number] = None
                 handlers[number](at)
 
     def wake() -> None:
-        loop.call_soon_threadsafe(deliver_pending)  # as asyncio's runner wakes its loop for SIGINT
+        loop.call_soon_threadsafe(deliver_pending)  # as asyncio.Runner does for SIGINT
 
     install_handlers()
     _wake = wake
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -44,7 +44,7 @@
 from chutepin.counters import Counters
 from chutepin.lifecycle import Lifecycle
 from chutepin.logs import Log
-from chutepin.node import rules_of
+from chutepin.node import build_rules
 from chutepin.request_metrics import RequestMetrics
 from chutepin.testbench.standins.platform import eventually, free_port
 
@@ -627,7 +627,7 @@
 
 def test_example_block_is_valid_and_explained(tmp_path: object) -> None:
     text = (ROOT / "deploy" / "node.kdl").read_text().replace("/-admission", "admission")
-    rules = rules_of(parse_setup(text).admission)
+    rules = build_rules(parse_setup(text).admission)
     assert rules.reserve == 0.25 and rules.rate_address == 10.0 and rules.earned_age == 3600
     path = ROOT / ".pytest_cache" / f"explain-{os.getpid()}.kdl"
     path.parent.mkdir(exist_ok=True)
