--- a/chutepin/admin/__init__.py
+++ b/chutepin/admin/__init__.py
@@ -1,8 +1,8 @@
-"""The operators' socket: one line a connection, one answer, a close.
+"""Serves the operators' socket: each connection sends one line, receives one answer and is closed.
 
-`commands.CommandTable` has the commands, `line_reader.LineReader` the parser, `exposition` the metrics as text; none of
-them knows a socket. `listener.OperatorListener` accepts and bounds callers. `docs/operation.md` has the design,
-`docs/operators/operation.md` the use."""
+`commands.CommandTable` holds the commands, `line_reader.LineReader` parses the line and `exposition` formats the
+metrics; these modules do no I/O. `listener.OperatorListener` accepts connections and limits their number.
+`docs/operation.md` describes the design, `docs/operators/operation.md` the use."""
 
 from .commands import CommandTable
 from .listener import OperatorListener
--- a/chutepin/admin/commands.py
+++ b/chutepin/admin/commands.py
@@ -1,4 +1,4 @@
-"""The commands of the operators' socket, as a table. No I/O: a line in, the answer out."""
+"""Holds the command table of the operators' socket: maps a line to its answer, without I/O."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from ..request_metrics import RequestMetrics
 from .exposition import exposition
 
-# CommandTable of subsystems that may be off, and what is said then.
-UNAVAILABLE = dict.fromkeys(("members", "links", "changes", "view"), "no cluster") | dict.fromkeys(
+# Commands of optional subsystems, with the reason in the answer while the subsystem is disabled.
+DISABLED_REASONS = dict.fromkeys(("members", "links", "changes", "view"), "no cluster") | dict.fromkeys(
     (
         "agree",
         "agree-set",
@@ -27,17 +27,17 @@
 
 
 def success(text: str = "") -> str:
-    """Format the answer that a command was carried out."""
+    """Format the answer to a command that succeeded."""
     return f"SUCCESS {text}".rstrip() + "\n"
 
 
 def failure(reason: str) -> str:
-    """Format the answer that it was not, and why."""
+    """Format the answer to a command that failed, with the reason."""
     return f"FAILURE {reason}\n"
 
 
 class CommandTable:
-    """The commands of one process."""
+    """The operators' commands of one process."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         subsystem_commands: Mapping[str, Callable[[], str]] | None = None,
         commands_with_arguments: Mapping[str, Callable[[list[str]], Awaitable[str]]] | None = None,
     ) -> None:
-        """`subsystem_commands`, `commands_with_arguments`: of subsystems that the operator's file has switched on."""
+        """Initialize the table; the two mappings hold the commands of the enabled subsystems."""
         self._lifecycle = lifecycle
         self._metrics = metrics
         self.table: dict[str, Callable[[], str]] = {
@@ -55,21 +55,23 @@
             "drain": self._drain,
             "resume": self._resume,
         }
-        self.table |= {name: partial(failure, reason) for name, reason in UNAVAILABLE.items()}
+        self.table |= {name: partial(failure, reason) for name, reason in DISABLED_REASONS.items()}
         self.table |= dict(subsystem_commands or {})
         self._with_arguments = commands_with_arguments or {}
         self._enabled = frozenset(subsystem_commands or ())
 
     def answer(self, line: str) -> str | Awaitable[str]:
-        """Return the complete answer to a line, or an awaitable of it. Every command has one in every state."""
+        """Return the complete answer to a line, or an awaitable of the answer.
+
+        Every command has an answer in every state of the process."""
         name, *rest = line.split()
         if name in self._with_arguments:
             return self._with_arguments[name](rest)
         command = self.table.get(name)
         if command is None:
             return failure(f"no such call; there are {', '.join(self.table)}")
-        if name in UNAVAILABLE and name not in self._enabled:
-            return failure(UNAVAILABLE[name])
+        if name in DISABLED_REASONS and name not in self._enabled:
+            return failure(DISABLED_REASONS[name])
         if rest:
             return failure(f"{name} takes no arguments")
         return command()
--- a/chutepin/admin/exposition.py
+++ b/chutepin/admin/exposition.py
@@ -1,7 +1,7 @@
-"""Metrics in the text format that scrapers read (Prometheus exposition format 0.0.4, without comments).
+"""Formats metrics in the Prometheus text exposition format 0.0.4, without comments.
 
-Its size and cost follow from the number of classes alone, not from what was served. A library does the same at 5.4 MB
-of memory, of which a node has five to spare."""
+The size of the text and the cost of formatting depend only on the number of classes. A client library would take 5.4 MB
+of memory, and a node has 5 MB to spare."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 def escape_label(label: str) -> str:
-    """A label's value: backslash, quote and line feed stand escape_label, as the format asks."""
+    """Escape backslash, quote and line feed in a label's value, as the format requires."""
     return label.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
 
 
 def exposition(metrics: RequestMetrics) -> str:
-    """Format all metrics, one a line."""
+    """Format all metrics, one per line."""
     lines = [
         f'node_transactions_total{{group="{escape_label(name)}",state="{state}"}} {getattr(row, state)}'
         for name, row in metrics.rows.items()
--- a/chutepin/admin/line_reader.py
+++ b/chutepin/admin/line_reader.py
@@ -1,25 +1,25 @@
-"""A bounded sans-I/O reader of one line."""
+"""Reads one line of bounded length from chunks of bytes, without I/O."""
 
 from __future__ import annotations
 
-MAX_LINE_BYTES = 256  # its end included
+MAX_LINE_BYTES = 256  # including the line ending
 
 
 class InvalidLineError(ValueError):
-    """The line can't be a command; the message is meant for the caller."""
+    """An error for a line that cannot be a command; the message is sent to the client."""
 
 
 class LineReader:
-    """Feed it bytes until it returns the line; what follows the line is ignored."""
+    """An incremental parser of one line; bytes after the line are ignored."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> str | None:
-        """Add what was read; return the line without its end (LF, CR LF) and outer spaces, None until it is complete.
+        """Add received bytes; return the line without its ending (LF, CR LF) and outer spaces, None while incomplete.
 
         Raises InvalidLineError for a line that is too long, empty or not ASCII."""
-        self._buffer += data[: MAX_LINE_BYTES + 1 - len(self._buffer)]  # never holds more, whatever is fed
+        self._buffer += data[: MAX_LINE_BYTES + 1 - len(self._buffer)]  # the buffer stays bounded for any input
         line, end, _ = self._buffer.partition(b"\n")
         if not end:
             if len(self._buffer) >= MAX_LINE_BYTES:
--- a/chutepin/cli/__init__.py
+++ b/chutepin/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: `python -m chutepin COMMAND`. Each command's module is loaded when that command is asked for."""
+"""Implements the command line, `python -m chutepin COMMAND`; the module of a command is imported on demand."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from ..logs import print_line
 
-# A command to its module here.
+# Maps a command to its module in this package.
 COMMANDS = {
     "node": "node",
     "demo": "demo",
@@ -22,14 +22,14 @@
 
 
 class LazyGroup(click.Group):
-    """A group that loads the module of a command only for it, so that a node pays for no other."""
+    """A command group that imports only the module of the command in use, which saves a node's memory."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """All names."""
+        """Return the names of all commands."""
         return list(COMMANDS)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """The command's object, by convention called `command` in its module."""
+        """Import a command's module and return its attribute `command`; None for an unknown name."""
         if cmd_name not in COMMANDS:
             return None
         command = importlib.import_module(f".{COMMANDS[cmd_name]}", __name__).command
@@ -39,16 +39,20 @@
 
 @click.group(cls=LazyGroup, invoke_without_command=False)
 def cli() -> None:
-    """A broker between the services of many teams. With no command: run one node, set up by LB_CONFIG."""
+    """A broker between the services of many teams.
+
+    Without a command: run one node, configured by LB_CONFIG."""
 
 
 def run(arguments: list[str] | None = None) -> int:
-    """Run a command; its exit code. Options without a command are the node's, as they were before commands."""
-    given = list(sys.argv[1:] if arguments is None else arguments)
-    if given and given[0].startswith("-") and given[0] != "--help":
-        given.insert(0, "node")
+    """Run a command and return the exit code.
+
+    Options without a command are those of `node`, for compatibility with versions that had no commands."""
+    command_line = list(sys.argv[1:] if arguments is None else arguments)
+    if command_line and command_line[0].startswith("-") and command_line[0] != "--help":
+        command_line.insert(0, "node")
     try:
-        code = cli.main(given, prog_name="chutepin", standalone_mode=False)
+        code = cli.main(command_line, prog_name="chutepin", standalone_mode=False)
     except click.ClickException as error:
         error.show()
         return error.exit_code
--- a/chutepin/cli/admission.py
+++ b/chutepin/cli/admission.py
@@ -1,4 +1,4 @@
-"""`python -m chutepin admission explain FILE ADDRESS`: what the rules of an operator's file mean for an address."""
+"""Implements `python -m chutepin admission explain FILE ADDRESS`, which applies admission rules to an address."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from ..config import ConfigError, load_setup
 from ..logs import print_line
 from ..node import build_rules
-from .output import as_json, show_json, show_table
+from .output import show_json, show_table, use_json
 
 
 @click.group("admission")
 def command() -> None:
-    """Who may connect."""
+    """Explain the admission rules for connections."""
 
 
 @command.command()
@@ -25,13 +25,13 @@
     type=click.IntRange(1),
     default=512,
     show_default=True,
-    help="Connections in the table: half of the descriptors.",
+    help="Size of the connection table: half of the descriptors.",
 )
-@click.option("--json", "json_asked", is_flag=True, help="Print JSON also on a terminal.")
-def explain(file: str, address: str, limit: int, json_asked: bool) -> int:
-    """Which rules of FILE an ADDRESS meets, in their order, and what each allows it.
+@click.option("--json", "json_requested", is_flag=True, help="Print JSON also on a terminal.")
+def explain(file: str, address: str, limit: int, json_requested: bool) -> int:
+    """Show which rules of FILE apply to ADDRESS, in their order, and what each allows.
 
-    Standing that is earned shows only in a node."""
+    Trust that an address earns by its requests is known only to a running node."""
     try:
         rules = build_rules(load_setup(file).admission)
     except ConfigError as error:
@@ -41,9 +41,9 @@
     if packed == LOCAL:
         print_line(f"ADDRESS: {address} is no address")
         return 2
-    met = ConnectionTable(rules, limit).explain(0.0, packed)
-    if as_json(json_asked):
-        show_json(dict(met))
+    explanations = ConnectionTable(rules, limit).explain(0.0, packed)
+    if use_json(json_requested):
+        show_json(dict(explanations))
     else:
-        show_table(file, [{"rule": name, "says": text} for name, text in met])
+        show_table(file, [{"rule": name, "says": text} for name, text in explanations])
     return 0
--- a/chutepin/cli/consensus.py
+++ b/chutepin/cli/consensus.py
@@ -1,4 +1,4 @@
-"""`python -m chutepin agree …`: the log in common, as one node shows it, and what operators change."""
+"""Implements `python -m chutepin agree …`: status, reads and changes of the replicated log."""
 
 from __future__ import annotations
 
@@ -9,59 +9,61 @@
 import click
 
 from .node_client import OPS_OPTION, NodeRequestError, request, request_line
-from .output import as_json, show_fields, show_json, show_table
+from .output import show_fields, show_json, show_table, use_json
 
 if TYPE_CHECKING:
     from ..consensus.identity import StoredIdentity
     from ..consensus.messages import Persist
     from ..consensus.persistent_state import PersistentState
 
-NUMBERS = frozenset({"term", "commit", "applied", "log-bytes", "snapshot"})
-JSON = click.option("--json", "json_asked", is_flag=True, help="Print JSON also on a terminal.")
+NUMERIC_FIELDS = frozenset({"term", "commit", "applied", "log-bytes", "snapshot"})
+JSON = click.option("--json", "json_requested", is_flag=True, help="Print JSON also on a terminal.")
 
 
 @click.group("agree")
 def command() -> None:
-    """What the fleet has agreed on, and who agrees."""
+    """Inspect and change the replicated log of the cluster."""
 
 
-def status_of(ops: str) -> dict[str, Any]:
-    """A node's part in the log, by field; voters and learners with what they lack."""
+def fetch_status(ops: str) -> dict[str, Any]:
+    """Fetch a node's status in the replicated log, by field; voters and learners map to their lag in entries."""
     found: dict[str, Any] = {"voters": {}, "learners": {}}
     for words in map(str.split, request(ops, "agree")[1]):
         if words[0] in ("voter", "learner"):
             found[words[0] + "s"][words[1]] = None if words[3] == "-" else int(words[3])
         else:
-            found[words[0]] = int(words[1]) if words[0] in NUMBERS else words[1]
+            found[words[0]] = int(words[1]) if words[0] in NUMERIC_FIELDS else words[1]
     return found
 
 
 @command.command()
 @OPS_OPTION
 @JSON
-def status(ops: str, json_asked: bool) -> int:
-    """Role, term, leader, how far all is agreed and applied; at the leader what each voter lacks.
+def status(ops: str, json_requested: bool) -> int:
+    """Show role, term, leader, commit and applied index, and at the leader the lag of each voter.
 
-    Exit code 1 while no leader is known."""
-    found = status_of(ops)
-    if as_json(json_asked):
+    Exit code 1 if no leader is known."""
+    found = fetch_status(ops)
+    if use_json(json_requested):
         show_json(found)
     else:
-        parties = [
+        participants = [
             {"name": name, "part": part[:-1], "lacks": "" if lag is None else lag}
             for part in ("voters", "learners")
             for name, lag in found[part].items()
         ]
         show_fields(
-            f"the log in common, as {ops} shows it",
+            f"replicated log, as {ops} sees it",
             {name: value for name, value in found.items() if name not in ("voters", "learners")},
         )
-        show_table("who takes part", parties)
+        show_table("voters and learners", participants)
     return int(found["leader"] == "-")
 
 
-def _said(ops: str, call: str, json_asked: bool) -> int:
-    """Show a call's one line; the exit code is 0 for what was done, 1 for what is not known, 2 for what was not."""
+def _run_command(ops: str, call: str, json_requested: bool) -> int:
+    """Send a command and print its answer; return 0 for success and 1 for an unknown outcome.
+
+    Raises NodeRequestError, exit code 2, for a failure."""
     answer = request_line(ops, call)
     if answer.startswith("FAILURE unknown"):
         code = 1
@@ -69,7 +71,7 @@
         code = 0
     else:
         raise NodeRequestError(f"{ops}: {answer}")
-    if as_json(json_asked):
+    if use_json(json_requested):
         show_json({"answer": answer, "done": code == 0})
     else:
         click.echo(answer)
@@ -79,85 +81,91 @@
 @command.command("set")
 @click.argument("name")
 @click.argument("value")
-@click.option("--id", "known", default="", help="Of an earlier try whose outcome is unknown: it counts once.")
+@click.option(
+    "--id",
+    "proposal_id",
+    default="",
+    help="Id of an earlier attempt with unknown outcome; the proposal is applied once.",
+)
 @OPS_OPTION
 @JSON
-def set_(name: str, value: str, known: str, ops: str, json_asked: bool) -> int:
-    """Agree on NAME = VALUE. Exit code 1: not known yet, the answer has the id."""
-    return _said(ops, f"agree-set {name} {value} {known}".strip(), json_asked)
+def set_(name: str, value: str, proposal_id: str, ops: str, json_requested: bool) -> int:
+    """Set NAME to VALUE. Exit code 1: the outcome is unknown yet, the answer contains the id."""
+    return _run_command(ops, f"agree-set {name} {value} {proposal_id}".strip(), json_requested)
 
 
 @command.command()
 @click.argument("name")
 @OPS_OPTION
 @JSON
-def get(name: str, ops: str, json_asked: bool) -> int:
-    """What NAME is, with all that was agreed before this call."""
-    return _said(ops, f"agree-get {name}", json_asked)
+def get(name: str, ops: str, json_requested: bool) -> int:
+    """Show the value of NAME, including everything committed before this call."""
+    return _run_command(ops, f"agree-get {name}", json_requested)
 
 
 @command.command("ask")
 @click.argument("id")
-@click.option("--void", is_flag=True, help="If it was not agreed by now, it never will be.")
+@click.option("--void", is_flag=True, help="Prevent the proposal from being committed if it is not committed yet.")
 @OPS_OPTION
 @JSON
-def ask_(id: str, void: bool, ops: str, json_asked: bool) -> int:
-    """What has become of a proposal whose outcome was unknown."""
-    return _said(ops, f"agree-{'void' if void else 'ask'} {id}", json_asked)
+def ask_(id: str, void: bool, ops: str, json_requested: bool) -> int:
+    """Show the outcome of a proposal whose outcome was unknown."""
+    return _run_command(ops, f"agree-{'void' if void else 'ask'} {id}", json_requested)
 
 
 @command.group()
 def voters() -> None:
-    """Who votes; one at a time, at the leader."""
+    """Change the voters, one at a time, at the leader."""
 
 
 @voters.command()
 @click.argument("name")
 @OPS_OPTION
 @JSON
-def add(name: str, ops: str, json_asked: bool) -> int:
-    """Let NAME learn; called again, once it has caught up, let it vote."""
-    return _said(ops, f"agree-add {name}", json_asked)
+def add(name: str, ops: str, json_requested: bool) -> int:
+    """Add NAME as a learner; called again once the learner has caught up, make it a voter."""
+    return _run_command(ops, f"agree-add {name}", json_requested)
 
 
 @voters.command()
 @click.argument("name")
 @OPS_OPTION
 @JSON
-def remove(name: str, ops: str, json_asked: bool) -> int:
-    """Let NAME vote no more. A leader that is to go hands over first."""
-    return _said(ops, f"agree-remove {name}", json_asked)
+def remove(name: str, ops: str, json_requested: bool) -> int:
+    """Remove the voter NAME. A leader that is removed transfers the leadership first."""
+    return _run_command(ops, f"agree-remove {name}", json_requested)
 
 
 @command.command()
 @click.argument("name")
 @OPS_OPTION
 @JSON
-def transfer(name: str, ops: str, json_asked: bool) -> int:
-    """Have NAME lead. To be asked of the leader."""
-    return _said(ops, f"agree-transfer {name}", json_asked)
+def transfer(name: str, ops: str, json_requested: bool) -> int:
+    """Transfer the leadership to NAME. The command must be sent to the leader."""
+    return _run_command(ops, f"agree-transfer {name}", json_requested)
 
 
 @command.command()
 @OPS_OPTION
 @JSON
-def snapshot(ops: str, json_asked: bool) -> int:
-    """Keep this node's state now, and let go of its log before it."""
-    return _said(ops, "agree-snapshot", json_asked)
+def snapshot(ops: str, json_requested: bool) -> int:
+    """Take a snapshot of this node's state now and truncate the log before the snapshot."""
+    return _run_command(ops, "agree-snapshot", json_requested)
 
 
 class StoredLog(NamedTuple):
-    """What a store holds of the replicated log."""
+    """The replicated log in a node's store."""
 
     owner: StoredIdentity
     durable: PersistentState
-    written: Persist | None  # by the work that was asked for
+    written: Persist | None  # the change that was written, if any
 
 
-def open_log(directory: Path, work: Callable[[str, PersistentState], Persist] | None = None) -> StoredLog:
-    """Read a store that no node has open; where there is `work` to do by the node's identity, write what it returns.
+def open_log(directory: Path, make_change: Callable[[str, PersistentState], Persist] | None = None) -> StoredLog:
+    """Read the replicated log from a store that no node has open.
 
-    Raises ClickException for damage, NodeRequestError where there is nothing."""
+    `make_change`, called with the node's identity and the state, returns a change to write. Raises ClickException for
+    a damaged log and NodeRequestError for a store without a log or one that cannot be opened."""
     from ..consensus.errors import JournalError
     from ..consensus.identity import IDENTITY_KEY, Identity, StoredIdentity
     from ..consensus.journal import Journal
@@ -168,13 +176,13 @@
         with Store.open(directory) as store:
             raw, journal = store.get(IDENTITY_KEY), Journal()
             if raw is None:
-                raise NodeRequestError(f"{directory}: there is no log in it")
+                raise NodeRequestError(f"{directory}: the store contains no replicated log")
             owner = StoredIdentity.unpack(raw)
             durable, _ = journal.load(store.get)
             written = None
-            if work is not None:
+            if make_change is not None:
                 identity = Identity(owner.node, (), owner.store_id, owner.status, {}).identity
-                written = work(identity, durable)
+                written = make_change(identity, durable)
                 for key, value in journal.write(written):
                     store.delete(key) if value is None else store.put(key, value, NO_EXPIRY)
                 store.commit()
@@ -187,35 +195,35 @@
 
 @command.command()
 @click.argument("directory", type=click.Path(exists=True, file_okay=False, path_type=Path))
-@click.option("--cluster", help="Its name, in place of typing it when asked.")
+@click.option("--cluster", help="The name of the cluster; without the option the command asks for the name.")
 def recover(directory: Path, cluster: str | None) -> int:
-    """Make the store in DIRECTORY the only voter, after a majority of the voters is lost for good.
+    """Make the store in DIRECTORY the only voter, after a majority of the voters is permanently lost.
 
-    The node must not run. Exit code 1 if the name was not the cluster's: nothing has changed."""
+    The node must not run. Exit code 1, without a change, if the given name is not that of the cluster."""
     from ..consensus.recovery import make_only_voter
 
     owner, durable, _ = open_log(directory)
     click.echo(
         f"{owner.node} holds the log up to {durable.base_index + len(durable.entries)}, term {durable.term}. "
-        f"What only the others had is lost, also where it was agreed; what stands here counts as agreed, "
-        f"also where it never was. None of the other voters may ever start with its old store again: "
-        f"empty those first.",
+        f"Entries that only other voters hold are lost, even if committed; all entries in this store become "
+        f"committed, even if they were not before. No other voter may start again with its old store: "
+        f"empty the stores of the other voters first.",
         err=True,
     )
-    if (cluster or click.prompt("The cluster's name, to go on", err=True)) != owner.cluster:
-        click.echo(f"that is not the name of the cluster of {directory}; nothing has changed", err=True)
+    if (cluster or click.prompt("Type the cluster's name to continue", err=True)) != owner.cluster:
+        click.echo(f"the name does not match the cluster of {directory}; nothing has changed", err=True)
         return 1
     written = open_log(directory, make_only_voter).written
     assert written is not None
-    click.echo(f"{owner.node} votes alone from its next start on, in term {written.term}")
+    click.echo(f"{owner.node} is the only voter from its next start, in term {written.term}")
     return 0
 
 
 @command.command()
 @click.argument("directory", type=click.Path(exists=True, file_okay=False, path_type=Path))
 @JSON
-def inspect(directory: Path, json_asked: bool) -> int:
-    """What the store in DIRECTORY holds of the log; the node must not run. Exit code 1 if it is damaged."""
+def inspect(directory: Path, json_requested: bool) -> int:
+    """Show the replicated log in DIRECTORY; the node must not run. Exit code 1 if the log is damaged."""
     owner, durable, _ = open_log(directory)
     found = {
         "cluster": owner.cluster,
@@ -228,7 +236,7 @@
         "first": durable.base_index + 1,
         "last": durable.base_index + len(durable.entries),
     }
-    if as_json(json_asked):
+    if use_json(json_requested):
         show_json(found)
     else:
         show_fields(str(directory), found)
--- a/chutepin/cli/demo.py
+++ b/chutepin/cli/demo.py
@@ -1,4 +1,4 @@
-"""`python -m chutepin demo`: the whole program at work on one machine, with a live table of outcomes."""
+"""Implements `python -m chutepin demo`: a node with stand-ins on one machine, with a live table of outcomes."""
 
 from __future__ import annotations
 
@@ -15,38 +15,40 @@
     from rich.table import Table
 
 
-def table(tally: Tally) -> Table:
-    """Outcomes by class."""
+def build_table(tally: Tally) -> Table:
+    """Build the table of outcomes by class."""
     from rich.table import Table
 
-    made = Table("class", "sent", *OUTCOMES, "median ms", "99 % ms", title="one final answer for each request")
+    outcome_table = Table("class", "sent", *OUTCOMES, "median ms", "99 % ms", title="one final answer for each request")
     for cls, sent in sorted(tally.sent.items()):
         times = [tally.time(cls, part) for part in (0.5, 0.99)]
-        made.add_row(
+        outcome_table.add_row(
             cls,
             str(sent),
             *(str(tally.outcomes[cls, outcome]) for outcome in OUTCOMES),
             *("" if value is None else f"{value:.1f}" for value in times),
         )
-    return made
+    return outcome_table
 
 
 @click.command("demo")
 @click.option(
-    "--seconds", type=click.FloatRange(0.1, 3600), default=10.0, show_default=True, help="How long requests are sent."
+    "--seconds", type=click.FloatRange(0.1, 3600), default=10.0, show_default=True, help="Duration of sending requests."
 )
-@click.option("--seed", type=int, default=1, show_default=True, help="Of the mix of requests.")
-@click.option("--json", "as_json", is_flag=True, help="Print the outcomes as one JSON object at the end.")
-def command(seconds: float, seed: int, as_json: bool) -> int:
-    """Run a node on loopback between stand-ins of executor, records and control plane; 1 if an answer lacks."""
-    if as_json or not sys.stdout.isatty():
+@click.option("--seed", type=int, default=1, show_default=True, help="Random seed of the mix of requests.")
+@click.option("--json", "json_requested", is_flag=True, help="Print the outcomes as one JSON object at the end.")
+def command(seconds: float, seed: int, json_requested: bool) -> int:
+    """Run a node on loopback with stand-ins of executor, records service and control plane.
+
+    Exit code 1 if a request was not answered."""
+    if json_requested or not sys.stdout.isatty():
         tally = asyncio.run(Demo(seconds, seed, lambda _: None).run())
-        click.echo(json.dumps(tally.as_dict(), indent=None if as_json else 2))
+        click.echo(json.dumps(tally.as_dict(), indent=None if json_requested else 2))
     else:
         try:
             from rich.live import Live
         except ImportError:
             raise click.ClickException("the live table needs requirements-tools.txt; or use --json") from None
-        with Live(table(Tally()), refresh_per_second=10) as live:
-            tally = asyncio.run(Demo(seconds, seed, lambda tally: live.update(table(tally))).run())
+        with Live(build_table(Tally()), refresh_per_second=10) as live:
+            tally = asyncio.run(Demo(seconds, seed, lambda tally: live.update(build_table(tally))).run())
     return 0 if tally.sound else 1
--- a/chutepin/cli/lab.py
+++ b/chutepin/cli/lab.py
@@ -1,4 +1,4 @@
-"""`python -m chutepin lab`: schedules of faults, on real processes or in the simulator."""
+"""Implements `python -m chutepin lab`: fault schedules on real processes or in the simulator."""
 
 from __future__ import annotations
 
@@ -13,10 +13,12 @@
 from chutepin.testbench.faults.schedule import Schedule, draw, load_schedule, smallest
 
 from . import scale, soak
-from .output import as_json, show_json, show_table
+from .output import show_json, show_table, use_json
 
-JSON = click.option("--json", "json_asked", is_flag=True, help="Print JSON also on a terminal.")
-SEED = click.option("--seed", type=int, default=1, show_default=True, help="Of all chance, and of what is drawn.")
+JSON = click.option("--json", "json_requested", is_flag=True, help="Print JSON also on a terminal.")
+SEED = click.option(
+    "--seed", type=int, default=1, show_default=True, help="Random seed of the run and of a drawn schedule."
+)
 OUT = click.option(
     "--out",
     type=click.Path(file_okay=False, path_type=Path),
@@ -26,15 +28,15 @@
 
 @click.group("lab")
 def command() -> None:
-    """Faults on many processes, with what must hold of them."""
+    """Inject faults into many processes and check invariants."""
 
 
 command.add_command(scale.command)
 command.add_command(soak.command)
 
 
-def schedule_of(name: str, seed: int) -> Schedule:
-    """The schedule of a file, or `draw` for one of 6 members from the seed."""
+def read_schedule(name: str, seed: int) -> Schedule:
+    """Read the schedule of a file; the name `draw` draws one of 6 members from the seed. Raises ClickException."""
     if name == "draw":
         return draw(seed, 6, 90.0)
     try:
@@ -45,8 +47,8 @@
         raise click.ClickException(f"{name}: {error}") from None
 
 
-def result(history: History, slack: float, out: Path | None, json_asked: bool) -> int:
-    """Show what came of a run; 1 if an invariant is broken."""
+def report_result(history: History, slack: float, out: Path | None, json_requested: bool) -> int:
+    """Print the result of a run; return exit code 1 if an invariant is violated, else 0."""
     found = broken(history, slack)
     counts = Counter(seen.what for seen in history.seen)
     if out is not None:
@@ -59,7 +61,7 @@
             charts.alive(out / "alive.svg", history)
         except ImportError:
             raise click.ClickException("the chart needs requirements-tools.txt") from None
-    if as_json(json_asked):
+    if use_json(json_requested):
         show_json(
             {
                 "members": history.schedule.members,
@@ -86,11 +88,11 @@
         show_table(
             "broken", [{"invariant": name, "found": line} for name, lines in found.items() for line in lines[:10]]
         )
-        click.echo("every invariant holds" if not found else f"{len(found)} invariants are broken")
+        click.echo("all invariants hold" if not found else f"{len(found)} invariants are violated")
     return int(bool(found))
 
 
-def _note(line: str) -> None:
+def _print_progress(line: str) -> None:
     click.echo(line, err=True)
 
 
@@ -104,14 +106,14 @@
     type=click.FloatRange(1),
     default=1.5,
     show_default=True,
-    help="By what the bounds of time are widened on a busy machine.",
+    help="Factor on the time bounds, for a busy machine.",
 )
-def fleet(schedule: str, seed: int, out: Path | None, json_asked: bool, slack: float) -> int:
-    """Play SCHEDULE (a file, or `draw`) on real processes; exit code 1 if an invariant is broken."""
+def fleet(schedule: str, seed: int, out: Path | None, json_requested: bool, slack: float) -> int:
+    """Run SCHEDULE (a file, or `draw`) on real processes; exit code 1 if an invariant is violated."""
     from chutepin.testbench.faults.fleet import play
 
-    asked = schedule_of(schedule, seed)
-    return result(asyncio.run(play(asked, seed, note=_note)), slack, out, json_asked)
+    parsed_schedule = read_schedule(schedule, seed)
+    return report_result(asyncio.run(play(parsed_schedule, seed, note=_print_progress)), slack, out, json_requested)
 
 
 @command.command()
@@ -119,28 +121,30 @@
 @SEED
 @OUT
 @JSON
-def simulate(schedule: str, seed: int, out: Path | None, json_asked: bool) -> int:
-    """Play SCHEDULE (a file, or `draw`) in the simulator: one seed, one history, byte for byte."""
+def simulate(schedule: str, seed: int, out: Path | None, json_requested: bool) -> int:
+    """Run SCHEDULE (a file, or `draw`) in the simulator; equal seeds give byte-identical histories."""
     from chutepin.testbench.simulators.membership import Simulator
 
-    asked = schedule_of(schedule, seed)
-    history = Simulator(asked, seed).run()
+    parsed_schedule = read_schedule(schedule, seed)
+    history = Simulator(parsed_schedule, seed).run()
     if found := broken(history):
         names = set(found)
-        least = smallest(asked, lambda fewer: bool(names & set(broken(Simulator(fewer, seed).run()))))
-        click.echo(f"seed {seed}, the smallest schedule that fails alike:\n{least.as_json()}", err=True)
-    return result(history, 1.0, out, json_asked)
+        smallest_schedule = smallest(
+            parsed_schedule, lambda candidate: bool(names & set(broken(Simulator(candidate, seed).run())))
+        )
+        click.echo(f"seed {seed}, smallest schedule with the same violation:\n{smallest_schedule.as_json()}", err=True)
+    return report_result(history, 1.0, out, json_requested)
 
 
 @command.command()
 @click.option("--voters", default=3, show_default=True)
 @click.option("--elections", default=2, show_default=True)
 @click.option("--proposals", default=0, show_default=True)
-@click.option("--beats", default=0, show_default=True, help="Heartbeats.")
-@click.option("--crashes", default=0, show_default=True, help="Between any two effects.")
-@click.option("--twice", default=0, show_default=True, help="Messages that come a second time.")
+@click.option("--beats", default=0, show_default=True, help="Number of heartbeats.")
+@click.option("--crashes", default=0, show_default=True, help="Number of crashes, between any two effects.")
+@click.option("--twice", default=0, show_default=True, help="Number of messages delivered twice.")
 @click.option("--snapshots", default=0, show_default=True)
-@click.option("--seconds", type=click.FloatRange(0.1), default=60.0, show_default=True, help="It ends after so long.")
+@click.option("--seconds", type=click.FloatRange(0.1), default=60.0, show_default=True, help="Time limit.")
 @JSON
 def explore(
     voters: int,
@@ -151,9 +155,9 @@
     twice: int,
     snapshots: int,
     seconds: float,
-    json_asked: bool,
+    json_requested: bool,
 ) -> int:
-    """Drive the real consensus through all interleavings of a scope; exit code 1 if an invariant is broken."""
+    """Check the consensus code over all interleavings of a scope; exit code 1 if an invariant is violated."""
     import time
 
     from chutepin.testbench.checks.model_checker import Scope
@@ -173,7 +177,7 @@
         "broken": found.broken,
         "path": [" ".join(step) for step in found.path],
     }
-    if as_json(json_asked):
+    if use_json(json_requested):
         show_json(fields)
     else:
         show_table("explored", [{"figure": name, "value": value} for name, value in fields.items()])
--- a/chutepin/cli/output.py
+++ b/chutepin/cli/output.py
@@ -1,4 +1,4 @@
-"""How commands show what they found: tables on a terminal, JSON elsewhere."""
+"""Prints the results of commands: tables on a terminal, JSON elsewhere."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 import click
 
 
-def as_json(asked: bool) -> bool:
-    """JSON is asked for, or nobody looks at a terminal."""
-    return asked or not sys.stdout.isatty()
+def use_json(requested: bool) -> bool:
+    """Return whether to print JSON: on request, or if standard output is not a terminal."""
+    return requested or not sys.stdout.isatty()
 
 
 def show_json(value: object) -> None:
-    """One object on a line."""
+    """Print a value as JSON on one line."""
     click.echo(json.dumps(value))
 
 
 def show_table(title: str, rows: Sequence[Mapping[str, Any]]) -> None:
-    """Rows of the same fields; nothing for no rows."""
+    """Print rows of the same fields as a table, or nothing for no rows. Raises ClickException without rich."""
     try:
         from rich.console import Console
         from rich.table import Table
@@ -41,5 +41,5 @@
 
 
 def show_fields(title: str, fields: Mapping[str, Any]) -> None:
-    """One field a row."""
+    """Print a table with one field per row."""
     show_table(title, [{"figure": name, "value": value} for name, value in fields.items()])
--- a/chutepin/cli/store.py
+++ b/chutepin/cli/store.py
@@ -1,7 +1,7 @@
-"""`python -m chutepin store …`: inspect an embedded store, compact it, salvage the readable records of a damaged one.
+"""Implements `python -m chutepin store …`: inspect, compact and repair an embedded store.
 
-Exit codes: 0 success; 1 damage was found, or something could not be salvaged; 2 usage error, no store, or an error of
-the system; 3 the store is open in another process."""
+Exit codes: 0 success; 1 damage was found, or records could not be salvaged; 2 usage error, no store, or an operating
+system error; 3 the store is open in another process."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 from ..store import repair as store_repair
 from ..store.codec import NEVER_MS
 from ..store.store import DEFAULT_MAX_BYTES
-from .output import as_json, show_fields, show_json, show_table
+from .output import show_fields, show_json, show_table, use_json
 
 EXIT_DAMAGED = 1
 EXIT_ERROR = 2
 EXIT_LOCKED = 3
-JSON_OPTION = click.option("--json", "wants_json", is_flag=True, help="Print JSON also on a terminal.")
+JSON_OPTION = click.option("--json", "json_requested", is_flag=True, help="Print JSON also on a terminal.")
 
 
-def with_store_exit_codes(work: Callable[..., int]) -> Callable[..., int]:
-    """Make a command print a StoreError as one line and return its exit code."""
+def with_store_exit_codes(command: Callable[..., int]) -> Callable[..., int]:
+    """Decorate a command to print a StoreError as one line and return the matching exit code."""
 
-    @functools.wraps(work)
+    @functools.wraps(command)
     def wrapped(*arguments: Any, **options: Any) -> int:
         try:
-            return work(*arguments, **options)
+            return command(*arguments, **options)
         except StoreError as error:
             print_line(str(error))
             return _exit_code(error)
@@ -52,18 +52,18 @@
 
 @click.group("store")
 def command() -> None:
-    """Look into an embedded store that no node has open, compact it, or salvage a damaged one."""
+    """Inspect, compact or repair an embedded store that no node has open."""
 
 
 @command.command()
 @click.argument("directory")
 @JSON_OPTION
 @with_store_exit_codes
-def check(directory: str, wants_json: bool) -> int:
+def check(directory: str, json_requested: bool) -> int:
     """Read every record and list all damage. Changes nothing."""
     with inspection.locked_directory(directory) as files:
         checked = inspection.check(files)
-    if as_json(wants_json):
+    if use_json(json_requested):
         show_json(checked.as_dict())
     else:
         show_fields(
@@ -80,11 +80,11 @@
 @click.argument("directory")
 @JSON_OPTION
 @with_store_exit_codes
-def stat(directory: str, wants_json: bool) -> int:
-    """Sizes and counts of the store and of each segment. Changes nothing."""
+def stat(directory: str, json_requested: bool) -> int:
+    """Show sizes and counts of the store and of each segment. Changes nothing."""
     with inspection.locked_directory(directory) as files:
         statistics = inspection.statistics(files)
-    if as_json(wants_json):
+    if use_json(json_requested):
         show_json(statistics)
     else:
         segments = statistics.pop("segments")
@@ -96,11 +96,13 @@
 
 @command.command()
 @click.argument("directory")
-@click.option("--all", "include_dead", is_flag=True, help="Also what was overruled, deleted or has expired.")
+@click.option(
+    "--all", "include_dead", is_flag=True, help="Include records that were overwritten, deleted or have expired."
+)
 @JSON_OPTION
 @with_store_exit_codes
-def dump(directory: str, include_dead: bool, wants_json: bool) -> int:
-    """The records, in the order of the log. Changes nothing."""
+def dump(directory: str, include_dead: bool, json_requested: bool) -> int:
+    """Print the records in log order. Changes nothing."""
     rows = []
     with inspection.locked_directory(directory) as files:
         for record in inspection.dump(files, include_dead):
@@ -111,7 +113,7 @@
                 "expires": None if record.expires_ms == NEVER_MS else record.expires_ms / 1000,
                 "bytes": len(record.value),
             }
-            if as_json(wants_json):
+            if use_json(json_requested):
                 show_json(row | {"value": _text(record.value)})
             else:
                 rows.append(row)
@@ -121,7 +123,7 @@
 
 
 def _text(data: bytes) -> str:
-    """Text as it is, other bytes as hexadecimal digits behind `0x`."""
+    """Decode printable text; format other bytes as `0x` and hexadecimal digits."""
     try:
         text = data.decode()
     except UnicodeDecodeError:
@@ -140,10 +142,10 @@
 )
 @JSON_OPTION
 @with_store_exit_codes
-def compact(directory: str, max_mib: int, wants_json: bool) -> int:
-    """Leave behind all that is dead, so that the store takes the least room."""
+def compact(directory: str, max_mib: int, json_requested: bool) -> int:
+    """Drop dead records, so that the store takes the least disk space."""
     with inspection.locked_directory(directory):
-        pass  # otherwise opening would begin a store in a directory without one
+        pass  # fails without a store, which Store.open would create
     with Store.open(directory, max_bytes=max_mib << 20) as store:
         before = store.metrics()["disk_bytes"]
         store.compact()
@@ -155,7 +157,7 @@
         "copied_bytes": after.get("copied_bytes", 0),
         "keys": after["keys"],
     }
-    if as_json(wants_json):
+    if use_json(json_requested):
         show_json(result)
     else:
         show_fields(directory, result)
@@ -172,19 +174,19 @@
     show_default=True,
     help="The new store's size limit.",
 )
-@click.option("--yes", is_flag=True, help="Do not ask; for scripts.")
+@click.option("--yes", is_flag=True, help="Do not ask for confirmation.")
 @JSON_OPTION
 @with_store_exit_codes
-def repair(directory: str, into: str, max_mib: int, yes: bool, wants_json: bool) -> int:
-    """Salvage what can be read of DIRECTORY into a new store INTO, and list what could not be kept.
+def repair(directory: str, into: str, max_mib: int, yes: bool, json_requested: bool) -> int:
+    """Salvage the readable records of DIRECTORY into a new store INTO, and list the losses.
 
-    Where the last record of a key can't be read an older value comes back, a deleted one too: ask whoever owns the
-    keys before a node is started on the result."""
+    If the last record of a key is unreadable, an older value reappears, even of a deleted key: ask the owner of the
+    keys before starting a node on the result."""
     if not yes and sys.stdin.isatty():
-        click.confirm(f"Salvage {directory} into {into}? Older values of damaged keys may come back", abort=True)
+        click.confirm(f"Salvage {directory} into {into}? Older values of damaged keys may reappear", abort=True)
     with inspection.locked_directory(directory) as files:
         salvaged = store_repair.repair(files, into, time.time, max_mib << 20)
-    if as_json(wants_json):
+    if use_json(json_requested):
         show_json(salvaged.as_dict())
     else:
         show_fields(
@@ -193,8 +195,8 @@
                 "kept": salvaged.kept,
                 "read": salvaged.read,
                 "expired": salvaged.expired,
-                "records known to be lost": salvaged.missing,
+                "records lost": salvaged.missing,
             },
         )
-        show_table("could not be kept", [{"file": g.file, "offset": g.offset, "what": g.what} for g in salvaged.gaps])
+        show_table("losses", [{"file": g.file, "offset": g.offset, "what": g.what} for g in salvaged.gaps])
     return EXIT_DAMAGED if salvaged.gaps or salvaged.missing else 0
--- a/chutepin/config/__init__.py
+++ b/chutepin/config/__init__.py
@@ -1,7 +1,7 @@
-"""Parses and checks the configuration files before anything starts.
+"""Parses and checks the configuration files before the node starts.
 
-`load` reads the platform's JSON, `load_amqp` the queues of the AMQP front, `load_setup` the operator's own file with
-one block for each subsystem. Each raises `ConfigError`, whose message is one line that names the field."""
+`load` reads the platform's JSON, `load_amqp` the TOML file of the AMQP queues, and `load_setup` the operator's KDL file
+with one block for each subsystem. Each raises `ConfigError`, whose message is one line that names the field."""
 
 from .checks import Address, ConfigError
 from .operator import AdmissionSetup, LogSetup, Setup, StoreSetup, load_setup, parse_setup
--- a/chutepin/config/checks.py
+++ b/chutepin/config/checks.py
@@ -1,7 +1,7 @@
-"""Checks of single values, shared by the platform's file and all blocks of the operator's.
+"""Checks single values of the platform's file and of all blocks of the operator's file.
 
-A check takes a value of the document and the name of its field, and returns the value that it means in the base unit.
-It raises `ConfigError` with one line that names the field."""
+A check takes a value of the document and the name of its field, and returns the value converted to the base unit. The
+check raises `ConfigError` with one line that names the field."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ConfigError(ValueError):
-    """The configuration is wrong; the message is one line that names the field."""
+    """An error in the configuration; the message is one line that names the field."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,18 +30,18 @@
     port: int
 
 
-Check = Callable[[Any, str], Any]  # (a value of the document, its field) to the value it means
+Check = Callable[[Any, str], Any]  # (value in the document, field name) -> converted value
 
 
 @dataclass(frozen=True, slots=True)
 class OneOrMore:
-    """A setting that takes one value or more."""
+    """A check of a setting that takes one or more values."""
 
     check: Check
 
 
 def quantity(units: Mapping[str, float], minimum: float, maximum: float) -> Check:
-    """Return a check for a number with one of these units, within bounds in the base unit."""
+    """Return a check for a number with one of these units; the bounds are in the base unit."""
 
     def check(raw: Any, name: str) -> float:
         unit, value = getattr(raw, "type_annotation", None), getattr(raw, "value", raw)
@@ -67,7 +67,7 @@
 
 
 def count(unit: str, minimum: int, maximum: int) -> Check:
-    """Return a check for an integer count of what the unit names."""
+    """Return a check for an integer count; the unit names the counted items."""
     check_quantity = quantity({unit: 1}, minimum, maximum)
 
     def check(raw: Any, name: str) -> int:
@@ -80,7 +80,7 @@
 
 
 def network(raw: Any, name: str) -> str:
-    """Check an IP address, or a network as address/bits; return it as a network."""
+    """Check an IP address, or a network as address/bits, and return the network."""
     try:
         return str(ipaddress.ip_network(text(raw, name)))
     except ValueError as error:
@@ -90,7 +90,7 @@
 
 
 def address(raw: Any, field: str) -> Address:
-    """Check an address of the form host:port, with both parts."""
+    """Check an address of the form host:port with both parts present, and return the address."""
     host, _, port = raw.rpartition(":") if isinstance(raw, str) else ("", "", "")
     if not host or not is_port(port):
         raise ConfigError(f"{field}: not an address of the form host:port")
@@ -98,20 +98,20 @@
 
 
 def is_port(port: str) -> bool:
-    """Whether a text is the number of a port, in plain digits."""
+    """Return whether a text is a port number in ASCII digits."""
     is_number = port.isascii() and port.isdigit() and len(port) <= MAX_PORT_DIGITS
     return is_number and 0 < int(port) <= MAX_PORT
 
 
 def text(raw: Any, name: str) -> str:
-    """Check that a value is a text and not empty."""
+    """Check that a value is a non-empty text, and return the text."""
     if not isinstance(raw, str) or not raw:
         raise ConfigError(f"{name}: missing or not a text")
     return raw
 
 
 def choice(*known: str) -> Check:
-    """Return a check for one of a few words."""
+    """Return a check for one of the words `known`."""
 
     def check(raw: Any, name: str) -> str:
         if raw not in known:
--- a/chutepin/config/cluster.py
+++ b/chutepin/config/cluster.py
@@ -1,4 +1,4 @@
-"""The block `cluster` of the operator's file: its fields and their checks. Imported only where the block is there."""
+"""Checks the block `cluster` of the operator's file. Imported only if the file has the block."""
 
 from __future__ import annotations
 
@@ -20,32 +20,34 @@
     region: str
     zone: str
     listen: Address  # UDP and TCP; announced to the other members
-    seeds: tuple[tuple[str, str], ...] = ()  # (member, address) to join by
-    reach: tuple[tuple[str, str], ...] = ()  # (member, address) that this node dials in place of the announced one
+    seeds: tuple[tuple[str, str], ...] = ()  # (member, address) pairs to join through
+    reach: tuple[tuple[str, str], ...] = ()  # (member, address) pairs dialled in place of the announced address
     probe_every: float = 0.5
-    probe_timeout: float = 0.2  # for the direct ack; helpers have until the next probe
+    probe_timeout: float = 0.2  # for the direct acknowledgement; indirect probes have until the next probe
     helpers: int = 3
     gossip_every: float = 0.1
     gossip_to: int = 3
-    suspect_least: float = 1.2  # time-out with all confirmations; grows with the logarithm of the members
-    suspect_most: int = 6  # times that, without any confirmation
-    alone: float = 15.0  # for which a member that gets no answer at all declares nobody dead
-    link_every: float = 2.0  # between checks of a bad link
-    sync_every: float = 5.0  # between repairs, while views differ
-    join_every: float = 1.0  # between attempts to contact a seed or a dead member
+    suspect_least: float = 1.2  # timeout with all confirmations; grows with the logarithm of the member count
+    suspect_most: int = 6  # multiple of suspect_least that applies without any confirmation
+    alone: float = 15.0  # time during which a member that gets no answers declares no other member dead
+    link_every: float = 2.0  # between two checks of a bad link
+    sync_every: float = 5.0  # between two state exchanges while membership views differ
+    join_every: float = 1.0  # between two attempts to contact a seed or a dead member
     remember: float = 86400.0  # retention of dead members
-    members: int = 1024  # names, departed members included
+    members: int = 1024  # limit of known names, departed members included
 
 
-def _name(raw: Any, name: str) -> str:
+def _parse_name(raw: Any, name: str) -> str:
     value = text(raw, name)
     if len(value) > MAX_NAME or " " in value or "=" in value or not value.isprintable():
         raise ConfigError(f"{name}: not a word of up to {MAX_NAME} characters")
     return value
 
 
-def _listen(raw: Any, name: str) -> Address:
-    """Check an IP address and port. A host name is an error, as resolving it would block."""
+def _parse_listen_address(raw: Any, name: str) -> Address:
+    """Check an IP address and port, and return the address.
+
+    A host name is rejected because resolving the name would block the event loop."""
     found = address(raw, name)
     try:
         if ipaddress.ip_address(found.host.strip("[]")).is_unspecified:
@@ -57,22 +59,22 @@
     return found
 
 
-def _peer(raw: Any, name: str) -> tuple[str, str]:
-    """Check a member and its address, of the form member=host:port."""
+def _parse_peer(raw: Any, name: str) -> tuple[str, str]:
+    """Check a text of the form member=host:port, and return the member's name and address."""
     member, equals, member_address = text(raw, name).partition("=")
     if not equals:
         raise ConfigError(f"{name}: {raw} is not of the form member=host:port")
-    found = _listen(member_address, name)
-    return _name(member, name), f"{found.host}:{found.port}"
+    found = _parse_listen_address(member_address, name)
+    return _parse_name(member, name), f"{found.host}:{found.port}"
 
 
 CHECKS: Mapping[str, Check | OneOrMore] = {
-    "name": _name,
-    "region": _name,
-    "zone": _name,
-    "listen": _listen,
-    "seeds": OneOrMore(_peer),
-    "reach": OneOrMore(_peer),
+    "name": _parse_name,
+    "region": _parse_name,
+    "zone": _parse_name,
+    "listen": _parse_listen_address,
+    "seeds": OneOrMore(_parse_peer),
+    "reach": OneOrMore(_parse_peer),
     "probe-every": quantity(TIME, 0.05, 60.0),
     "probe-timeout": quantity(TIME, 0.01, 30.0),
     "helpers": count("members", 1, 16),
@@ -90,7 +92,7 @@
 
 
 def build_setup(values: dict[str, Any]) -> ClusterSetup:
-    """Check the block's values against each other and return its setup. Raises ConfigError."""
+    """Check the values of the block against each other and return the setup. Raises ConfigError."""
     for name in ("name", "region", "zone", "listen"):
         if name not in values:
             raise ConfigError(f"cluster.{name}: missing")
--- a/chutepin/config/consensus.py
+++ b/chutepin/config/consensus.py
@@ -1,4 +1,4 @@
-"""Checks the block `agree` of the operator's file. Imported only where the block is there."""
+"""Checks the block `agree` of the operator's file. Imported only if the file has the block."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ConsensusSetup:
-    """The first voters of the replicated log, the times of elections, and when its log is compacted."""
+    """The initial voters of the replicated log, the election timing and the compaction threshold."""
 
     voters: tuple[str, ...]
-    election_timeout_s: float = 1.0  # the shortest; each timeout is drawn from once to twice this
+    election_timeout_s: float = 1.0  # the minimum; each timeout is drawn at random from one to two times this value
     heartbeat_interval_s: float = 0.2
-    snapshot_after_bytes: int = 2**20  # of committed entries
+    snapshot_after_bytes: int = 2**20  # size of the committed entries that triggers a snapshot
 
 
 FIELDS = {
@@ -28,7 +28,7 @@
 }
 
 
-def _member_name(raw: Any, name: str) -> str:
+def _parse_member_name(raw: Any, name: str) -> str:
     member = text(raw, name)
     if len(member) > MAX_NAME or not member.isprintable() or any(character in member for character in " =~"):
         raise ConfigError(f"{name}: not a member's name of up to {MAX_NAME} characters")
@@ -36,7 +36,7 @@
 
 
 CHECKS: Mapping[str, Check | OneOrMore] = {
-    "voters": OneOrMore(_member_name),
+    "voters": OneOrMore(_parse_member_name),
     "election": quantity(TIME, 0.1, 60.0),
     "heartbeat": quantity(TIME, 0.02, 10.0),
     "log": size(2**16, 2**26),
@@ -44,7 +44,7 @@
 
 
 def build_setup(values: dict[str, Any]) -> ConsensusSetup:
-    """Check the block's values against each other and build its setup. Raises ConfigError."""
+    """Check the values of the block against each other and return the setup. Raises ConfigError."""
     if "voters" not in values:
         raise ConfigError("agree.voters: missing")
     setup = ConsensusSetup(**{FIELDS[name]: value for name, value in values.items()})
--- a/chutepin/config/operator.py
+++ b/chutepin/config/operator.py
@@ -1,7 +1,8 @@
-"""Parses the operator's file (`--setup FILE`): KDL, one block for each subsystem, every quantity with its unit.
+"""Parses the operator's file (`--setup FILE`): KDL with one block for each subsystem and a unit on every quantity.
 
-A unit is a type annotation, `segment (MiB)8`: a number typed in milliseconds where seconds were meant is found by
-reading, not by an outage. An unknown name, a missing unit or a value out of range is one line with file and field.
+The unit is a type annotation, as in `segment (MiB)8`, so that a value in milliseconds where seconds were meant is
+visible in the file. An unknown name, a missing unit or a value out of range raises `ConfigError` with one line that
+names the file and the field.
 """
 
 from __future__ import annotations
@@ -25,37 +26,39 @@
 
 @dataclass(frozen=True, slots=True)
 class LogSetup:
-    """The block `log`."""
+    """The settings of the block `log`."""
 
     format: LogFormat = LogFormat.PLAIN
 
 
 @dataclass(frozen=True, slots=True)
 class StoreSetup:
-    """The block `store`: an embedded store that is opened with the node."""
+    """The settings of the block `store`: the embedded store that the node opens at its start."""
 
     directory: str
-    segment: int = 8 * 2**20  # bytes of a segment's file
-    max: int = 256 * 2**20  # bytes of all files
-    memory: int = 16 * 2**20  # bytes that the index may take
-    sync_every: float = 0.005  # seconds after which a put is made durable unasked
+    segment: int = 8 * 2**20  # bytes of a segment file
+    max: int = 256 * 2**20  # bytes of all files together
+    memory: int = 16 * 2**20  # limit of the index, in bytes
+    sync_every: float = 0.005  # seconds after which a put is synced to disk without a commit
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionSetup:
-    """The block `admission`: who may connect. 0 switches a rule off, as do the defaults."""
+    """The settings of the block `admission`: limits on connections.
 
-    per_address: int = 0  # connections
-    per_block: int = 0
-    block_v4: int = 24  # bits
+    The value 0 disables a rule; by default all rules are disabled."""
+
+    per_address: int = 0  # connections from one address
+    per_block: int = 0  # connections from one block of addresses
+    block_v4: int = 24  # prefix length of a block, in bits
     block_v6: int = 64
-    rate_address: float = 0.0  # new connections a second
+    rate_address: float = 0.0  # new connections per second
     burst_address: int = 10
     rate_block: float = 0.0
     burst_block: int = 50
-    new_share: float = 1.0  # part of the table
+    new_share: float = 1.0  # share of the connection table
     reserve: float = 0.0
-    known: tuple[str, ...] = ()  # networks
+    known: tuple[str, ...] = ()  # networks whose addresses count as known
     relays: tuple[str, ...] = ()
     earn_requests: int = 0
     earn_over: float = 10.0  # seconds
@@ -65,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Setup:
-    """The operator's file. A block that is missing leaves its subsystem at its defaults, or off."""
+    """The contents of the operator's file. A missing block leaves its subsystem disabled or at its defaults."""
 
     log: LogSetup = field(default_factory=LogSetup)
     store: StoreSetup | None = None
@@ -74,8 +77,8 @@
     consensus: ConsensusSetup | None = None
 
 
-# Blocks to the modules here that check them, imported only where the file has the block.
-LAZY = {"cluster": "cluster", "agree": "consensus"}
+# Maps a block to the module of this package that checks the block; imported only if the file has the block.
+LAZY_BLOCKS = {"cluster": "cluster", "agree": "consensus"}
 
 BLOCKS: dict[str, dict[str, Check | OneOrMore]] = {
     "log": {"format": choice(*(format.value for format in LogFormat))},
@@ -107,7 +110,7 @@
 }
 
 
-def _block(node: Any, known: Mapping[str, Check | OneOrMore]) -> dict[str, Any]:
+def _parse_block(node: Any, known: Mapping[str, Check | OneOrMore]) -> dict[str, Any]:
     if node.args or node.properties:
         raise ConfigError(f"{node.name}: takes a block in braces, no values of its own")
     found: dict[str, Any] = {}
@@ -117,11 +120,11 @@
             raise ConfigError(f"{name}: unknown; known are {', '.join(known)}")
         if child.name in found:
             raise ConfigError(f"{name}: given twice")
-        found[child.name] = _value(child, known[child.name], name)
+        found[child.name] = _parse_value(child, known[child.name], name)
     return found
 
 
-def _value(node: Any, check: Check | OneOrMore, name: str) -> Any:
+def _parse_value(node: Any, check: Check | OneOrMore, name: str) -> Any:
     takes_several = isinstance(check, OneOrMore)
     if not 1 <= len(node.args) <= (MAX_NETWORKS if takes_several else 1) or node.properties or node.children:
         raise ConfigError(f"{name}: takes one value{f' to {MAX_NETWORKS}' if takes_several else ''}")
@@ -132,7 +135,7 @@
 
 def parse_setup(source: str) -> Setup:
     """Parse and check an operator's file. Raises `ConfigError` with one line that names the field."""
-    import ckdl  # only where a file is given
+    import ckdl  # a node without an operator's file does not load the library
 
     try:
         document = ckdl.parse(source)
@@ -140,27 +143,27 @@
         raise ConfigError(f"not KDL: {error}") from None
     blocks: dict[str, dict[str, Any]] = {}
     for node in document.nodes:
-        if node.name not in (*BLOCKS, *LAZY):
-            raise ConfigError(f"{node.name}: unknown block; known are {', '.join((*BLOCKS, *LAZY))}")
+        if node.name not in (*BLOCKS, *LAZY_BLOCKS):
+            raise ConfigError(f"{node.name}: unknown block; known are {', '.join((*BLOCKS, *LAZY_BLOCKS))}")
         if node.name in blocks:
             raise ConfigError(f"{node.name}: given twice")
-        if node.name in LAZY:
-            lazy = importlib.import_module(f".{LAZY[node.name]}", __package__)
-            blocks[node.name] = {"setup": lazy.build_setup(_block(node, lazy.CHECKS))}
+        if node.name in LAZY_BLOCKS:
+            lazy = importlib.import_module(f".{LAZY_BLOCKS[node.name]}", __package__)
+            blocks[node.name] = {"setup": lazy.build_setup(_parse_block(node, lazy.CHECKS))}
         else:
-            blocks[node.name] = _block(node, BLOCKS[node.name])
+            blocks[node.name] = _parse_block(node, BLOCKS[node.name])
     log = LogSetup(LogFormat(blocks.get("log", {}).get("format", LogFormat.PLAIN.value)))
     admission = AdmissionSetup(**{name.replace("-", "_"): value for name, value in blocks.get("admission", {}).items()})
     if admission.new_share + admission.reserve > 1 and admission.new_share < 1:
         raise ConfigError("admission.new-share: with admission.reserve more than 100 %")
-    store = _store(blocks["store"]) if "store" in blocks else None
-    cluster, consensus = (blocks.get(name, {}).get("setup") for name in LAZY)
+    store = _build_store_setup(blocks["store"]) if "store" in blocks else None
+    cluster, consensus = (blocks.get(name, {}).get("setup") for name in LAZY_BLOCKS)
     if consensus is not None and (cluster is None or store is None):
         raise ConfigError(f"agree: needs the block {'cluster' if cluster is None else 'store'} as well")
     return Setup(log, store, admission, cluster, consensus)
 
 
-def _store(values: dict[str, Any]) -> StoreSetup:
+def _build_store_setup(values: dict[str, Any]) -> StoreSetup:
     if "directory" not in values:
         raise ConfigError("store.directory: missing or not a text")
     store = StoreSetup(**{name.replace("-", "_"): value for name, value in values.items()})
@@ -170,7 +173,7 @@
 
 
 def load_setup(path: str) -> Setup:
-    """Read and check the file at `path`; the message of an error begins with that path."""
+    """Read and check the file at `path`. Raises ConfigError; its message begins with the path."""
     try:
         if Path(path).stat().st_size > MAX_FILE_BYTES:
             raise ConfigError(f"{path}: over {MAX_FILE_BYTES} bytes")
--- a/chutepin/config/platform.py
+++ b/chutepin/config/platform.py
@@ -1,6 +1,6 @@
-"""The platform's JSON file and the operator's TOML file for AMQP, parsed and checked field by field.
+"""Parses and checks the platform's JSON file and the operator's TOML file for AMQP.
 
-A `ConfigError` names the field, in one line."""
+Errors raise `ConfigError` with one line that names the field."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from ..decision import simulator_protocol as wire
 from .checks import Address, ConfigError, address, text
 
-MAX_QUEUE_NAME_BYTES = 255  # AMQP's short string
+MAX_QUEUE_NAME_BYTES = 255  # limit of a short string in AMQP
 MAX_QUEUES = 100
 MAX_HEARTBEAT_S = 3600
 MAX_PREFETCH = 1024
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The platform's configuration of a node."""
+    """The configuration of a node, as the platform provides it."""
 
     name: str
     listen: Address
@@ -34,21 +34,21 @@
     control: Address | None
     records: Address | None
     seed: int
-    stop: float  # seconds from the notice of a shutdown to the end of the process
+    stop: float  # seconds from the shutdown signal until the platform ends the process
     memory: int  # bytes
     sockets: int
     settings: decision.Settings
     ops: Address | None = None  # the operators' socket
 
 
-def positive(raw: Any, field: str) -> float:
-    """Check that a value is a finite number above 0. Raises ConfigError."""
+def positive_number(raw: Any, field: str) -> float:
+    """Check that a value is a finite number above 0, and return the number. Raises ConfigError."""
     if isinstance(raw, bool) or not isinstance(raw, (int, float)) or not 0 < raw <= sys.float_info.max:
         raise ConfigError(f"{field}: not a number above 0")
     return float(raw)
 
 
-def _seed(raw: Any) -> int:
+def _parse_seed(raw: Any) -> int:
     try:
         return int(text(raw, "seed"), 16)
     except ValueError as error:
@@ -56,7 +56,9 @@
 
 
 def parse(raw: Any, environment: Mapping[str, str]) -> Config:
-    """Check the decoded file. Name and addresses that it lacks come from the environment. Raises ConfigError."""
+    """Check the decoded file and return the configuration. Raises ConfigError.
+
+    A missing name, listen address or operators' address is taken from the environment."""
     if not isinstance(raw, dict):
         raise ConfigError("LB_CONFIG: not a JSON object")
     limits = raw.get("limits", {})
@@ -75,10 +77,10 @@
         executor=address(raw.get("executor"), "executor"),
         control=address(control, "control") if control is not None else None,
         records=address(records, "records") if records is not None else None,
-        seed=_seed(raw.get("seed", "0")),
-        stop=positive(raw.get("stop_ms", 3000), "stop_ms") / 1000,
-        memory=int(positive(limits.get("memory_mb", 192), "limits.memory_mb") * 2**20),
-        sockets=int(positive(limits.get("sockets", 1024), "limits.sockets")),
+        seed=_parse_seed(raw.get("seed", "0")),
+        stop=positive_number(raw.get("stop_ms", 3000), "stop_ms") / 1000,
+        memory=int(positive_number(limits.get("memory_mb", 192), "limits.memory_mb") * 2**20),
+        sockets=int(positive_number(limits.get("sockets", 1024), "limits.sockets")),
         settings=settings,
         ops=address(ops, "ops") if ops is not None else None,
     )
@@ -86,17 +88,17 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueConfig:
-    """One AMQP queue, its team and the class of its messages."""
+    """The settings of one AMQP queue: the team and the class of its messages."""
 
     name: str
     team: str
     cls: str
-    held_kb: float  # memory that a queued message counts for
+    held_kb: float  # memory accounted for each queued message
 
 
 @dataclass(frozen=True, slots=True)
 class AmqpConfig:
-    """The operator's file for the AMQP front."""
+    """The contents of the operator's file for the AMQP consumer."""
 
     address: Address
     virtual_host: str
@@ -105,18 +107,18 @@
     heartbeat: int  # seconds
     prefetch: int
     max_body: int  # bytes
-    redelivery_window: float  # seconds in which a redelivered message is recognized
+    redelivery_window: float  # seconds during which a redelivered message is recognized
     queues: tuple[QueueConfig, ...]
 
 
-def _whole_number(raw: Any, field: str, maximum: int) -> int:
+def _check_whole_number(raw: Any, field: str, maximum: int) -> int:
     if isinstance(raw, bool) or not isinstance(raw, int) or not 0 < raw <= maximum:
         raise ConfigError(f"{field}: not a whole number from 1 to {maximum}")
     return raw
 
 
-def _table(raw: Any, field: str, known: set[str]) -> dict[str, Any]:
-    """Check that a value is a table with no name but the known ones."""
+def _check_table(raw: Any, field: str, known: set[str]) -> dict[str, Any]:
+    """Check that a value is a table that contains only the names in `known`, and return the table."""
     if not isinstance(raw, dict):
         raise ConfigError(f"{field}: missing or not a table")
     if unknown := sorted(set(raw) - known):
@@ -124,13 +126,13 @@
     return raw
 
 
-def _queue(raw: Any, field: str, settings: decision.Settings) -> QueueConfig:
-    table = _table(raw, field, {"name", "team", "class", "held_kb"})
+def _parse_queue(raw: Any, field: str, settings: decision.Settings) -> QueueConfig:
+    table = _check_table(raw, field, {"name", "team", "class", "held_kb"})
     queue = QueueConfig(
         text(table.get("name"), f"{field}.name"),
         text(table.get("team"), f"{field}.team"),
         text(table.get("class"), f"{field}.class"),
-        positive(table.get("held_kb", 32.0), f"{field}.held_kb"),
+        positive_number(table.get("held_kb", 32.0), f"{field}.held_kb"),
     )
     if len(queue.name.encode()) > MAX_QUEUE_NAME_BYTES:
         raise ConfigError(f"{field}.name: over 255 bytes")
@@ -142,9 +144,11 @@
 
 
 def parse_amqp(raw: Any, settings: decision.Settings, environment: Mapping[str, str]) -> AmqpConfig:
-    """Check the operator's decoded file against the classes and tenants of the settings. Raises ConfigError."""
-    raw = _table(raw, "amqp", {"broker", "queue"})
-    broker = _table(
+    """Check the decoded file against the classes and tenants of the settings, and return its settings.
+
+    Raises ConfigError."""
+    raw = _check_table(raw, "amqp", {"broker", "queue"})
+    broker = _check_table(
         raw.get("broker"),
         "broker",
         {
@@ -169,16 +173,16 @@
         virtual_host=text(broker.get("virtual_host", "/"), "broker.virtual_host"),
         user=text(broker.get("user"), "broker.user"),
         password=environment[variable],
-        heartbeat=_whole_number(broker.get("heartbeat_s", 10), "broker.heartbeat_s", MAX_HEARTBEAT_S),
-        prefetch=_whole_number(broker.get("prefetch", 32), "broker.prefetch", MAX_PREFETCH),
-        max_body=_whole_number(broker.get("max_body", 2048), "broker.max_body", MAX_BODY_BYTES),
-        redelivery_window=positive(broker.get("redelivery_window_s", 900), "broker.redelivery_window_s"),
-        queues=tuple(_queue(q, f"queue.{index}", settings) for index, q in enumerate(queues)),
+        heartbeat=_check_whole_number(broker.get("heartbeat_s", 10), "broker.heartbeat_s", MAX_HEARTBEAT_S),
+        prefetch=_check_whole_number(broker.get("prefetch", 32), "broker.prefetch", MAX_PREFETCH),
+        max_body=_check_whole_number(broker.get("max_body", 2048), "broker.max_body", MAX_BODY_BYTES),
+        redelivery_window=positive_number(broker.get("redelivery_window_s", 900), "broker.redelivery_window_s"),
+        queues=tuple(_parse_queue(q, f"queue.{index}", settings) for index, q in enumerate(queues)),
     )
 
 
 def load_amqp(path: str, settings: decision.Settings, environment: Mapping[str, str] = os.environ) -> AmqpConfig:
-    """Read the operator's file. Raises ConfigError."""
+    """Read and check the TOML file at `path`. Raises ConfigError."""
     try:
         raw = tomllib.loads(Path(path).read_text())
     except OSError as error:
@@ -189,7 +193,7 @@
 
 
 def load(environment: Mapping[str, str] = os.environ) -> Config:
-    """Read the file that `LB_CONFIG` names. Raises ConfigError."""
+    """Read and check the JSON file whose path is in `LB_CONFIG`. Raises ConfigError."""
     path = environment.get("LB_CONFIG")
     if not path:
         raise ConfigError("LB_CONFIG: not set")
