--- a/chutepin/broker/core.py
+++ b/chutepin/broker/core.py
@@ -236,14 +236,14 @@
 
     # Called by the link to the executor:
 
-    def executor_started(self, cold: bool, started_at: float) -> None:
+    def executor_started(self, is_warming_up: bool, started_at: float) -> None:
         """Start the decision module when the executor starts for the first time; ignore later starts.
 
-        `cold`: the executor is still warming up. `started_at`: when the executor started."""
+        `is_warming_up`: the executor is still warming up. `started_at`: when the executor started."""
         if self.started:
             return
         self.started = True
-        self._decisions.run(lambda: self._facade.start(self._clock.now(), started_at, cold))
+        self._decisions.run(lambda: self._facade.start(self._clock.now(), started_at, is_warming_up))
         self.on_started()
         notified_at = self._drain.notified_at
         if self._schedule.stop_at is not None and notified_at is not None:
@@ -257,7 +257,7 @@
             return
         self._counters.add(f"runs.{end.value}")
         if attempt.phase is Phase.CALLING_DEPENDENCY:
-            self._records.give_up(id)
+            self._records.cancel_call(id)
         self._idempotent.finish_run(attempt, end, result)
         if end is End.OK:
             self._attempts.serve(attempt, result)
@@ -307,7 +307,7 @@
         if end is End.OK:
             attempt.phase = Phase.RUNNING
             attempt.call_body = b""
-            self._executor.give_back(id, reply)
+            self._executor.return_reply(id, reply)
         self._decisions.report(CallReturned(id, end, self._clock.now() - attempt.call_started_at))
 
     # Timer:
--- a/chutepin/broker/ports.py
+++ b/chutepin/broker/ports.py
@@ -26,7 +26,7 @@
     def kill(self, id: str) -> None:
         """Stop a run."""
 
-    def give_back(self, id: str, reply: bytes) -> None:
+    def return_reply(self, id: str, reply: bytes) -> None:
         """Resume a run with the reply to its call."""
 
     def bypass(self, id: str, notice: int) -> None:
@@ -43,10 +43,10 @@
     """The records service, which runs depend on."""
 
     def call(self, id: str, deadline: float, body: bytes, repeatable: bool) -> None:
-        """Make a call. Its end is reported once to `Broker.call_ended`, unless the call is abandoned before."""
+        """Make a call. Its end is reported once to `Broker.call_ended`, unless the call is cancelled before."""
 
-    def give_up(self, id: str) -> None:
-        """Abandon a call, whose end is then not reported."""
+    def cancel_call(self, id: str) -> None:
+        """Cancel a call, whose end is then not reported."""
 
 
 class Timer(Protocol):
--- a/chutepin/facade.py
+++ b/chutepin/facade.py
@@ -152,9 +152,9 @@
         self._settings, self._seed, self._core = settings, seed, core
         self._policy = Policy(settings, seed)
 
-    def start(self, now: float, started_at: float, cold: bool) -> None:
-        """Replace the policy by a new one for an executor that started at `started_at`, cold or warm."""
-        self._policy = Policy(dataclasses.replace(self._settings, warming_up=cold), self._seed)
+    def start(self, now: float, started_at: float, is_warming_up: bool) -> None:
+        """Replace the policy by a new one for an executor that started at `started_at` and may be warming up."""
+        self._policy = Policy(dataclasses.replace(self._settings, warming_up=is_warming_up), self._seed)
         self._apply(now, self._policy.start(min(started_at, now)))
 
     def pick(self, now: float, pending: PendingRequest) -> None:
--- a/chutepin/handover/link.py
+++ b/chutepin/handover/link.py
@@ -46,7 +46,7 @@
         self._clock = clock
         self._counters = counters
         self._log = log
-        self.serve: Callable[[], Awaitable[None]]  # makes this process accept connections; may be called again
+        self.start_serving: Callable[[], Awaitable[None]]  # makes this process accept connections; may be called again
         self.has_predecessor = rendezvous.has_listener()
         self.sockets: list[socket.socket] = []  # the predecessor's listening sockets
         self._writer: asyncio.StreamWriter | None = None
@@ -61,7 +61,7 @@
             if self.has_predecessor:
                 await self._take_over()
             await self._listen()
-            await self.serve()
+            await self.start_serving()
             await self._supervise()
         finally:
             self._is_closing = True
@@ -135,7 +135,7 @@
             if self._stage in (Stage.TAKEN_OVER, Stage.ALONE):
                 return
             if self._stage is Stage.UNCOORDINATED:
-                await self.serve()
+                await self.start_serving()
             await asyncio.sleep(RETRY_DELAY_S)
             if not self._rendezvous.has_listener():
                 self.session.peer_ended()
--- a/chutepin/net/executor/link.py
+++ b/chutepin/net/executor/link.py
@@ -54,7 +54,7 @@
         self._session.forget_probe(id)
         self._session.command(id, line("KILL", id), True)
 
-    def give_back(self, id: str, reply: bytes) -> None:
+    def return_reply(self, id: str, reply: bytes) -> None:
         """Send the reply to the call that a run waits for."""
         self._session.answer_call(id, reply)
 
--- a/chutepin/net/executor/session.py
+++ b/chutepin/net/executor/session.py
@@ -24,8 +24,8 @@
 class NoticeHandler(Protocol):
     """The receiver of the executor's notices."""
 
-    def executor_started(self, cold: bool, born: float) -> None:
-        """Handle a new executor process that has been up since `born`; `cold` while it warms up."""
+    def executor_started(self, is_warming_up: bool, started_at: float) -> None:
+        """Handle the start of an executor process at `started_at`, which may still be warming up."""
 
     def run_ended(self, id: str, end: End, elapsed: float, result: bytes) -> None:
         """Handle the end of a run after `elapsed` seconds."""
@@ -197,9 +197,9 @@
         assert self.notices is not None
         match words[0]:
             case "WELCOME":
-                born = self._clock.now() - number_at(words, 2) / 1000
+                started_at = self._clock.now() - number_at(words, 2) / 1000
                 self._welcomed, self._sync_meter = True, self._last_meter + 1
-                self.notices.executor_started(word_at(words, 1) == "chilly", born)
+                self.notices.executor_started(word_at(words, 1) == "chilly", started_at)
                 self.meter()
             case "EXIT":
                 end, elapsed = _ENDS.get(word_at(words, 3), End.ERROR), number_at(words, 4) / 1000
--- a/chutepin/net/records.py
+++ b/chutepin/net/records.py
@@ -124,8 +124,8 @@
             connection.retired = True
         self.close_idle()
 
-    def give_up(self, id: str) -> None:
-        """Abandon a call.
+    def cancel_call(self, id: str) -> None:
+        """Cancel a call.
 
         Its connection is closed, or the call is withdrawn by UNOP if other calls share the connection."""
         if (timer := self._timers.pop(id, None)) is not None:
@@ -145,7 +145,7 @@
         """End a call as late and retire its connection, which may have stopped responding."""
         for connection in self._connections:
             connection.retired = connection.retired or id in connection.calls
-        self.give_up(id)
+        self.cancel_call(id)
         self._end(id, End.LATE)
 
     def _connection_for(self, call: Call) -> Connection | None:
--- a/chutepin/node.py
+++ b/chutepin/node.py
@@ -214,7 +214,7 @@
         self.broker.peer = session
         self.broker.keys.replicate = session.replicate
         link = HandoverLink(Rendezvous(path), session, self._listening_sockets, self.clock, self.counters, self.log)
-        link.serve = self._serve
+        link.start_serving = self._serve
         return link
 
     def print_counters(self) -> None:
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -59,7 +59,7 @@
     def kill(self, id: str) -> None:
         self.done.append(("kill", id))
 
-    def give_back(self, id: str, reply: bytes) -> None:
+    def return_reply(self, id: str, reply: bytes) -> None:
         self.done.append(("return", id, reply))
 
     def bypass(self, id: str, notice: int) -> None:
@@ -74,7 +74,7 @@
     def call(self, id: str, deadline: float, body: bytes, repeatable: bool) -> None:
         self.done.append(("call", id, deadline, body))
 
-    def give_up(self, id: str) -> None:
+    def cancel_call(self, id: str) -> None:
         self.done.append(("give up", id))
 
     def set(self, at: float) -> None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -393,7 +393,7 @@
         assert self.link is not None
         self.link.transport.abort()
 
-    def executor_started(self, cold: bool, born: float) -> None: ...
+    def executor_started(self, is_warming_up: bool, started_at: float) -> None: ...
     def gauges_received(self, values: tuple[float, ...]) -> None: ...
     def call_wanted(self, id: str, notice: int, body: bytes) -> None: ...
     def command_not_carried_out(self, command: str, id: str) -> None: ...
@@ -483,7 +483,7 @@
         )
         service.listener = Listener()
         service.call("a", hand.time + 60, b"x", repeatable=False)
-        service.give_up("a")  # before the connection is established
+        service.cancel_call("a")  # before the connection is established
         await eventually(lambda: received)
         await eventually(lambda: service._connections[0].writer)
         hand.time += 9
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -139,7 +139,7 @@
 
     # Notices received by the node.
 
-    def executor_started(self, cold: bool, born: float) -> None: ...
+    def executor_started(self, is_warming_up: bool, started_at: float) -> None: ...
     def gauges_received(self, values: tuple[float, ...]) -> None: ...
 
     def run_ended(self, id: str, end: End, elapsed: float, result: bytes) -> None:
@@ -357,9 +357,9 @@
         assert not carriers or carriers[0] not in others or len(others) == 3
 
     @rule(id=st.sampled_from("abcde"))
-    def give_up(self, id: str) -> None:
+    def cancel_call(self, id: str) -> None:
         if self.open.pop(id, None) is not None:
-            self.service.give_up(id)
+            self.service.cancel_call(id)
             # The reply may be in flight and arrive after the next call for the same request.
             self.stale += [entry for entry in self.in_flight if entry[1] == id]
             self.in_flight = [entry for entry in self.in_flight if entry[1] != id]
--- a/tests/test_repeated_returns.py
+++ b/tests/test_repeated_returns.py
@@ -66,7 +66,7 @@
 
     # Notices received by the node.
 
-    def executor_started(self, cold: bool, born: float) -> None: ...
+    def executor_started(self, is_warming_up: bool, started_at: float) -> None: ...
 
     def gauges_received(self, values: tuple[float, ...]) -> None: ...
 
@@ -92,7 +92,7 @@
     def send_replies(self) -> None:
         unsent_replies, self.unsent_replies = self.unsent_replies, []
         for id, reply in unsent_replies:
-            self.node.give_back(id, reply)
+            self.node.return_reply(id, reply)
 
     def node_reads(self) -> None:
         data = bytes(self.to_node)
