--- a/chutepin/broker/actions.py
+++ b/chutepin/broker/actions.py
@@ -1,4 +1,4 @@
-"""The actions of the decision module (`facade.Core`), carried out on attempts, ports and timers."""
+"""The actions of the decision module (`facade.DecisionHost`), carried out on attempts, ports and timers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class DecisionActions:
-    """The implementation of `facade.Core` over one broker's attempts and ports."""
+    """The implementation of `facade.DecisionHost` over one broker's attempts and ports."""
 
     def __init__(
         self,
@@ -95,16 +95,16 @@
         self._counters.add("calls.skipped")
         self._executor.bypass(id, attempt.call_notice)
 
-    def keep_key(self, id: str, until: float) -> None:
+    def reserve_key(self, id: str, until: float) -> None:
         """Reserve the idempotency key of an attempt until a time."""
         self._idempotent.reserve(self._attempts.by_id[id], until)
 
-    def forget_key(self, id: str) -> None:
+    def release_key(self, id: str) -> None:
         """Release the idempotency key of an attempt that never ran."""
         if (attempt := self._attempts.by_id.get(id)) is not None:
             self._idempotent.release(attempt.request)
 
-    def share(self, id: str) -> None:
+    def share_result(self, id: str) -> None:
         """Answer with the result of the key's run, now or when that run ends."""
         self._idempotent.share_result(self._attempts.by_id[id])
 
@@ -116,7 +116,7 @@
         """Set the load signal value that is sent with every answer."""
         self._status.value = value if self._announces_value else None
 
-    def set_idle(self, after: float) -> None:
+    def set_idle_timeout(self, after: float) -> None:
         """Set the idle time, in seconds, after which connections are closed."""
         self._status.idle_timeout_s = after
 
@@ -124,6 +124,6 @@
         """Set a timer that ticks the decision module with this token."""
         self._schedule.set_timer(token, at)
 
-    def log_line(self, text: str) -> None:
+    def log(self, text: str) -> None:
         """Log a line of the decision module."""
         self._log.event("module", text=text)
--- a/chutepin/broker/peer_exchange.py
+++ b/chutepin/broker/peer_exchange.py
@@ -39,7 +39,7 @@
     @property
     def usage(self) -> tuple[int, float]:
         """Return the decision module's count of runs on the cores or about to resume, and of the memory in KB."""
-        return self._decisions.facade.use
+        return self._decisions.facade.usage
 
     def set_peer_usage(self, running: int, memory_kb: float) -> None:
         """Deduct the usage of the peer process from this process's capacity."""
--- a/chutepin/facade.py
+++ b/chutepin/facade.py
@@ -1,7 +1,7 @@
 """Facade of the decision package for the broker: `Facade.pick`, `Facade.report` and `Facade.tick`.
 
 No other module of the node uses the package's events or actions. Each call passes one event to the policy and applies
-the returned actions to the core, in their order.
+the returned actions to the `DecisionHost`, in their order.
 """
 
 from __future__ import annotations
@@ -99,8 +99,8 @@
 Report = RunEnded | CallNeeded | CallReturned | CallerDisconnected | DrainNotice
 
 
-class Core(Protocol):
-    """Operations of the broker's core that carry out decisions. Times are absolute unless said otherwise."""
+class DecisionHost(Protocol):
+    """The operations of the broker that carry out decisions. Times are absolute unless said otherwise."""
 
     def run(self, id: str) -> None:
         """Start a queued request."""
@@ -120,13 +120,13 @@
     def skip_call(self, id: str) -> None:
         """Resume a run without its dependency call."""
 
-    def keep_key(self, id: str, until: float) -> None:
-        """Keep the request's idempotency key."""
+    def reserve_key(self, id: str, until: float) -> None:
+        """Reserve the request's idempotency key until a time."""
 
-    def forget_key(self, id: str) -> None:
-        """Delete the request's idempotency key."""
+    def release_key(self, id: str) -> None:
+        """Release the request's idempotency key."""
 
-    def share(self, id: str) -> None:
+    def share_result(self, id: str) -> None:
         """Answer a request with the result of the request that it repeats."""
 
     def set_health(self, good: bool) -> None:
@@ -135,21 +135,21 @@
     def announce(self, value: float) -> None:
         """Set the load value sent with every answer."""
 
-    def set_idle(self, after: float) -> None:
+    def set_idle_timeout(self, after: float) -> None:
         """Set the idle time, in seconds, after which connections are closed."""
 
     def set_timer(self, token: int, at: float) -> None:
         """Schedule a call of `Facade.tick` with `token` at the time `at`."""
 
-    def log_line(self, text: str) -> None:
+    def log(self, text: str) -> None:
         """Write a line to the log."""
 
 
 class Facade:
     """Decision instance of this node; each start of the executor begins a new one."""
 
-    def __init__(self, settings: decision.Settings, seed: int, core: Core) -> None:
-        self._settings, self._seed, self._core = settings, seed, core
+    def __init__(self, settings: decision.Settings, seed: int, host: DecisionHost) -> None:
+        self._settings, self._seed, self._host = settings, seed, host
         self._policy = Policy(settings, seed)
 
     def start(self, now: float, started_at: float, is_warming_up: bool) -> None:
@@ -191,7 +191,7 @@
                 self._handle(now, decision.DrainNotice(stop, notice))
 
     @property
-    def use(self) -> tuple[int, float]:
+    def usage(self) -> tuple[int, float]:
         """Number of runs on the cores or with a call in flight, which may return any time, and memory in use in KB."""
         usage = self._policy.usage()
         return usage.running, usage.memory
@@ -233,34 +233,34 @@
         self._apply(now, self._policy.handle(now, [event]))
 
     def _apply(self, now: float, actions: list[decision.Action]) -> None:  # noqa: C901  one case per action
-        core = self._core
+        host = self._host
         for action in actions:
             match action:
                 case decision.Run(id):
-                    core.run(id)
+                    host.run(id)
                 case decision.Stop(id):
-                    core.stop(id)
+                    host.stop(id)
                 case decision.Reject(id, retry_after, no_other_node):
-                    core.reject(id, retry_after, no_other_node)
+                    host.reject(id, retry_after, no_other_node)
                 case decision.Fail(id):
-                    core.fail(id)
+                    host.fail(id)
                 case decision.Call(id, timeout):
-                    core.call(id, now + timeout)
+                    host.call(id, now + timeout)
                 case decision.SkipCall(id):
-                    core.skip_call(id)
+                    host.skip_call(id)
                 case decision.KeepKey(id, keep_for):
-                    core.keep_key(id, now + keep_for)
+                    host.reserve_key(id, now + keep_for)
                 case decision.ForgetKey(id):
-                    core.forget_key(id)
+                    host.release_key(id)
                 case decision.ShareResult(id):
-                    core.share(id)
+                    host.share_result(id)
                 case decision.SetHealth(healthy):
-                    core.set_health(healthy)
+                    host.set_health(healthy)
                 case decision.Announce(value):
-                    core.announce(value)
+                    host.announce(value)
                 case decision.IdleTimeout(after):
-                    core.set_idle(after)
+                    host.set_idle_timeout(after)
                 case decision.SetTimer(token, after):
-                    core.set_timer(token, now + after)
+                    host.set_timer(token, now + after)
                 case decision.Log(text):
-                    core.log_line(text)
+                    host.log(text)
