--- a/chutepin/admin/listener.py
+++ b/chutepin/admin/listener.py
@@ -45,9 +45,9 @@
         """Return whether a descriptor is free or about to be: evicted connections hold theirs until their tasks end."""
         return self._descriptors.available(DESCRIPTOR_PART) > dropped or len(self._evicted) + dropped < MAX_CLOSING
 
-    def decide(self, address: bytes, short: bool) -> AcceptDecision:
+    def decide(self, address: bytes, only_spare_left: bool) -> AcceptDecision:
         """Serve a connection if a descriptor is free or an unfinished connection can be evicted, else reject it."""
-        if self._descriptors.available(DESCRIPTOR_PART) > 0 and not short:
+        if self._descriptors.available(DESCRIPTOR_PART) > 0 and not only_spare_left:
             return AcceptDecision.SERVE
         if not self._unfinished:
             self._counters.add("ops.refused")
--- a/chutepin/admission/__init__.py
+++ b/chutepin/admission/__init__.py
@@ -10,7 +10,7 @@
 from .acceptor import MAX_CLOSING, AcceptDecision, Acceptor, AddressSharing
 from .deadlines import Deadlines
 from .descriptor_budget import DescriptorBudget
-from .proxy import ProxyError, ProxyHead
+from .proxy import ProxyError, ProxyHeaderParser
 from .rules import AdmissionResult, RejectionReason, Rules
 from .table import ConnectionTable
 from .trust import ClientTrust, ConnectionUsage
@@ -27,7 +27,7 @@
     "Deadlines",
     "DescriptorBudget",
     "ProxyError",
-    "ProxyHead",
+    "ProxyHeaderParser",
     "RejectionReason",
     "Rules",
 ]
--- a/chutepin/admission/acceptor.py
+++ b/chutepin/admission/acceptor.py
@@ -64,17 +64,17 @@
     """Sharing of a listening address with other processes."""
 
     NONE = 1
-    LATER = 2  # no other process listens now; another process of this node may later
-    BESIDE = 3  # another process of this node listens now
+    PLANNED = 2  # no other process listens now; another process of this node may later
+    ACTIVE = 3  # another process of this node listens now
 
 
 class ConnectionHandler(Protocol):
     """Decides on new connections and serves the admitted ones."""
 
-    def decide(self, address: bytes, short: bool) -> AcceptDecision:
+    def decide(self, address: bytes, only_spare_left: bool) -> AcceptDecision:
         """Decide on a new connection from this address.
 
-        `short` means that only the spare descriptor is left: then only a trusted client's connection is served, and
+        `only_spare_left`: no descriptor is left but the spare one. Then only a trusted client is served, and
         another connection is evicted for it."""
 
     def serve(self, sock: socket.socket, address: bytes) -> None:
@@ -137,7 +137,7 @@
                 self._sockets.append(sock)
                 sock.setblocking(False)
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-                if share is AddressSharing.LATER:
+                if share is AddressSharing.PLANNED:
                     # SO_REUSEPORT would share the address with an unrelated process: first check by a bind without it.
                     with socket.socket(family, kind, protocol) as probe:
                         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -193,7 +193,7 @@
             with contextlib.suppress(OSError):  # the backlog is empty or no descriptor is free
                 for _ in range(BACKLOG):
                     sock, address = listener.accept()
-                    self._handle_accepted(sock, pack_address(str(address[0])), short=False)
+                    self._handle_accepted(sock, pack_address(str(address[0])), only_spare_left=False)
 
     def close(self) -> None:
         """Close the listening sockets and the spare descriptor."""
@@ -257,7 +257,7 @@
                 if not self._handle_accept_error(listener, error):
                     return
                 continue
-            self._handle_accepted(sock, pack_address(str(address[0])), short=False)
+            self._handle_accepted(sock, pack_address(str(address[0])), only_spare_left=False)
             if self._retry_timer is not None:
                 return
 
@@ -288,13 +288,13 @@
         except OSError:  # another part of the process took the descriptor, or the peer disconnected
             self._open_spare()
             return self._spare >= 0
-        self._handle_accepted(sock, pack_address(str(address[0])), short=True)
+        self._handle_accepted(sock, pack_address(str(address[0])), only_spare_left=True)
         self._open_spare()
         return self._spare >= 0
 
-    def _handle_accepted(self, sock: socket.socket, address: bytes, short: bool) -> None:
+    def _handle_accepted(self, sock: socket.socket, address: bytes, only_spare_left: bool) -> None:
         sock.setblocking(False)
-        decision = self._handler.decide(address, short)
+        decision = self._handler.decide(address, only_spare_left)
         if decision is AcceptDecision.SERVE:
             self._handler.serve(sock, address)
         elif decision is AcceptDecision.REJECT:
--- a/chutepin/admission/proxy.py
+++ b/chutepin/admission/proxy.py
@@ -17,7 +17,7 @@
     """The PROXY header is missing, malformed or of an unsupported kind."""
 
 
-class ProxyHead:
+class ProxyHeaderParser:
     """Incremental header parser. Once `done`, `address` is the client's and `rest` holds the bytes after the header."""
 
     def __init__(self) -> None:
--- a/chutepin/admission/table.py
+++ b/chutepin/admission/table.py
@@ -81,7 +81,7 @@
             return ClientTrust.LISTED
         return ClientTrust.EARNED if self._reputation.is_earned(now, address) else ClientTrust.UNTRUSTED
 
-    def judge(self, now: float, address: bytes) -> AdmissionResult:
+    def evaluate(self, now: float, address: bytes) -> AdmissionResult:
         """Return the result that `admit` would give a new connection now. Changes nothing."""
         trust = self.trust_of(now, address)
         if trust is not ClientTrust.LISTED and (rejection_result := self._check_address(now, address)) is not None:
@@ -136,7 +136,7 @@
 
     def admit(self, now: float, address: bytes) -> AdmissionResult:
         """Apply the rules to a new connection. Its rates are charged unless a rate limit rejects it."""
-        result = self.judge(now, address)
+        result = self.evaluate(now, address)
         if result.rejection is not None:
             self.rejections[result.rejection] += 1
         if result.rejection not in (RejectionReason.RATE_ADDRESS, RejectionReason.RATE_BLOCK):
--- a/chutepin/cluster/streams.py
+++ b/chutepin/cluster/streams.py
@@ -53,7 +53,7 @@
         self.delivering = False  # whether received packets are delivered
         self.handlers: dict[bytes, StreamHandler] = {}  # handlers of other protocols, by preface
 
-    def decide(self, address: bytes, short: bool) -> AcceptDecision:
+    def decide(self, address: bytes, only_spare_left: bool) -> AcceptDecision:
         """Accept a connection if descriptors remain beyond those reserved for this member's own exchanges."""
         now = time.monotonic()
         if now >= self._second_started_at + 1.0:
@@ -61,7 +61,7 @@
             self._served_this_second = 0
         reserved = MAX_OUTGOING - self._outgoing
         if (
-            short
+            only_spare_left
             or self._served_this_second >= MAX_SERVED_PER_SECOND
             or self._descriptors.available(DESCRIPTOR_SHARE) <= reserved
         ):
--- a/chutepin/net/resp/connection.py
+++ b/chutepin/net/resp/connection.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from ...admission import ConnectionTable, ProxyError, ProxyHead
+from ...admission import ConnectionTable, ProxyError, ProxyHeaderParser
 from ...broker import Answer, Broker, Verdict
 from ...clock import Clock
 from ...counters import Counters
@@ -59,7 +59,7 @@
     has_valid_message: bool = False  # a well-formed request or a health check has been received
     time_shift_s: float = 0.0  # added to the timestamps of the requests, for a replay
     key: int = 0  # of this connection in the listener's tables; 0 for a replay, which has no socket
-    proxy: ProxyHead | None = None  # parser of the PROXY header, until a relay has sent it
+    proxy: ProxyHeaderParser | None = None  # parser of the PROXY header, until a relay has sent it
 
     def received(self, data: bytes) -> None:
         """Process received bytes.
--- a/chutepin/net/resp/listener.py
+++ b/chutepin/net/resp/listener.py
@@ -18,7 +18,7 @@
     ConnectionUsage,
     Deadlines,
     DescriptorBudget,
-    ProxyHead,
+    ProxyHeaderParser,
     RejectionReason,
     Rules,
 )
@@ -185,7 +185,7 @@
         executor link or a call to the records service could not connect."""
         return self.descriptors.available(DESCRIPTOR_PART) > dropped or len(self._evicted) + dropped < MAX_CLOSING
 
-    def decide(self, address: bytes, short: bool) -> AcceptDecision:
+    def decide(self, address: bytes, only_spare_left: bool) -> AcceptDecision:
         """Decide whether a new connection fits the table and the descriptors, evicting another one if needed.
 
         A peer that breaks a rule is sent BYE. If the table is merely full, the connection is dropped without an
@@ -200,7 +200,7 @@
         )
         verdict = self.table.admit(now, address)
         evict = verdict.evict
-        if verdict.rejection is None and short and evict is None:
+        if verdict.rejection is None and only_spare_left and evict is None:
             # The process has no free descriptor, although the table has room: a known address may evict a connection.
             evict = self.table.evictable_below(now, address)
             if evict is None:
@@ -249,7 +249,7 @@
             last_used_at=now,
             message_deadline=now + FIRST_MESSAGE_TIMEOUT_S,
             key=key,
-            proxy=ProxyHead() if relay else None,
+            proxy=ProxyHeaderParser() if relay else None,
         )
         self.table.opened(key, now, address)
         self.descriptors.parts[DESCRIPTOR_PART].in_use += 1
--- a/chutepin/node.py
+++ b/chutepin/node.py
@@ -388,13 +388,13 @@
             sockets.clear()
         elif not self.front.listeners and self.handover is not None and self.handover.has_predecessor:
             try:
-                await self.front.listen(self.config.listen, AddressSharing.BESIDE)
+                await self.front.listen(self.config.listen, AddressSharing.ACTIVE)
             except OSError as error:
                 self.log.event("listen.failed", why=error.strerror or str(error))
                 return
         elif not self.front.listeners:
             await self.front.listen(
-                self.config.listen, AddressSharing.LATER if self.handover is not None else AddressSharing.NONE
+                self.config.listen, AddressSharing.PLANNED if self.handover is not None else AddressSharing.NONE
             )
         if not self._is_serving:
             self._is_serving = True
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -29,7 +29,7 @@
     Deadlines,
     DescriptorBudget,
     ProxyError,
-    ProxyHead,
+    ProxyHeaderParser,
     RejectionReason,
     Rules,
 )
@@ -375,7 +375,7 @@
 @given(st.integers(1, 9), st.booleans(), st.binary(max_size=20))
 def test_fragmented_proxy_header_yields_client_address(size: int, v6: bool, rest: bytes) -> None:
     source, target = (pack_address("2001:db8::7"), pack_address("2001:db8::1")) if v6 else (UNTRUSTED, TRUSTED)
-    data, parser = encode_proxy_header(source, target, 5000, 7000) + rest, ProxyHead()
+    data, parser = encode_proxy_header(source, target, 5000, 7000) + rest, ProxyHeaderParser()
     for at in range(0, len(data), size):
         if parser.done:
             parser.rest += data[at : at + size]
@@ -402,11 +402,11 @@
 )
 def test_malformed_proxy_header_is_an_error(data: bytes) -> None:
     with pytest.raises(ProxyError):
-        ProxyHead().feed(data)
+        ProxyHeaderParser().feed(data)
 
 
 def test_local_proxy_header_has_no_address() -> None:
-    parser = ProxyHead()
+    parser = ProxyHeaderParser()
     parser.feed(VALID_HEADER[:12] + b"\x20\x00\x00\x00rest")
     assert parser.done and parser.address is None and parser.rest == b"rest"
 
@@ -420,8 +420,12 @@
     def __init__(self) -> None:
         self.served: list[socket.socket] = []
 
-    def decide(self, address: bytes, short: bool) -> AcceptDecision:
-        return AcceptDecision.SERVE if not short and address == pack_address("127.0.0.1") else AcceptDecision.REJECT
+    def decide(self, address: bytes, only_spare_left: bool) -> AcceptDecision:
+        return (
+            AcceptDecision.SERVE
+            if not only_spare_left and address == pack_address("127.0.0.1")
+            else AcceptDecision.REJECT
+        )
 
     def serve(self, sock: socket.socket, address: bytes) -> None:
         self.served.append(sock)
@@ -477,7 +481,7 @@
 
 def test_dropped_connections_hold_few_descriptors_at_a_time_and_are_all_closed() -> None:
     class DroppingHandler(RecordingHandler):
-        def decide(self, address: bytes, short: bool) -> AcceptDecision:
+        def decide(self, address: bytes, only_spare_left: bool) -> AcceptDecision:
             held.append(acceptor._dropped + 1)
             return AcceptDecision.DROP
 
@@ -584,7 +588,7 @@
 
 def test_connection_at_full_table_is_dropped_without_rejection_message(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test(acceptor: Acceptor, handler: RecordingHandler, counters: Counters) -> None:
-        monkeypatch.setattr(handler, "decide", lambda address, short: AcceptDecision.DROP)
+        monkeypatch.setattr(handler, "decide", lambda address, only_spare_left: AcceptDecision.DROP)
         reader, writer = await asyncio.open_connection("127.0.0.1", acceptor.port)
         with contextlib.suppress(ConnectionResetError):
             assert await read_to_end(reader) == b""
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -66,7 +66,7 @@
         return client, front.close_idle
     core.hand.time += 1.9
     front.max_connections = 1
-    return client, lambda: front.decide(b"\x7f\0\0\1", short=False)
+    return client, lambda: front.decide(b"\x7f\0\0\1", only_spare_left=False)
 
 
 @pytest.mark.parametrize("input_location", ["in kernel buffer", "in reader"])
@@ -171,7 +171,7 @@
             elif close_reason == "evicted":
                 core.hand.time += 1.9
                 front.max_connections = 1
-                assert front.decide(b"\x7f\0\0\1", short=False) is AcceptDecision.SERVE
+                assert front.decide(b"\x7f\0\0\1", only_spare_left=False) is AcceptDecision.SERVE
             else:
                 client.shutdown(socket.SHUT_WR)
             await eventually(lambda: not front.descriptors.in_use)
@@ -194,7 +194,7 @@
             core.hand.time += 1.9
             front.max_connections = 1
             client.sendall(call(core, 7)[20:30])
-            assert front.decide(b"\x7f\0\0\1", short=False) is AcceptDecision.SERVE
+            assert front.decide(b"\x7f\0\0\1", only_spare_left=False) is AcceptDecision.SERVE
 
     run_with_listener(test)
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -483,10 +483,11 @@
             front.table.message_received(keys[name], now - age, uses[name], name == "busy")
     for least in ("first", "checked", "checked later", "idle", "last"):
         assert (
-            front.decide(b"\x7f\0\0\1", short=False) is AcceptDecision.SERVE and keys[least] not in front.connections
+            front.decide(b"\x7f\0\0\1", only_spare_left=False) is AcceptDecision.SERVE
+            and keys[least] not in front.connections
         ), least
         front.table.opened(len(ages) + keys[least], now, b"\x7f\0\0\1")
-    assert front.decide(b"\x7f\0\0\1", short=False) is AcceptDecision.DROP
+    assert front.decide(b"\x7f\0\0\1", only_spare_left=False) is AcceptDecision.DROP
     assert set(front.connections) == {keys["busy"], keys["new"]}
 
 
@@ -498,7 +499,7 @@
     front.table.opened(1, now - 1, b"\x7f\0\0\1")
     front.connections[1] = Connection(front, lambda _: None, key=1, last_used_at=now - 1, message_deadline=now + 1)
     front.update_deadline(front.connections[1])
-    assert front.decide(b"\x7f\0\0\1", short=False) is AcceptDecision.SERVE and not front.connections
+    assert front.decide(b"\x7f\0\0\1", only_spare_left=False) is AcceptDecision.SERVE and not front.connections
     core.hand.time += 5
     front.close_idle()  # a deadline of the evicted connection would raise KeyError and end the sweep
 
