--- a/chutepin/net/resp/listener.py
+++ b/chutepin/net/resp/listener.py
@@ -139,9 +139,9 @@
         """Mark a replayed connection as finished; its open requests are still answered."""
         connection.closing = True
         self._finished_replays.append(connection)
-        self.close_replayed()
+        self.close_finished_replays()
 
-    def close_replayed(self) -> None:
+    def close_finished_replays(self) -> None:
         """Close finished replayed connections that have no open requests."""
         for connection in [c for c in self._finished_replays if not c.open_requests]:
             self._finished_replays.remove(connection)
--- a/chutepin/node.py
+++ b/chutepin/node.py
@@ -341,7 +341,7 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         if self.recorder is not None:
-            self.front.close_replayed()
+            self.front.close_finished_replays()
             self.recorder.close()
         self.print_counters()
         self._close_store()
@@ -459,7 +459,7 @@
                 self.counters.check_invariant(consecutive_overruns < 3, "ledger")
             await asyncio.sleep(SWEEP_INTERVAL_S)
             self.front.close_idle()
-            self.front.close_replayed()
+            self.front.close_finished_replays()
             self.records.close_idle()
 
     async def _leave(self) -> None:
