--- a/chutepin/broker/actions.py
+++ b/chutepin/broker/actions.py
@@ -47,7 +47,7 @@
         request = attempt.request
         is_in_time = self._counters.check_invariant(not self._drain.is_too_late(request), "no run after the grace")
         if not is_in_time or not self._idempotent.start_run(attempt):
-            self._reports.append(RunEnded(id, End.NEVER))
+            self._reports.append(RunEnded(id, End.NOT_STARTED))
             return
         attempt.phase = Phase.RUNNING
         self._counters.add("runs")
--- a/chutepin/broker/core.py
+++ b/chutepin/broker/core.py
@@ -286,7 +286,7 @@
         attempt = self._attempts.by_id.get(id)
         # A run that was stopped meanwhile is ended too; its attempt would otherwise never end and look like a hang.
         if command == "EXEC" and attempt is not None and attempt.phase in (Phase.RUNNING, Phase.STOPPED):
-            self.run_ended(id, End.NEVER, 0.0, b"")
+            self.run_ended(id, End.NOT_STARTED, 0.0, b"")
 
     def gauges_received(self, values: tuple[float, ...]) -> None:
         """Store the gauges and deliver the timers that wait for them."""
--- a/chutepin/facade.py
+++ b/chutepin/facade.py
@@ -20,22 +20,22 @@
     OK = "ok"
     ERROR = "error"
     REFUSED = "refused"  # rejected: had no effect
-    LATE = "late"  # timed out
+    TIMED_OUT = "late"
     UNREACHABLE = "unreachable"  # never sent: had no effect
-    BROKEN = "broken"  # connection lost: the effect is unknown
+    CONNECTION_LOST = "broken"  # the effect is unknown
     CANCELLED = "cancelled"
-    NEVER = "never"  # never started
+    NOT_STARTED = "never"
 
 
 _OUTCOMES = {
     End.OK: decision.Outcome.OK,
     End.ERROR: decision.Outcome.ERROR,
     End.REFUSED: decision.Outcome.BUSY,
-    End.LATE: decision.Outcome.TIMEOUT,
+    End.TIMED_OUT: decision.Outcome.TIMEOUT,
     End.UNREACHABLE: decision.Outcome.CONNECT_FAILED,
-    End.BROKEN: decision.Outcome.RESET,
+    End.CONNECTION_LOST: decision.Outcome.RESET,
     End.CANCELLED: decision.Outcome.CANCELLED,
-    End.NEVER: decision.Outcome.NOT_STARTED,
+    End.NOT_STARTED: decision.Outcome.NOT_STARTED,
 }
 
 
--- a/chutepin/idempotency/table.py
+++ b/chutepin/idempotency/table.py
@@ -72,11 +72,11 @@
         return False
 
     def finish_run(self, key: str, attempt_id: str, outcome: End, result: bytes) -> list[str]:
-        """Record a run's outcome. The key is released only if the run is known not to have started (`End.NEVER`)."""
+        """Record a run's outcome. Release the key only if the run certainly did not start (`End.NOT_STARTED`)."""
         record = self.records.get(key)
         if record is None or record.run_id != attempt_id or record.owned_by_peer:
             return self._pop_superseded_waiters(attempt_id)
-        if outcome is End.NEVER:
+        if outcome is End.NOT_STARTED:
             return self.remove(record)
         return self._set_outcome(record, End.OK if outcome is End.OK else End.ERROR, result)
 
--- a/chutepin/net/executor/session.py
+++ b/chutepin/net/executor/session.py
@@ -18,7 +18,7 @@
 
 MAX_BODY_BYTES = 64 * 1024
 MAX_LINE_BYTES = 16 * 1024  # LOG lines are the longest; a rejected one would arrive again on each new link
-_ENDS = {"complete": End.OK, "error": End.ERROR, "cancelled": End.CANCELLED, "unknown": End.NEVER}
+_ENDS = {"complete": End.OK, "error": End.ERROR, "cancelled": End.CANCELLED, "unknown": End.NOT_STARTED}
 
 
 class NoticeHandler(Protocol):
--- a/chutepin/net/records.py
+++ b/chutepin/net/records.py
@@ -22,7 +22,7 @@
 CONNECT_TIMEOUT_S = 2.0  # calls of a connection that was not established have not run
 DEADLINE_GRACE_S = 0.03  # after a call's deadline, to receive the service's PAST reply
 READ_BYTES = 65536
-_ENDS = {"DONE": End.OK, "WAIT": End.REFUSED, "ERROR": End.ERROR, "PAST": End.LATE, "EMPTY": End.UNREACHABLE}
+_ENDS = {"DONE": End.OK, "WAIT": End.REFUSED, "ERROR": End.ERROR, "PAST": End.TIMED_OUT, "EMPTY": End.UNREACHABLE}
 
 
 class CallHandler(Protocol):
@@ -142,11 +142,11 @@
                 connection.writer.transport.abort()
 
     def _time_out(self, id: str) -> None:
-        """End a call as late and retire its connection, which may have stopped responding."""
+        """End a call as timed out and retire its connection, which may have stopped responding."""
         for connection in self._connections:
             connection.retired = connection.retired or id in connection.calls
         self.cancel_call(id)
-        self._end(id, End.LATE)
+        self._end(id, End.TIMED_OUT)
 
     def _connection_for(self, call: Call) -> Connection | None:
         """Return the most recently used idle connection, else a new one, else the one with the fewest calls.
@@ -218,7 +218,7 @@
                 self._counters.add("records.again")
                 self._assign(call)
             else:  # a call that was not written has not run; the outcome of a written one is unknown
-                self._end(call.id, End.BROKEN if call.written else End.UNREACHABLE)
+                self._end(call.id, End.CONNECTION_LOST if call.written else End.UNREACHABLE)
 
     def _reply(self, connection: Connection, words: list[str], body: bytes) -> None:
         end = _ENDS.get(words[1]) if len(words) > 1 else None
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -194,7 +194,7 @@
     core = Core()
     core.pick("a", "work-order", key="k")
     core.broker.caller_disconnected("a")
-    core.end("a", End.NEVER)
+    core.end("a", End.NOT_STARTED)
     core.pick("b", "work-order", key="k")
     assert core.ports.ids("exec") == ["a", "b"]
 
@@ -268,7 +268,7 @@
 
     @rule(data=st.data(), end=st.sampled_from(list(End)))
     def run_ends(self, data: st.DataObject, end: End) -> None:
-        if end is End.NEVER and (id := self.draw_one(self.core.running(), data)) is not None:
+        if end is End.NOT_STARTED and (id := self.draw_one(self.core.running(), data)) is not None:
             done = self.core.ports.done
             done.remove(next(entry for entry in done if entry[:2] == ("exec", id)))
             self.core.end(id, end)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -542,7 +542,7 @@
             pass
 
 
-@pytest.mark.parametrize(("repeatable", "end"), [(True, End.OK), (False, End.BROKEN)])
+@pytest.mark.parametrize(("repeatable", "end"), [(True, End.OK), (False, End.CONNECTION_LOST)])
 def test_only_repeatable_call_is_retried_after_reset_of_idle_connection(repeatable: bool, end: End) -> None:
     ends: list[tuple[str, End]] = []
     served: list[str] = []
