--- a/chutepin/handover_host.py
+++ b/chutepin/handover_host.py
@@ -25,7 +25,7 @@
         descriptors: DescriptorBudget,
         max_descriptors: int,
     ) -> None:
-        """Initialize the host; `max_descriptors` is the limit of both processes together."""
+        """Create the host. `max_descriptors`: the limit of both processes together."""
         self._broker = broker
         self._front = front
         self._subsystems = subsystems
@@ -34,7 +34,7 @@
         self._max_descriptors = max_descriptors
 
     def records(self) -> list[IdempotencyRecord]:
-        """Return all idempotency records of this process."""
+        """Return all records of this process."""
         return list(self._broker.keys.records.values())
 
     def is_current(self, record: IdempotencyRecord) -> bool:
@@ -42,53 +42,53 @@
         return self._broker.keys.records.get(record.key) is record
 
     def peer_record_changed(self, record: IdempotencyRecord) -> None:
-        """Apply a new or changed record of the other process."""
+        """Apply a record of the peer process."""
         self._broker.peer_exchange.peer_record_changed(record)
 
     def peer_key_removed(self, key: str) -> None:
-        """Apply the removal of a key by the other process."""
+        """Apply the removal of a key by the peer process."""
         self._broker.peer_exchange.peer_key_removed(key)
 
     def peer_requests_key(self, request: KeyRequest) -> bool:
-        """Return whether the other process may take a key."""
+        """Return whether the peer process may take a key."""
         return self._broker.peer_exchange.peer_requests_key(request)
 
     def key_replied(self, request_id: str, key: str, is_granted: bool) -> None:
-        """Continue a request that waits for its key."""
+        """Resume a request that waits for its key, or reject it."""
         self._broker.peer_exchange.key_replied(request_id, key, is_granted)
 
     def peer_lost(self) -> None:
-        """Settle the records and keys that the other process held."""
+        """Process the end of the peer: its keys, unfinished runs and usage."""
         self._broker.peer_exchange.peer_lost()
 
     def learned_statistics(self) -> dict[str, object]:
-        """Return the statistics that the decision module has learned."""
+        """Return the learned statistics of this process's decision module."""
         return self._broker.peer_exchange.learned()
 
     def adopt_statistics(self, statistics: dict[str, object]) -> None:
-        """Start from the statistics that the predecessor's decision module had learned."""
+        """Adopt the learned statistics of the predecessor's decision module."""
         self._broker.peer_exchange.adopt(statistics)
 
     def usage(self) -> ProcessUsage:
-        """Return this process's share of the node's limits: runs, memory and descriptors."""
+        """Return the share of the node's limits that this process uses: runs, memory and descriptors."""
         running, memory_kb = self._broker.peer_exchange.usage
         descriptors = self._descriptors.in_use + self._descriptors.unattributed
         return ProcessUsage(running, memory_kb, descriptors)
 
     def set_peer_usage(self, usage: ProcessUsage) -> None:
-        """Subtract the other process's usage from the limits of this process."""
+        """Deduct the usage of the peer process from this process's limits."""
         self._descriptors.limit = self._max_descriptors - usage.descriptors
         self._broker.peer_exchange.set_peer_usage(usage.running, usage.memory_kb)
 
     def yield_ownership(self) -> None:
-        """Stop accepting connections: a successor serves."""
+        """Stop accepting and finish open requests, since the successor serves."""
         self._lifecycle.apply(Transition.SUCCESSOR_READY)
         self._front.yield_ownership()
         for subsystem in self._subsystems:
             subsystem.yield_ownership()
 
     def resume_ownership(self) -> None:
-        """Accept connections again: the successor has ended."""
+        """Accept again after the end of the successor."""
         self._lifecycle.apply(Transition.SUCCESSOR_LOST)
         self._front.resume_ownership()
         for subsystem in self._subsystems:
