--- a/chutepin/cluster/incarnation.py
+++ b/chutepin/cluster/incarnation.py
@@ -46,4 +46,4 @@
             from ..store import StoreError
 
             with contextlib.suppress(StoreError):
-                self._store.offer(_key(self._name), b"%d" % incarnation, NEVER_EXPIRES_S)
+                self._store.put_nowait(_key(self._name), b"%d" % incarnation, NEVER_EXPIRES_S)
--- a/chutepin/consensus/store_writer.py
+++ b/chutepin/consensus/store_writer.py
@@ -41,9 +41,9 @@
         while True:
             try:
                 if value is None:
-                    self._store.withdraw(key)
+                    self._store.delete_nowait(key)
                 else:
-                    self._store.offer(key, value, NO_EXPIRY)
+                    self._store.put_nowait(key, value, NO_EXPIRY)
                 return
             except StoreBusyError:
-                await self._store.room()
+                await self._store.wait_for_space()
--- a/chutepin/store/errors.py
+++ b/chutepin/store/errors.py
@@ -14,7 +14,7 @@
 
 
 class StoreBusyError(StoreError):
-    """The write queue is full; `await store.room()` returns when it has been flushed."""
+    """The write queue is full; `await store.wait_for_space()` returns when it has been flushed."""
 
 
 class StoreLockedError(StoreError):
--- a/chutepin/store/store.py
+++ b/chutepin/store/store.py
@@ -2,7 +2,7 @@
 
 All methods are thread-safe. A call blocks on the disk only in `put`, `put_many` and `delete` while the write queue is
 full, in `commit`, `compact` and `close`, and in a `get` of data that is not in the page cache. On an event loop use
-`offer`, `withdraw`, `room` and `committed`."""
+`put_nowait`, `delete_nowait`, `wait_for_space` and `committed`."""
 
 from __future__ import annotations
 
@@ -107,14 +107,14 @@
             done += self._thread.wait_for_space(attempt)
         self._thread.schedule_flush()
 
-    def offer(self, key: bytes, value: bytes, expires: float) -> None:
+    def put_nowait(self, key: bytes, value: bytes, expires: float) -> None:
         """Put as `put` does, but raise StoreBusyError instead of waiting."""
         if not self._engine.put(key, value, expires):
             self._thread.wake()
             raise self._busy_error()
         self._thread.schedule_flush()
 
-    def withdraw(self, key: bytes) -> None:
+    def delete_nowait(self, key: bytes) -> None:
         """Delete as `delete` does, but raise StoreBusyError instead of waiting."""
         if not self._engine.delete(key):
             self._thread.wake()
@@ -159,8 +159,8 @@
         """Wait as `commit` does, on an event loop."""
         await self._thread.committed()
 
-    async def room(self) -> None:
-        """Wait until the write queue has been flushed, so that `offer` finds space. Raises as `commit`."""
+    async def wait_for_space(self) -> None:
+        """Wait until the write queue has been flushed, so that `put_nowait` finds space. Raises as `commit`."""
         await self._thread.committed()
 
     def compact(self) -> None:
--- a/tests/test_store_writer_thread.py
+++ b/tests/test_store_writer_thread.py
@@ -103,7 +103,7 @@
         for index in range(3000):
             start = time.monotonic()
             try:
-                store.offer(b"%d" % index, bytes(4000), math.inf)
+                store.put_nowait(b"%d" % index, bytes(4000), math.inf)
                 accepted += 1
                 if index % 100 == 0:
                     waiting.append(asyncio.ensure_future(store.committed()))
@@ -116,9 +116,9 @@
         assert refused and accepted and longest_call_s < 1.0  # the disk stalls until the gate opens, up to 30 s
         assert not any(future.done() for future in waiting)
         file_system.gate.set()
-        await store.room()
+        await store.wait_for_space()
         await asyncio.gather(*waiting)
-        store.offer(b"again", b"", math.inf)
+        store.put_nowait(b"again", b"", math.inf)
         await store.committed()
 
     with_store(tmp_path, test)
