--- a/chutepin/node.py
+++ b/chutepin/node.py
@@ -214,7 +214,7 @@
         self.broker.peer = session
         self.broker.keys.replicate = session.replicate
         link = HandoverLink(Rendezvous(path), session, self._listening_sockets, self.clock, self.counters, self.log)
-        link.serve = self._serve
+        link.start_serving = self._serve
         return link
 
     def print_counters(self) -> None:
@@ -341,7 +341,7 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         if self.recorder is not None:
-            self.front.close_replayed()
+            self.front.close_finished_replays()
             self.recorder.close()
         self.print_counters()
         self._close_store()
@@ -388,13 +388,13 @@
             sockets.clear()
         elif not self.front.listeners and self.handover is not None and self.handover.has_predecessor:
             try:
-                await self.front.listen(self.config.listen, AddressSharing.BESIDE)
+                await self.front.listen(self.config.listen, AddressSharing.ACTIVE)
             except OSError as error:
                 self.log.event("listen.failed", why=error.strerror or str(error))
                 return
         elif not self.front.listeners:
             await self.front.listen(
-                self.config.listen, AddressSharing.LATER if self.handover is not None else AddressSharing.NONE
+                self.config.listen, AddressSharing.PLANNED if self.handover is not None else AddressSharing.NONE
             )
         if not self._is_serving:
             self._is_serving = True
@@ -459,7 +459,7 @@
                 self.counters.check_invariant(consecutive_overruns < 3, "ledger")
             await asyncio.sleep(SWEEP_INTERVAL_S)
             self.front.close_idle()
-            self.front.close_replayed()
+            self.front.close_finished_replays()
             self.records.close_idle()
 
     async def _leave(self) -> None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -66,7 +66,7 @@
         return client, front.close_idle
     core.hand.time += 1.9
     front.max_connections = 1
-    return client, lambda: front.decide(b"\x7f\0\0\1", short=False)
+    return client, lambda: front.decide(b"\x7f\0\0\1", only_spare_left=False)
 
 
 @pytest.mark.parametrize("input_location", ["in kernel buffer", "in reader"])
@@ -171,7 +171,7 @@
             elif close_reason == "evicted":
                 core.hand.time += 1.9
                 front.max_connections = 1
-                assert front.decide(b"\x7f\0\0\1", short=False) is AcceptDecision.SERVE
+                assert front.decide(b"\x7f\0\0\1", only_spare_left=False) is AcceptDecision.SERVE
             else:
                 client.shutdown(socket.SHUT_WR)
             await eventually(lambda: not front.descriptors.in_use)
@@ -194,7 +194,7 @@
             core.hand.time += 1.9
             front.max_connections = 1
             client.sendall(call(core, 7)[20:30])
-            assert front.decide(b"\x7f\0\0\1", short=False) is AcceptDecision.SERVE
+            assert front.decide(b"\x7f\0\0\1", only_spare_left=False) is AcceptDecision.SERVE
 
     run_with_listener(test)
 
@@ -393,7 +393,7 @@
         assert self.link is not None
         self.link.transport.abort()
 
-    def executor_started(self, cold: bool, born: float) -> None: ...
+    def executor_started(self, is_warming_up: bool, started_at: float) -> None: ...
     def gauges_received(self, values: tuple[float, ...]) -> None: ...
     def call_wanted(self, id: str, notice: int, body: bytes) -> None: ...
     def command_not_carried_out(self, command: str, id: str) -> None: ...
@@ -483,7 +483,7 @@
         )
         service.listener = Listener()
         service.call("a", hand.time + 60, b"x", repeatable=False)
-        service.give_up("a")  # before the connection is established
+        service.cancel_call("a")  # before the connection is established
         await eventually(lambda: received)
         await eventually(lambda: service._connections[0].writer)
         hand.time += 9
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -139,7 +139,7 @@
 
     # Notices received by the node.
 
-    def executor_started(self, cold: bool, born: float) -> None: ...
+    def executor_started(self, is_warming_up: bool, started_at: float) -> None: ...
     def gauges_received(self, values: tuple[float, ...]) -> None: ...
 
     def run_ended(self, id: str, end: End, elapsed: float, result: bytes) -> None:
@@ -357,9 +357,9 @@
         assert not carriers or carriers[0] not in others or len(others) == 3
 
     @rule(id=st.sampled_from("abcde"))
-    def give_up(self, id: str) -> None:
+    def cancel_call(self, id: str) -> None:
         if self.open.pop(id, None) is not None:
-            self.service.give_up(id)
+            self.service.cancel_call(id)
             # The reply may be in flight and arrive after the next call for the same request.
             self.stale += [entry for entry in self.in_flight if entry[1] == id]
             self.in_flight = [entry for entry in self.in_flight if entry[1] != id]
@@ -483,10 +483,11 @@
             front.table.message_received(keys[name], now - age, uses[name], name == "busy")
     for least in ("first", "checked", "checked later", "idle", "last"):
         assert (
-            front.decide(b"\x7f\0\0\1", short=False) is AcceptDecision.SERVE and keys[least] not in front.connections
+            front.decide(b"\x7f\0\0\1", only_spare_left=False) is AcceptDecision.SERVE
+            and keys[least] not in front.connections
         ), least
         front.table.opened(len(ages) + keys[least], now, b"\x7f\0\0\1")
-    assert front.decide(b"\x7f\0\0\1", short=False) is AcceptDecision.DROP
+    assert front.decide(b"\x7f\0\0\1", only_spare_left=False) is AcceptDecision.DROP
     assert set(front.connections) == {keys["busy"], keys["new"]}
 
 
@@ -498,7 +499,7 @@
     front.table.opened(1, now - 1, b"\x7f\0\0\1")
     front.connections[1] = Connection(front, lambda _: None, key=1, last_used_at=now - 1, message_deadline=now + 1)
     front.update_deadline(front.connections[1])
-    assert front.decide(b"\x7f\0\0\1", short=False) is AcceptDecision.SERVE and not front.connections
+    assert front.decide(b"\x7f\0\0\1", only_spare_left=False) is AcceptDecision.SERVE and not front.connections
     core.hand.time += 5
     front.close_idle()  # a deadline of the evicted connection would raise KeyError and end the sweep
 
@@ -541,7 +542,7 @@
             pass
 
 
-@pytest.mark.parametrize(("repeatable", "end"), [(True, End.OK), (False, End.BROKEN)])
+@pytest.mark.parametrize(("repeatable", "end"), [(True, End.OK), (False, End.CONNECTION_LOST)])
 def test_only_repeatable_call_is_retried_after_reset_of_idle_connection(repeatable: bool, end: End) -> None:
     ends: list[tuple[str, End]] = []
     served: list[str] = []
