--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -1,9 +1,9 @@
-"""A known client under floods, with the program at a soft limit of 256 descriptors.
+"""Measures service to a known client during connection floods, at a soft limit of 256 file descriptors.
 
     python -O -m benchmarks.admission [--program DIR] [--rules/--no-rules] [KIND …]
 
-`--program` runs another checkout's program between the same stand-ins, to compare with earlier versions. Also the cost
-of one decision with tables of different sizes. docs/admission.md keeps the tables of one run."""
+`--program` runs the program of another checkout between the same simulated services, to compare versions. Also measures
+the cost of one decision with tables of different sizes. docs/admission.md keeps the tables of one run."""
 
 from __future__ import annotations
 
@@ -41,13 +41,13 @@
 
 
 def cpu(pid: int) -> float:
-    """Seconds that a process has had."""
+    """Return the CPU time of a process in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-async def under(kind: str, program: Path, rules: bool) -> list[object]:
-    """One flood."""
+async def measure_flood(kind: str, program: Path, rules: bool) -> list[object]:
+    """Measure the service to known clients during one flood and return the row of the table."""
     async with AsyncExitStack() as stack:
         world = Standins(EXAMPLE["settings"])
         world.descriptors, world.program, world.calling = 256, program, False
@@ -72,12 +72,12 @@
             )
             await asyncio.sleep(1.5)
         client = KnownClient(world.port)
-        before, begun = cpu(world.process.pid), time.monotonic()
+        before, started = cpu(world.process.pid), time.monotonic()
         await client.run(SECONDS - 1)
-        used = (cpu(world.process.pid) - before) / (time.monotonic() - begun)
-        told: dict[str, object] = {}
+        used = (cpu(world.process.pid) - before) / (time.monotonic() - started)
+        flood_report: dict[str, object] = {}
         if flood is not None:
-            told = json.loads((await flood.communicate())[0])
+            flood_report = json.loads((await flood.communicate())[0])
         after = KnownClient(world.port, source="127.0.200.1")
         await after.run(0.5)
         return [
@@ -87,20 +87,20 @@
             client.held.quantile_ms(0.99),
             client.new.quantile_ms(0.99),
             100 * used,
-            told.get("connected", 0),
-            told.get("refused", 0),
-            told.get("refused_p99_ms") or "",
-            told.get("refused_max_ms") or "",
+            flood_report.get("connected", 0),
+            flood_report.get("refused", 0),
+            flood_report.get("refused_p99_ms") or "",
+            flood_report.get("refused_max_ms") or "",
             100 * after.new.served_share,
         ]
 
 
 def decisions() -> None:
-    """Microseconds of admitting, opening and closing one connection in a full table."""
+    """Print the microseconds for admitting, opening and closing one connection in a full table."""
     rows: list[list[object]] = []
     for size in (100, 1000, 10_000):
         known = Networks([f"10.{number}.0.0/16" for number in range(20)])
-        made = ConnectionTable(
+        connections = ConnectionTable(
             Rules(
                 per_address=64,
                 per_block=10**6,
@@ -118,33 +118,33 @@
         for key in range(size):
             now += 0.001
             address = (key * 2654435761 % 2**32).to_bytes(4, "big")
-            if made.admit(now, address).rejection is None:
-                made.opened(key, now, address)
+            if connections.admit(now, address).rejection is None:
+                connections.opened(key, now, address)
         now += 10.0
         times, evicted = [], 0
         for key in range(size, size + 5000):
             address = (key * 2654435761 % 2**32).to_bytes(4, "big")
             now += 0.001
-            begun = time.perf_counter()
-            verdict = made.admit(now, address)
+            started = time.perf_counter()
+            verdict = connections.admit(now, address)
             if verdict.evict is not None:
                 evicted += 1
-                made.closed(verdict.evict)
+                connections.closed(verdict.evict)
             if verdict.rejection is None:
-                made.opened(key, now, address)
-            times.append(time.perf_counter() - begun)
+                connections.opened(key, now, address)
+            times.append(time.perf_counter() - started)
         times.sort()
         rows.append([f"{size:,}", evicted, 1e6 * times[2500], 1e6 * times[4950]])
     table(["connections in the table", "evictions in 5,000 new connections", "median, µs", "99 %, µs"], rows)
 
 
 @click.command()
-@click.option("--program", type=click.Path(path_type=Path), default=ROOT, help="The checkout whose program runs.")
-@click.option("--rules/--no-rules", default=True, help="With the block `admission`, or by the defaults.")
+@click.option("--program", type=click.Path(path_type=Path), default=ROOT, help="Checkout of the program to run.")
+@click.option("--rules/--no-rules", default=True, help="Use the block `admission`, or the defaults.")
 @click.argument("kinds", nargs=-1, type=click.Choice(KINDS))
 def main(program: Path, rules: bool, kinds: tuple[str, ...]) -> None:
-    """Measure the floods named, or all."""
-    rows = [asyncio.run(under(kind, program, rules)) for kind in kinds or KINDS]
+    """Measure the named floods, or all floods."""
+    rows = [asyncio.run(measure_flood(kind, program, rules)) for kind in kinds or KINDS]
     table(
         [
             "flood",
--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -1,8 +1,8 @@
 """Measure parts of the capacity page, then render `docs/CAPACITY.md`.
 
-`python -m benchmarks.capacity [--check] [--alone] [--charts] [PART …]`: `--charts` draws the charts that the page
-shows as well. Without a part nothing is measured. `--check` writes nothing and fails if the page is not what would
-be written."""
+`python -m benchmarks.capacity [--check] [--alone] [--charts] [PART …]`: `--charts` also draws the charts that
+the page shows. Without a part nothing is measured. `--check` writes nothing and fails if the page differs from the
+rendered text."""
 
 from __future__ import annotations
 
@@ -19,27 +19,27 @@
 
 
 class UsageError(ValueError):
-    """Arguments that say nothing; the message is one line."""
+    """Invalid command-line arguments; the message is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Arguments:
-    """What is asked for."""
+    """The parsed command line."""
 
     parts: tuple[str, ...]
     check: bool
-    alone: bool  # the machine runs nothing else
-    charts: bool  # draw them anew
+    alone: bool  # no other work runs on the machine
+    charts: bool  # draw the charts again
 
 
 def parse(words: list[str]) -> Arguments:
-    """Raises UsageError."""
+    """Parse the command-line arguments. Raises UsageError."""
     options = {word for word in words if word.startswith("-")}
     parts = tuple(word for word in words if not word.startswith("-"))
     if unknown := sorted(options - set(OPTIONS)):
-        raise UsageError(f"unknown option {unknown[0]}; there are {', '.join(OPTIONS)}")
+        raise UsageError(f"unknown option {unknown[0]}; valid options: {', '.join(OPTIONS)}")
     if unknown := [part for part in parts if part not in PARTS]:
-        raise UsageError(f"unknown part {unknown[0]}; there are {', '.join(PARTS)}")
+        raise UsageError(f"unknown part {unknown[0]}; valid parts: {', '.join(PARTS)}")
     check = "--check" in options
     if check and (parts or "--charts" in options):
         raise UsageError("--check writes nothing: name neither parts nor --charts")
@@ -47,7 +47,7 @@
 
 
 def main(words: list[str]) -> int:
-    """Measure, render, or check; the exit code."""
+    """Measure the named parts, then write or check the page. Return the exit code."""
     try:
         arguments = parse(words)
         for part in arguments.parts:
@@ -59,16 +59,19 @@
         print(f"capacity: {error}", file=sys.stderr)
         return MISUSED if isinstance(error, UsageError) else FAILED
     if arguments.check:
-        return _checked(text)
+        return _check(text)
     PAGE.write_text(text)
     if arguments.charts:
         draw(results)
     return 0
 
 
-def _checked(text: str) -> int:
+def _check(text: str) -> int:
     if differs(text):
-        print(f"capacity: docs/CAPACITY.md is not what the kept results give; run {COMMAND}", file=sys.stderr)
+        print(
+            f"capacity: docs/CAPACITY.md differs from the page rendered from the kept results; run {COMMAND}",
+            file=sys.stderr,
+        )
         return FAILED
     return 0
 
--- a/benchmarks/capacity/assess.py
+++ b/benchmarks/capacity/assess.py
@@ -1,4 +1,4 @@
-"""Brings together roles and kept results: what each demand comes to under each condition, and how it is judged."""
+"""Evaluates roles against kept results: the estimate and verdict of each demand under each condition."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Cell:
-    """A demand or bound under one condition. Without an estimate nothing was measured."""
+    """The estimate and verdict of a demand or bound under one condition. The estimate is None if not measured."""
 
     estimate: Estimate | None
     judgement: Judgement
 
     @property
     def decided(self) -> bool:
-        """It holds or breaks."""
+        """Return whether the verdict is HOLDS or BREAKS."""
         return self.judgement.verdict is not Verdict.NOT_MEASURED
 
 
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """One series of a demand; without a fit it is not kept, or `refused` says why it gives none."""
+    """One series of a demand and its fit. `refused` gives the reason if a kept series cannot be fitted."""
 
     name: str  # PART.NAME
     result: Result | None = None
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Assessed:
-    """A demand or bound with its cells, and the slopes that they rest on."""
+    """A demand or bound with its cells, and the slopes from which they are computed."""
 
     role: Role
     of: Demand | Bound
@@ -50,28 +50,28 @@
 
     @property
     def worst(self) -> Cell:
-        """That of the condition that asks most."""
+        """Return the cell with the highest ratio of value to limit."""
         return max(self.cells.values(), key=lambda cell: cell.judgement.load)
 
     @property
     def measured(self) -> bool:
-        """Under one condition at least, so well that it holds or breaks."""
+        """Return whether at least one condition has the verdict HOLDS or BREAKS."""
         return any(cell.decided for cell in self.cells.values())
 
     @property
     def disturbed(self) -> bool:
-        """Other work on the machine may have made it greater."""
+        """Return whether other work on the machine may have increased the measured value."""
         shared = any(slope.result is not None and slope.result.run.machine_shared for slope in self.slopes)
         return shared and isinstance(self.of, Demand) and self.of.wall_time
 
     @property
     def when(self) -> list[Condition]:
-        """The conditions under which it breaks."""
+        """Return the conditions under which the limit is exceeded."""
         return [condition for condition, cell in self.cells.items() if cell.judgement.verdict is Verdict.BREAKS]
 
 
 def assess(role: Role, results: Mapping[str, Result]) -> list[Assessed]:
-    """All demands and bounds of a role, in order."""
+    """Return the assessments of all demands and bounds of a role, in order."""
     return [_demand(role, demand, results) for demand in role.demands] + [_bound(role, bound) for bound in role.bounds]
 
 
@@ -90,10 +90,10 @@
 
 
 def _slope(name: str, demand: Demand, results: Mapping[str, Result]) -> Slope:
-    found = find(dict(results), name)
-    if found is None:
+    match = find(dict(results), name)
+    if match is None:
         return Slope(name)
-    result, series = found
+    result, series = match
     try:
         return Slope(name, result, series, fit(series, demand.model))
     except TooFewSizesError as error:
@@ -104,7 +104,7 @@
     load = demand.loads.get(condition)
     if load is None:
         return UNKNOWN
-    parts = [one.at(load.size) for one in fits]
+    parts = [fitted.at(load.size) for fitted in fits]
     value = load.times * sum(part.value for part in parts)
     error = load.times * math.hypot(*(part.error for part in parts))
     estimate = Estimate(value, error)
--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -1,22 +1,22 @@
-"""Bounds that stand in the program's own checks of its settings, found by asking these checks."""
+"""Limits enforced by the configuration checks, determined by calling these checks."""
 
 from __future__ import annotations
 
 from chutepin.config import ConfigError
 from chutepin.config.cluster import CHECKS
 
-HIGHEST_TRIED = 2**20
+MAX_TRIED_MEMBERS = 2**20
 
 
 class _Quantity:
-    """A number with its unit, as the reader of the operator's file gives it."""
+    """A number with its unit, in the form produced by the configuration parser."""
 
     def __init__(self, unit: str, value: int) -> None:
         self.type_annotation, self.value = unit, value
 
 
 def most_members() -> int:
-    """The largest `members` that the block `cluster` accepts."""
+    """Return the largest value of `members` that the block `cluster` accepts."""
     check = CHECKS["members"]
     assert callable(check)
 
@@ -27,7 +27,7 @@
             return False
         return True
 
-    low, high = 2, HIGHEST_TRIED
+    low, high = 2, MAX_TRIED_MEMBERS
     while low < high:
         middle = (low + high + 1) // 2
         low, high = (middle, high) if accepted(middle) else (low, middle - 1)
--- a/benchmarks/capacity/comparison.py
+++ b/benchmarks/capacity/comparison.py
@@ -1,4 +1,4 @@
-"""Compares kept runs of `lab scale` before and after the change of membership; the rows of a table on the page."""
+"""Compares kept runs of `lab scale` before and after the membership change, as rows of a table on the page."""
 
 from __future__ import annotations
 
@@ -31,18 +31,18 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberRun:
-    """One kept run that ended, and whether the mechanism before the change played it."""
+    """One completed run, and whether it used the membership mechanism before the change."""
 
     raw: dict[str, Any]
     before: bool
 
     @property
     def order(self) -> tuple[str, int, bool, int]:
-        """By scenario and size; the run before the change comes first."""
+        """Return the sort key: scenario, size, mechanism (the one before the change first) and seed."""
         return self.raw["scenario"], self.raw["members"], not self.before, self.raw["seed"]
 
     def cells(self) -> list[str]:
-        """The row of the run."""
+        """Return the table row of the run."""
         raw = self.raw
         peak = raw.get("peak_bytes_per_s", {}).get("10s")
         return [
@@ -60,15 +60,15 @@
         ]
 
     def _pair(self, name: str) -> str:
-        found = self.raw.get(name, {})
-        return f"{_number(found.get('mean'))}, {_number(found.get('p99'))}"
+        statistics = self.raw.get(name, {})
+        return f"{_number(statistics.get('mean'))}, {_number(statistics.get('p99'))}"
 
 
 def _number(value: object) -> str:
     return short(value) if isinstance(value, (int, float)) else _UNKNOWN
 
 
-def _ended(directory: Path) -> Iterator[dict[str, Any]]:
+def _completed_runs(directory: Path) -> Iterator[dict[str, Any]]:
     for path in sorted(directory.glob("scale-*.json")):
         try:
             runs = json.loads(path.read_text())
@@ -78,8 +78,8 @@
 
 
 def compared(before: Path = BEFORE, after: Path = AFTER) -> list[list[str]]:
-    """A row for each kept run; none unless there are runs of both mechanisms. Raises ResultError."""
-    runs = [MemberRun(raw, directory == before) for directory in (before, after) for raw in _ended(directory)]
+    """Return a row for each kept run, or no rows unless both mechanisms have runs. Raises ResultError."""
+    runs = [MemberRun(raw, directory == before) for directory in (before, after) for raw in _completed_runs(directory)]
     if len({run.before for run in runs}) < 2:
         return []
     return [run.cells() for run in sorted(runs, key=lambda run: run.order)]
--- a/benchmarks/capacity/drawing.py
+++ b/benchmarks/capacity/drawing.py
@@ -1,4 +1,4 @@
-"""Charts of chosen series: what was measured, the fitted line up to the target, and the limit."""
+"""Charts of selected series: the measured points, the fitted line up to the target, and the limit."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from .slopes import Model, TooFewSizesError, fit
 
 CHARTS = ROOT / "docs" / "charts"
-STEPS = 40  # points of a fitted line
+STEPS = 40  # points drawn on a fitted line
 
 
 @dataclass(frozen=True, slots=True)
 class Chart:
-    """One file under docs/charts/."""
+    """A chart of one series, written to a file under docs/charts/."""
 
     file: str
     title: str
@@ -54,16 +54,16 @@
 
 
 def drawable(results: Mapping[str, Result]) -> Sequence[Chart]:
-    """Those whose series gives a slope."""
+    """Return the charts whose series can be fitted."""
     return [chart for chart in CHOSEN if _line(chart, results) is not None]
 
 
 def draw(results: Mapping[str, Result], directory: Path = CHARTS) -> None:
-    """Write all that can be drawn."""
+    """Write the file of each chart whose series can be fitted."""
     for chart in drawable(results):
-        found, line = find(dict(results), chart.series), _line(chart, results)
-        assert found is not None and line is not None
-        _, series = found
+        match, line = find(dict(results), chart.series), _line(chart, results)
+        assert match is not None and line is not None
+        _, series = match
         charts.lines(
             directory / chart.file,
             chart.title,
@@ -78,11 +78,11 @@
 
 
 def _line(chart: Chart, results: Mapping[str, Result]) -> list[tuple[float, float]] | None:
-    found = find(dict(results), chart.series)
-    if found is None:
+    match = find(dict(results), chart.series)
+    if match is None:
         return None
     try:
-        fitted = fit(found[1], Model.BETTER)
+        fitted = fit(match[1], Model.BETTER)
     except TooFewSizesError:
         return None
     sizes = [chart.target * step / STEPS for step in range(1, STEPS + 1)]
--- a/benchmarks/capacity/measure/__init__.py
+++ b/benchmarks/capacity/measure/__init__.py
@@ -1,4 +1,4 @@
-"""One module for each part that can be measured. Each gives a `Measured`; the parts are listed in `PARTS`."""
+"""The measured parts, one module each. `PARTS` lists the modules; the `run` of each returns a `Measured`."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def measure(part: str, *, shared: bool) -> Result:
-    """Run a part. `shared`: other work runs on the machine."""
+    """Measure a part. `shared` states whether other work runs on the machine."""
     module = import_module(f".{part}", __package__)
     run: Callable[[], Measured] = module.run
     measured = run()
--- a/benchmarks/capacity/measure/changes.py
+++ b/benchmarks/capacity/measure/changes.py
@@ -1,4 +1,4 @@
-"""The log in common in the simulator, by the size of a change: what its leader and the observers send."""
+"""Bytes sent by the leader and the observers of the replicated log in the simulator, by the size of a change."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 from chutepin.testbench.simulators.consensus import SETTINGS
 
-from .log import Played, played
+from .log import SimulatedRun, simulate
 from .tools import Measured, Table
 
-VALUE_BYTES = (32, 128, 512, 1_024)  # the machine takes values of up to 1,024
+VALUE_BYTES = (32, 128, 512, 1_024)  # the state machine accepts values of up to 1,024 bytes
 OBSERVERS = 100
 SEEDS = (1, 2)
 KIB = 1024
@@ -29,21 +29,21 @@
 
 
 def values_of(size: int) -> itertools.count[int]:
-    """Numbers which, with the one letter that the askers put before them, have so many bytes."""
+    """Return numbers whose text has `size` bytes, including the letter that the simulated clients prepend."""
     return itertools.count(10 ** (size - 2))
 
 
 def run() -> Measured:
-    """The part."""
+    """Measure the part and return its series."""
     table = Table("bytes of a change", UNITS)
     for seed in SEEDS:
         for size in VALUE_BYTES:
-            found: Played = played(OBSERVERS, seed, settings=NODE_SETTINGS, values=values_of(size))
+            outcome: SimulatedRun = simulate(OBSERVERS, seed, settings=NODE_SETTINGS, values=values_of(size))
             table.add(
                 size,
-                leader_bytes_per_s=found.leader.bytes_per_s,
-                observer_bytes_per_s=found.observers.bytes_per_s,
-                feeder_bytes_per_s=found.most_bytes_per_s,
+                leader_bytes_per_s=outcome.leader.bytes_per_s,
+                observer_bytes_per_s=outcome.observers.bytes_per_s,
+                feeder_bytes_per_s=outcome.most_bytes_per_s,
             )
     return Measured(
         table.series(),
--- a/benchmarks/capacity/measure/classes.py
+++ b/benchmarks/capacity/measure/classes.py
@@ -1,13 +1,13 @@
-"""Classes of requests in memory: settings and decision module with so many classes, in a fresh process each."""
+"""Memory and processor time of the settings and the decision module by number of classes, each in a new process."""
 
 from __future__ import annotations
 
-from .tenants import probed
+from .tenants import measure_in_processes
 from .tools import Measured
 
 SIZES = (100, 400, 1_600, 6_400)
 
 
 def run() -> Measured:
-    """The part."""
-    return probed("classes", SIZES)
+    """Measure the part and return its series."""
+    return measure_in_processes("classes", SIZES)
--- a/benchmarks/capacity/measure/connections.py
+++ b/benchmarks/capacity/measure/connections.py
@@ -1,4 +1,4 @@
-"""Memory of a node for idle connections of callers."""
+"""Memory of a node by number of idle connections from callers."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 SIZES = (50, 100, 200, 400, 800)
 ROUNDS = 2
 SOCKETS = 4096
-FIRST_ADDRESS = 2  # callers come from 127.0.1.2 and up: the node bounds connections of one address
+FIRST_ADDRESS = 2  # callers use addresses from 127.0.1.2 upwards: the node limits connections per address
 UNITS = {"memory_bytes": "bytes"}
 
 
 async def measured() -> Measured:
-    """Connections are opened in steps on one process, and held."""
+    """Open connections to one process in steps, keep them open and measure its memory after each step."""
     table = Table("connections", UNITS)
     for _ in range(ROUNDS):
         async with AsyncExitStack() as stack:
@@ -27,7 +27,7 @@
                     readers.append(await _open(stack, world.port, len(readers)))
                 await asyncio.sleep(SETTLE_S)
                 if any(reader.at_eof() for reader in readers):
-                    raise RuntimeError("the node closed a connection")
+                    raise RuntimeError("the node closed an idle connection")
                 table.add(size, memory_bytes=resident_bytes(pid(world)) - before)
     return Measured(
         table.series(),
@@ -47,5 +47,5 @@
 
 
 def run() -> Measured:
-    """The part."""
+    """Measure the part and return its series."""
     return asyncio.run(measured())
--- a/benchmarks/capacity/measure/keys.py
+++ b/benchmarks/capacity/measure/keys.py
@@ -1,4 +1,4 @@
-"""Memory of a node for keys of requests whose results it remembers."""
+"""Memory of a node by number of request keys whose results are retained."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from .tools import SETTLE_S, Measured, Table, node, pid, resident_bytes
 
 SIZES = (500, 1000, 2000, 4000, 8000)
-AT_ONCE = 4
+CONCURRENT_REQUESTS = 4
 KEY_BYTES, BODY_BYTES = 16, 16
-WARM = 50  # requests before the first reading
+WARM_UP_REQUESTS = 50  # sent before memory is first measured
 SEED = 1
-WINDOW_S = 600.0  # longer than the measurement: no key is forgotten meanwhile
+WINDOW_S = 600.0  # longer than the measurement, so no key expires during it
 CLASS = "work-order"
 UNITS = {"memory_bytes": "bytes"}
 
@@ -30,19 +30,19 @@
 
 
 async def measured() -> Measured:
-    """Requests with keys of their own are asked in steps; one that is refused leaves no key and is not counted."""
+    """Send requests with distinct keys in steps. Refused requests store no key and are not counted."""
     table = Table("keys", UNITS)
     rng = random.Random(SEED)
     async with AsyncExitStack() as stack:
         world = await node(stack, _settings(EXAMPLE["settings"]["categories"]))
         balancer = await world.connect()
         done = 0
-        while done < WARM:
-            done += await _ask(balancer, rng)
+        while done < WARM_UP_REQUESTS:
+            done += await _send_requests(balancer, rng)
         before, done = resident_bytes(pid(world)), 0
         for size in SIZES:
             while done < size:
-                done += await _ask(balancer, rng)
+                done += await _send_requests(balancer, rng)
             await asyncio.sleep(SETTLE_S)
             table.add(done, memory_bytes=resident_bytes(pid(world)) - before)
         await balancer.close()
@@ -56,18 +56,18 @@
     )
 
 
-async def _ask(balancer: Balancer, rng: random.Random) -> int:
-    """Ask for several at once; how many were served, and so are remembered."""
-    asked = [(rng.randbytes(BODY_BYTES), rng.randbytes(KEY_BYTES).hex()) for _ in range(AT_ONCE)]
-    tags = [balancer.call(CLASS, body, key) for body, key in asked]
+async def _send_requests(balancer: Balancer, rng: random.Random) -> int:
+    """Send several requests at once. Return the number served, whose results the node retains."""
+    requests = [(rng.randbytes(BODY_BYTES), rng.randbytes(KEY_BYTES).hex()) for _ in range(CONCURRENT_REQUESTS)]
+    tags = [balancer.call(CLASS, body, key) for body, key in requests]
     served = 0
     for tag in tags:
-        words = await balancer.answer(tag)
-        served += words[0] == b"OK"
+        fields = await balancer.answer(tag)
+        served += fields[0] == b"OK"
         del balancer.answers[tag]
     return served
 
 
 def run() -> Measured:
-    """The part."""
+    """Measure the part and return its series."""
     return asyncio.run(measured())
--- a/benchmarks/capacity/measure/log.py
+++ b/benchmarks/capacity/measure/log.py
@@ -1,6 +1,6 @@
-"""The log in common in the simulator: what its leader, a voter and the observers say and spend, by number of observers.
+"""Messages, bytes and processor time of the replicated log's leader and observers in the simulator, by observers.
 
-All words go through their bytes. Proposals come at the rate of a peak, as `benchmarks.fleet_size` has it."""
+Every message is encoded. Proposals arrive at the peak rate given in `benchmarks.fleet_size`."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 OBSERVERS = (50, 100, 200, 400, 800)
 VOTERS = 3
-SECONDS, FROM = 30.0, 10.0  # simulated; what comes before is not counted
-COUNTED = SECONDS - FROM
-SETS_IN_ASKS = 2 / 3  # the simulated askers read as well
+SECONDS, COUNTED_FROM_S = 30.0, 10.0  # simulated time; events before the second value are not counted
+COUNTED_S = SECONDS - COUNTED_FROM_S
+WRITE_FRACTION = 2 / 3  # the simulated clients also read
 SEEDS = (1, 2)
-MOST_HEARD = 0.9  # of the members must show an entry for its spread to count
+MIN_APPLIED_FRACTION = 0.9  # fraction of the members that must show an entry for its spread to count
 UNITS = {
     "leader_words_per_s": "words a second",
     "leader_bytes_per_s": "bytes a second",
@@ -39,82 +39,82 @@
 }
 
 
-class Metered(Simulator):
-    """A simulator that keeps what each member says and spends."""
+class MeteredSimulator(Simulator):
+    """A simulator that records the messages, bytes and processor time of each member."""
 
     def __init__(self, *arguments: Any, **options: Any) -> None:
         super().__init__(*arguments, **options)
-        self.said: Counter[str] = Counter()
+        self.sent_messages: Counter[str] = Counter()
         self.sent_bytes: Counter[str] = Counter()
         self.cpu_s: defaultdict[str, float] = defaultdict(float)
 
     def _send(self, host: Any, to: str, message: Any) -> None:
-        if self.now > FROM:
-            self.said[host.name] += 1
+        if self.now > COUNTED_FROM_S:
+            self.sent_messages[host.name] += 1
             self.sent_bytes[host.name] += len(encode(message))
         super()._send(host, to, message)
 
     def _tick(self, host: Any, timer: int) -> None:
-        begun = time.process_time()
+        started = time.process_time()
         super()._tick(host, timer)
-        self._spent(host, begun)
+        self._add_cpu_time(host, started)
 
     def _receive(self, host: Any, sender: str, message: Any) -> None:
-        begun = time.process_time()
+        started = time.process_time()
         super()._receive(host, sender, message)
-        self._spent(host, begun)
+        self._add_cpu_time(host, started)
 
-    def _spent(self, host: Any, begun: float) -> None:
-        if self.now > FROM:
-            self.cpu_s[host.name] += time.process_time() - begun
+    def _add_cpu_time(self, host: Any, started: float) -> None:
+        if self.now > COUNTED_FROM_S:
+            self.cpu_s[host.name] += time.process_time() - started
 
-    def spending(self, names: list[str]) -> Spending:
-        """The mean of these members."""
-        share = COUNTED * len(names)
-        return Spending(
-            sum(self.said[name] for name in names) / share,
+    def usage(self, names: list[str]) -> ResourceUsage:
+        """Return the mean usage of the named members."""
+        share = COUNTED_S * len(names)
+        return ResourceUsage(
+            sum(self.sent_messages[name] for name in names) / share,
             sum(self.sent_bytes[name] for name in names) / share,
             1000 * sum(self.cpu_s[name] for name in names) / share,
         )
 
 
 @dataclass(frozen=True, slots=True)
-class Spending:
-    """Of one member, or the mean of several."""
+class ResourceUsage:
+    """Messages, bytes and processor time a second of one member, or the mean of several members."""
 
-    words_per_s: float
+    messages_per_s: float
     bytes_per_s: float
     cpu_ms_per_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class Played:
-    """What came of one run."""
+class SimulatedRun:
+    """The measured values of one simulated run."""
 
-    leader: Spending
-    observers: Spending  # the mean
-    most_bytes_per_s: float  # of the observer that sends most
-    spread_s: list[float]  # of each entry: from the first member that shows it to the last
+    leader: ResourceUsage
+    observers: ResourceUsage  # mean of all observers
+    most_bytes_per_s: float  # of the observer that sends the most
+    spread_s: list[float]  # for each entry, from the first member that shows it to the last
 
 
-def played(
+def simulate(
     observers: int, seed: int, *, settings: RaftSettings = SETTINGS, values: itertools.count[int] | None = None
-) -> Played:
-    """One run. `values`: numbers that are set. Raises RuntimeError if a claim of the log was broken."""
+) -> SimulatedRun:
+    """Simulate one run that sets the numbers of `values`. Raises RuntimeError if the log violated a guarantee."""
     rate = ASSUMPTIONS.peak_change_factor * TARGET.config_changes_per_s
     schedule = Schedule(observers + VOTERS, SECONDS)
-    simulator = Metered(schedule, seed, voters=VOTERS, every=SETS_IN_ASKS / rate, settings=settings)
+    simulator = MeteredSimulator(schedule, seed, voters=VOTERS, every=WRITE_FRACTION / rate, settings=settings)
     if values is not None:
         simulator._values = values
     history = simulator.run()
     if problems := violations(history):
-        raise RuntimeError(f"{observers} observers, seed {seed}: {sorted(problems)}")
+        raise RuntimeError(f"{observers} observers, seed {seed}: violated guarantees: {sorted(problems)}")
     leader = next(observation.member for observation in reversed(history.observations) if observation.role == "leader")
     followers = [name for name in simulator.hosts if name not in simulator.voters]
-    return Played(
-        simulator.spending([leader]),
-        simulator.spending(followers),
-        max(simulator.sent_bytes[name] for name in followers) / COUNTED,
+    return SimulatedRun(
+        simulator.usage([leader]),
+        simulator.usage(followers),
+        max(simulator.sent_bytes[name] for name in followers) / COUNTED_S,
         _spread(history, observers + VOTERS),
     )
 
@@ -122,9 +122,9 @@
 def _spread(history: ConsensusHistory, members: int) -> list[float]:
     first: dict[int, dict[str, float]] = {}
     for observation in history.observations:
-        if observation.at > FROM:
+        if observation.at > COUNTED_FROM_S:
             first.setdefault(observation.applied_index, {}).setdefault(observation.member, observation.at)
-    return [max(at.values()) - min(at.values()) for at in first.values() if len(at) > MOST_HEARD * members]
+    return [max(at.values()) - min(at.values()) for at in first.values() if len(at) > MIN_APPLIED_FRACTION * members]
 
 
 def _ms(bounds: tuple[float, float]) -> str:
@@ -132,20 +132,20 @@
 
 
 def run() -> Measured:
-    """The part."""
+    """Measure the part and return its series."""
     table = Table("observers", UNITS)
     for seed in SEEDS:
         for observers in OBSERVERS:
-            found = played(observers, seed)
+            outcome = simulate(observers, seed)
             table.add(
                 observers,
-                leader_words_per_s=found.leader.words_per_s,
-                leader_bytes_per_s=found.leader.bytes_per_s,
-                leader_cpu_ms_per_s=found.leader.cpu_ms_per_s,
-                observer_bytes_per_s=found.observers.bytes_per_s,
-                observer_cpu_ms_per_s=found.observers.cpu_ms_per_s,
-                feeder_bytes_per_s=found.most_bytes_per_s,
-                spread_p99_s=quantile(found.spread_s, 0.99),
+                leader_words_per_s=outcome.leader.messages_per_s,
+                leader_bytes_per_s=outcome.leader.bytes_per_s,
+                leader_cpu_ms_per_s=outcome.leader.cpu_ms_per_s,
+                observer_bytes_per_s=outcome.observers.bytes_per_s,
+                observer_cpu_ms_per_s=outcome.observers.cpu_ms_per_s,
+                feeder_bytes_per_s=outcome.most_bytes_per_s,
+                spread_p99_s=quantile(outcome.spread_s, 0.99),
             )
     return Measured(
         table.series(),
--- a/benchmarks/capacity/measure/member_runs.py
+++ b/benchmarks/capacity/measure/member_runs.py
@@ -1,9 +1,9 @@
-"""Plays `lab scale` at several sizes and keeps what it tells, for the part `member`; minutes on one core.
+"""Runs `lab scale` at several sizes and keeps its results for the part `member`. Takes minutes on one core.
 
     python -m benchmarks.capacity.measure.member_runs [SCENARIO …]
 
-Runs that are kept already are not repeated. One that takes too much CPU time is kept as unfinished and the next seed is
-taken for its size."""
+Runs with kept results are not repeated. A run that exceeds the CPU time limit is kept as unfinished, and its size is
+run again with the next seed."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
 
 STEADY_MEMBERS = (100, 200, 400, 800, 2300)
 BAD_HOUR_MEMBERS = (50, 100, 200, 400)
-SECONDS = 40.0  # simulated
-MOST_CPU_S = 120  # of a run: several times what one takes that ends
-MOST_LONG_CPU_S = 1500  # of one that has more members, or lasts longer
-LONG = frozenset({Scenario.CHURN, Scenario.REGION_APART})
+SECONDS = 40.0  # simulated time
+MAX_CPU_S = 120  # several times the CPU time of a run that finishes
+MAX_LONG_CPU_S = 1500  # for runs with more members or a longer duration
+LONG_SCENARIOS = frozenset({Scenario.CHURN, Scenario.REGION_APART})
 SEEDS = (1, 2, 3)
 
 
 def kept(scenario: Scenario, members: int) -> bool:
-    """Whether a run of this size that ended is there."""
+    """Return whether the result of a finished run of this scenario and size is kept."""
     return any(FILES.glob(f"scale-simulator-{scenario.value}-{members}-seed*.json"))
 
 
 def _unfinished(scenario: Scenario, members: int, seed: int, after: int) -> None:
-    told = {
+    record = {
         "mode": "simulator",
         "scenario": scenario.value,
         "members": members,
@@ -45,12 +45,14 @@
         "unfinished_after_cpu_s": after,
     }
     path = FILES / f"unfinished-{scenario.value}-{members}-seed{seed}.json"
-    path.write_text(json.dumps([told], indent=1) + "\n")
+    path.write_text(json.dumps([record], indent=1) + "\n")
 
 
-def play(scenario: Scenario, members: int, seed: int) -> bool:
-    """One run; whether it ended. Its exit code tells of broken promises, which its file tells as well."""
-    most_cpu_s = MOST_LONG_CPU_S if scenario in LONG else MOST_CPU_S
+def run_scale(scenario: Scenario, members: int, seed: int) -> bool:
+    """Run `lab scale` once and return whether the run finished.
+
+    The exit code is ignored: the result file also reports violated guarantees."""
+    max_cpu_s = MAX_LONG_CPU_S if scenario in LONG_SCENARIOS else MAX_CPU_S
     FILES.mkdir(parents=True, exist_ok=True)
     with tempfile.TemporaryDirectory() as folder:
         command = [sys.executable, "-O", "-m", "chutepin", "lab", "scale", "--json", "--out", folder]
@@ -61,10 +63,10 @@
             cwd=ROOT,
             stdout=subprocess.DEVNULL,
             check=False,
-            preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_CPU, (most_cpu_s, most_cpu_s)),
+            preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_CPU, (max_cpu_s, max_cpu_s)),
         )
         if done.returncode in (-signal.SIGXCPU, -signal.SIGKILL):
-            _unfinished(scenario, members, seed, most_cpu_s)
+            _unfinished(scenario, members, seed, max_cpu_s)
             return False
         for path in Path(folder).glob("*.json"):
             (FILES / path.name).write_text(path.read_text())
@@ -72,15 +74,18 @@
 
 
 def main(words: list[str]) -> None:
-    """All sizes of the scenarios named, or of all."""
+    """Run all sizes of the named scenarios, or of all scenarios."""
     for word in words or [scenario.value for scenario in Scenario]:
         scenario = Scenario(word)
         for members in STEADY_MEMBERS if scenario is Scenario.CHURN else BAD_HOUR_MEMBERS:
             for seed in SEEDS:
                 if kept(scenario, members):
                     break
-                ended = play(scenario, members, seed)
-                print(f"{word}, {members} members, seed {seed}: {'ended' if ended else 'did not end'}", flush=True)
+                finished = run_scale(scenario, members, seed)
+                print(
+                    f"{word}, {members} members, seed {seed}: {'finished' if finished else 'did not finish'}",
+                    flush=True,
+                )
 
 
 if __name__ == "__main__":
--- a/benchmarks/capacity/measure/operators.py
+++ b/benchmarks/capacity/measure/operators.py
@@ -1,4 +1,4 @@
-"""Operators' calls: processor time and bytes of an answer, by what it tells of."""
+"""Processor time and bytes of the answers to operator commands, by the number of classes or members reported."""
 
 from __future__ import annotations
 
@@ -27,20 +27,20 @@
 
 
 def _answer(call: object) -> tuple[float, int]:
-    """Milliseconds of processor time of one answer, encoded, and its bytes."""
+    """Return the milliseconds of processor time to build and encode one answer, and its size in bytes."""
     assert callable(call)
-    begun = time.process_time()
+    started = time.process_time()
     for _ in range(REPEATS):
         data = call().encode()
-    return 1000 * (time.process_time() - begun) / REPEATS, len(data)
+    return 1000 * (time.process_time() - started) / REPEATS, len(data)
 
 
 def _show_stat(table: Table, classes: int, rng: random.Random) -> None:
-    figures = RequestMetrics(f"class-{number:05d}" for number in range(classes))
-    for row in figures.rows.values():
+    metrics = RequestMetrics(f"class-{number:05d}" for number in range(classes))
+    for row in metrics.rows.values():
         row.received = row.answered = rng.randrange(10**6)
-    spent, size = _answer(lambda: exposition(figures))
-    table.add(classes, show_stat_cpu_ms=spent, show_stat_bytes=size)
+    cpu_ms, size = _answer(lambda: exposition(metrics))
+    table.add(classes, show_stat_cpu_ms=cpu_ms, show_stat_bytes=size)
 
 
 def _members(table: Table, members: int) -> None:
@@ -48,12 +48,12 @@
     cluster = Cluster(setup, "node-me", 1, DescriptorBudget(64, {}), Counters(), Log(Clock()), None)
     for number in range(members):
         cluster._detector.view.table.put(0.0, record(number))
-    spent, size = _answer(cluster.commands()["members"])
-    table.add(members, members_cpu_ms=spent, members_bytes=size)
+    cpu_ms, size = _answer(cluster.commands()["members"])
+    table.add(members, members_cpu_ms=cpu_ms, members_bytes=size)
 
 
 def run() -> Measured:
-    """The part."""
+    """Measure the part and return its series."""
     rng = random.Random(1)
     stat, members = Table("classes", STAT_UNITS), Table("members", MEMBERS_UNITS)
     for _ in range(ROUNDS):
--- a/benchmarks/capacity/measure/request.py
+++ b/benchmarks/capacity/measure/request.py
@@ -1,7 +1,7 @@
-"""A node's way of a request: CPU of the real program and the time it adds, at open-loop rates.
+"""CPU time of a node and the latency that the node adds to requests, at open-loop rates.
 
-At each rate the same generator first asks the executor's stand-in directly, then through the node. Generator and
-stand-ins share one process and one event loop, in both cases."""
+At each rate the same generator sends requests to the simulated executor directly, then through the node. The generator
+and the simulated services share one process and one event loop in both cases."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 SECONDS = 6.0
 ROUNDS = 4
 SEED = 1
-CLASS = "position-push"  # it makes no call below
+CLASS = "position-push"  # this class makes no calls to other services
 TEAM = "bernard-lodge"
 BODY = b"x" * 32  # bytes
 WAIT_MS = 5000
@@ -38,28 +38,28 @@
 
 
 class Link:
-    """One connection on which requests are told apart by a tag; it keeps the time that each answer took."""
+    """A connection whose requests are identified by tags; records the latency of each answer."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
         self.sent: dict[str, float] = {}
-        self.took: list[float] = []
+        self.latencies_ms: list[float] = []
         self.asked = self.served = 0
         self._task = asyncio.ensure_future(self._read())
 
     def ask(self) -> None:
-        """Send one request."""
+        """Send one request and record its start time."""
         self.asked += 1
         tag = str(self.asked)
         self.sent[tag] = time.perf_counter()
         self.writer.write(self.request(tag))
 
     def request(self, tag: str) -> bytes:
-        """The bytes of a request."""
+        """Return the encoded request with the given tag."""
         raise NotImplementedError
 
     def answers(self, data: bytes) -> list[tuple[str, bool]]:
-        """Tags that have their answer, and whether they were served."""
+        """Return the tags answered in `data`, each with whether the request was served."""
         raise NotImplementedError
 
     async def _read(self) -> None:
@@ -69,38 +69,38 @@
                 begun = self.sent.pop(tag, None)
                 if begun is not None and served:
                     self.served += 1
-                    self.took.append(1000 * (now - begun))
+                    self.latencies_ms.append(1000 * (now - begun))
 
     async def close(self) -> None:
-        """End it."""
+        """Stop reading and close the connection."""
         self._task.cancel()
         await asyncio.gather(self._task, return_exceptions=True)
         self.writer.close()
 
 
 class ThroughNode(Link):
-    """A caller's connection to the node."""
+    """A caller's connection to the node under test."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._parser = RespParser()
         super().__init__(reader, writer)
 
     def request(self, tag: str) -> bytes:
-        """As a balancer asks."""
+        """Return a request in the form that a balancer sends."""
         fields = f"i={os.urandom(8).hex()},s={int(time.time() * 1000)},f=1,t={TEAM},m=24.5,p=0.5,d={WAIT_MS}"
         return array(b"RPC.CALL", tag.encode(), CLASS.encode(), fields.encode(), BODY)
 
     def answers(self, data: bytes) -> list[tuple[str, bool]]:
-        """As a node answers."""
+        """Return the tags in the answers of a node, each with whether the request was served."""
         self._parser.feed(data)
-        found = []
+        answered = []
         while (items := self._parser.next()) is not None:
-            found.append((items[0].decode(), items[1] == b"OK"))
-        return found
+            answered.append((items[0].decode(), items[1] == b"OK"))
+        return answered
 
 
 class Direct(Link):
-    """A node's connection to the executor, without the node."""
+    """A direct connection to the simulated executor that uses the protocol of a node."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._parser = LineParser(lambda words: words[0] in ("EXIT", "CALLOUT"), READ_BYTES)
@@ -108,28 +108,28 @@
         writer.write(line("JOIN", 0))
 
     def request(self, tag: str) -> bytes:
-        """As a node gives work to the executor."""
+        """Return an attempt in the form that a node sends to the executor."""
         return line("EXEC", tag, CLASS, body=BODY)
 
     def answers(self, data: bytes) -> list[tuple[str, bool]]:
-        """EXIT NUMBER ID OUTCOME CODE."""
+        """Return the tags of the lines `EXIT NUMBER ID OUTCOME CODE`, each with whether the outcome is `complete`."""
         self._parser.feed(data)
-        found = []
+        answered = []
         while (message := self._parser.next()) is not None:
             words, _ = message
             if words[0] == "EXIT":
-                found.append((words[2], words[3] == "complete"))
-        return found
+                answered.append((words[2], words[3] == "complete"))
+        return answered
 
 
 def quantile(values: list[float], part: float) -> float:
-    """The value below which this part lies."""
+    """Return the value below which the given fraction of the values lies, or nan for an empty list."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(part * len(ordered)))] if ordered else float("nan")
 
 
 async def offer(ask: Callable[[], None], rate: float, seconds: float, rng: random.Random) -> None:
-    """Requests at random moments, whatever becomes of those before."""
+    """Send requests at random times, independent of the answers to earlier requests (open loop)."""
     begun = time.perf_counter()
     due = begun
     while due < begun + seconds:
@@ -137,11 +137,11 @@
         if (ahead := due - time.perf_counter()) > 0:
             await asyncio.sleep(ahead)
         ask()
-    await asyncio.sleep(0.3)  # the last answers
+    await asyncio.sleep(0.3)  # wait for the last answers
 
 
-async def directly(rate: float, rng: random.Random) -> list[float]:
-    """Milliseconds of answers of the executor's stand-in."""
+async def measure_direct(rate: float, rng: random.Random) -> list[float]:
+    """Return the latencies of the simulated executor without the node, in milliseconds."""
     async with AsyncExitStack() as stack:
         world = Standins({})
         server = await asyncio.start_server(world._executor_side, "127.0.0.1", 0)
@@ -149,16 +149,16 @@
         link = Direct(*await asyncio.open_connection(*server.sockets[0].getsockname()))
         await offer(link.ask, rate, SECONDS, rng)
         await link.close()
-        return link.took
+        return link.latencies_ms
 
 
-async def through_node(rate: float, rng: random.Random) -> tuple[Scheduled, ThroughNode]:
-    """What the node had of the processors in each second, and the link with its times."""
+async def measure_through_node(rate: float, rng: random.Random) -> tuple[Scheduled, ThroughNode]:
+    """Return the processor time of the node a second, and the connection with its latencies."""
     async with AsyncExitStack() as stack:
         world = await node(stack)
         link = ThroughNode(*await asyncio.open_connection("127.0.0.1", world.port))
-        await offer(link.ask, rate, 1.0, rng)  # warm
-        link.took.clear()
+        await offer(link.ask, rate, 1.0, rng)  # warm-up
+        link.latencies_ms.clear()
         link.asked = link.served = 0
         before, begun = scheduled(pid(world)), time.perf_counter()
         await offer(link.ask, rate, SECONDS, rng)
@@ -168,14 +168,14 @@
 
 
 async def measured() -> Measured:
-    """All rates, in turn, several rounds."""
+    """Measure all rates in turn, for several rounds."""
     table = Table("requests a second", UNITS)
     for round_number in range(ROUNDS):
         rng = random.Random(SEED + round_number)
         for rate in RATES:
-            direct = await directly(rate, rng)
-            used, link = await through_node(rate, rng)
-            direct_p99, node_p99 = quantile(direct, 0.99), quantile(link.took, 0.99)
+            direct = await measure_direct(rate, rng)
+            used, link = await measure_through_node(rate, rng)
+            direct_p99, node_p99 = quantile(direct, 0.99), quantile(link.latencies_ms, 0.99)
             table.add(
                 rate,
                 cpu_ms_per_s=used.cpu_ms,
@@ -199,5 +199,5 @@
 
 
 def run() -> Measured:
-    """The part."""
+    """Measure the part and return its series."""
     return asyncio.run(measured())
--- a/benchmarks/capacity/measure/settings_probe.py
+++ b/benchmarks/capacity/measure/settings_probe.py
@@ -1,4 +1,6 @@
-"""One fresh process: parse a file of settings, build the module, tick it. Prints a JSON object.
+"""Measures one new process that parses settings, builds the decision module and runs control intervals.
+
+Prints a JSON object.
 
 python -O -m benchmarks.capacity.measure.settings_probe FILE"""
 
@@ -18,11 +20,11 @@
 from .tools import resident_bytes
 
 TIMED_INTERVALS = 5  # control intervals
-STEP_S = 1.001 * CONTROL_INTERVAL_S  # so that each step is due an adjustment
+STEP_S = 1.001 * CONTROL_INTERVAL_S  # long enough that every step runs an adjustment
 
 
 def main(path: Path) -> dict[str, float]:
-    """Bytes and milliseconds of processor time."""
+    """Return the memory in bytes, the processor times in milliseconds and the file size in bytes."""
     gc.collect()
     memory_before = resident_bytes(os.getpid())
     build_began = time.process_time()
--- a/benchmarks/capacity/measure/start.py
+++ b/benchmarks/capacity/measure/start.py
@@ -1,7 +1,7 @@
-"""A starting node: what it fetches, in bytes and in the processor time of taking it in, by the size of what there is.
+"""Bytes that a starting node fetches and processor time to load them, by the size of the fetched state.
 
-Membership comes as one whole state over TCP, the log in common as a snapshot. The only machine on the log that the
-program has holds names with values; a tenant or a route is taken for one of these."""
+Membership arrives as one complete state over TCP, the replicated log as a snapshot. The program's only state machine on
+the log holds names with values; each name stands for a tenant or a route."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 from .tools import Measured, Table
 
 MEMBERS = (100, 300, 900, 2_300)
-FACTS = (32, 64, 128, 256)  # the machine's own bound is 256 names
+FACTS = (32, 64, 128, 256)  # the state machine accepts up to 256 names
 ROUNDS = 3
-REPEAT_FACTOR = 5  # of what is timed
+REPEAT_FACTOR = 5  # executions per timing
 SEED = 1
 REMEMBER_S = 86_400.0
 VALUE = msgpack.packb(["bernard-lodge", 0.5, 2.7, "status-read"])  # a tenant: name, share, quota, class
@@ -38,7 +38,7 @@
 
 
 def record(number: int) -> Record:
-    """A member as nodes tell of it."""
+    """Return the membership record of the member with this number, as nodes send it."""
     address = f"10.{number // 65536}.{number // 256 % 256}.{number % 256}:7410"
     name = f"node-{number:05d}"
     return Record(name, address, f"r{number % 9}", f"z{number % 22}", 1_700_000_000_000, Status.ALIVE, name)
@@ -46,10 +46,10 @@
 
 def _timed(work: object) -> float:
     assert callable(work)
-    begun = time.process_time()
+    started = time.process_time()
     for _ in range(REPEAT_FACTOR):
         work()
-    return 1000 * (time.process_time() - begun) / REPEAT_FACTOR
+    return 1000 * (time.process_time() - started) / REPEAT_FACTOR
 
 
 def _membership(table: Table, members: int) -> None:
@@ -57,7 +57,7 @@
     records = tuple(record(number) for number in range(members))
     data = stream_frame(Packet("n1", records[0], 1, 1, 1, Sync(False, True), records), cluster)
 
-    def take_in() -> None:
+    def load_state() -> None:
         frame = StreamReader().feed(data)
         assert frame is not None
         known = Members(members, REMEMBER_S)
@@ -65,7 +65,7 @@
             assert isinstance(update, Record)
             known.put(0.0, update)
 
-    table.add(members, state_bytes=len(data), take_in_cpu_ms=_timed(take_in))
+    table.add(members, state_bytes=len(data), take_in_cpu_ms=_timed(load_state))
 
 
 def _log(table: Table, facts: int, rng: random.Random) -> None:
@@ -76,14 +76,14 @@
         replica.apply([Entry(number + 1, 1, EntryKind.PROPOSAL, pack_proposal(proposal))])
     state = replica.snapshot()
 
-    def take_in() -> None:
+    def load_state() -> None:
         ReplicatedState(KeyValueMachine()).restore(Snapshot(facts, 1, Membership(("a",)), state))
 
-    table.add(facts, log_state_bytes=len(replica.machine.snapshot()), log_take_in_cpu_ms=_timed(take_in))
+    table.add(facts, log_state_bytes=len(replica.machine.snapshot()), log_take_in_cpu_ms=_timed(load_state))
 
 
 def run() -> Measured:
-    """The part."""
+    """Measure the part and return its series."""
     rng = random.Random(SEED)
     membership, log = Table("members", MEMBER_UNITS), Table("names", FACT_UNITS)
     for _ in range(ROUNDS):
--- a/benchmarks/capacity/measure/table.py
+++ b/benchmarks/capacity/measure/table.py
@@ -1,4 +1,4 @@
-"""Memory of a member for the others that it knows, in a fresh process for each size."""
+"""Memory of a member's membership table by number of other members, in a new process for each size."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def run() -> Measured:
-    """The part."""
+    """Measure the part and return its series."""
     table = Table("members", {"memory_bytes": "bytes"})
     for _ in range(ROUNDS):
         for size in SIZES:
--- a/benchmarks/capacity/measure/table_probe.py
+++ b/benchmarks/capacity/measure/table_probe.py
@@ -1,4 +1,4 @@
-"""One fresh process: a member's detector that knows so many others. Prints a JSON object.
+"""Measures one new process with a failure detector that tracks `COUNT` other members. Prints a JSON object.
 
 python -O -m benchmarks.capacity.measure.table_probe COUNT"""
 
@@ -18,7 +18,7 @@
 
 
 def main(count: int) -> dict[str, float]:
-    """Bytes of the objects that the others take."""
+    """Return the bytes of the objects allocated for the other members."""
     setup = ClusterSetup("capacity", "r0", "z0", Address("127.0.0.1", 7410), members=count + 1)
     detector = Detector(setup, "node-me", 1, 0.0, random.Random(1))
     gc.collect()
@@ -26,8 +26,8 @@
     for number in range(count):
         detector.view.table.put(0.0, record(number))
     gc.collect()
-    held, _ = tracemalloc.get_traced_memory()
-    return {"memory_bytes": held}
+    allocated_bytes, _ = tracemalloc.get_traced_memory()
+    return {"memory_bytes": allocated_bytes}
 
 
 if __name__ == "__main__":
--- a/benchmarks/capacity/measure/tenants.py
+++ b/benchmarks/capacity/measure/tenants.py
@@ -1,4 +1,4 @@
-"""Tenants in memory: settings and decision module with so many tenants, in a fresh process each."""
+"""Memory and processor time of the settings and the decision module by number of tenants, each in a new process."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 SIZES = (2_000, 8_000, 32_000, 128_000)
 ROUNDS = 2
 PROBE = "benchmarks.capacity.measure.settings_probe"
-CONTROLS_PER_S = 1 / CONTROL_INTERVAL_S  # adjustments while requests run
+CONTROLS_PER_S = 1 / CONTROL_INTERVAL_S  # rate of adjustments while requests run
 UNITS = {
     "memory_bytes": "bytes",
     "build_cpu_ms": "ms of a core",
@@ -24,7 +24,7 @@
 
 
 def settings(kind: str, count: int) -> dict[str, Any]:
-    """The example's settings with so many tenants or classes."""
+    """Return the example settings with `count` tenants or classes."""
     made: dict[str, Any] = json.loads(json.dumps(EXAMPLE["settings"]))
     if kind == "tenants":
         made["tenants"] = [
@@ -38,8 +38,8 @@
     return made
 
 
-def probed(kind: str, sizes: tuple[int, ...]) -> Measured:
-    """Series over settings of these sizes."""
+def measure_in_processes(kind: str, sizes: tuple[int, ...]) -> Measured:
+    """Measure settings of the given sizes, each in a new process, and return the series."""
     table = Table(kind, UNITS)
     for _ in range(ROUNDS):
         for size in sizes:
@@ -59,5 +59,5 @@
 
 
 def run() -> Measured:
-    """The part."""
-    return probed("tenants", SIZES)
+    """Measure the part and return its series."""
+    return measure_in_processes("tenants", SIZES)
--- a/benchmarks/capacity/measure/tools.py
+++ b/benchmarks/capacity/measure/tools.py
@@ -1,4 +1,4 @@
-"""What the measuring parts share: series under construction, a process's CPU time and memory, fresh processes."""
+"""Helpers of the measured parts: tables of series, CPU time and memory of a process, new processes."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from ..results import ROOT, Point, Series
 
 RELEASE = {"PYTHONOPTIMIZE": "1"}
-SETTLE_S = 0.5  # after a start, before anything is measured
-PATIENCE_S = 120.0  # for a process that is measured
+SETTLE_S = 0.5  # wait between a start and the first measurement
+PROBE_TIMEOUT_S = 120.0  # for a measured process
 
 
 @dataclass(frozen=True, slots=True)
 class Measured:
-    """What a part gives."""
+    """The series that a part measured, with their seeds and notes."""
 
     series: tuple[Series, ...]
     seeds: tuple[int, ...] = ()
@@ -34,14 +34,14 @@
 
 @dataclass(slots=True)
 class Table:
-    """Series under construction: one size, several quantities each with its unit."""
+    """A builder of series that share one varied size; each quantity has its own unit."""
 
     size: str
     units: Mapping[str, str]
     _points: dict[str, list[Point]] = field(default_factory=lambda: defaultdict(list))
 
     def add(self, size: float, **values: float) -> None:
-        """Values at one size."""
+        """Print and add the values measured at one size."""
         print(
             f"  {self.size} {size:g}: " + ", ".join(f"{name} {value:.4g}" for name, value in values.items()), flush=True
         )
@@ -49,46 +49,46 @@
             self._points[name].append(Point(size, value))
 
     def series(self) -> tuple[Series, ...]:
-        """All of them."""
+        """Return one series for each quantity."""
         return tuple(Series(name, self.size, self.units[name], tuple(points)) for name, points in self._points.items())
 
 
 @dataclass(frozen=True, slots=True)
 class Scheduled:
-    """What the kernel's scheduler gave to a process since its start."""
+    """Processor and waiting time of a process since its start, as counted by the kernel's scheduler."""
 
-    cpu_ms: float  # on a processor
-    waited_ms: float  # ready to run, while other work had the processors
+    cpu_ms: float  # running on a processor
+    waited_ms: float  # runnable, but waiting for a processor
 
 
 def scheduled(pid: int) -> Scheduled:
-    """All threads of a process."""
-    words = [(task / "schedstat").read_text().split() for task in Path(f"/proc/{pid}/task").iterdir()]
-    return Scheduled(sum(int(word[0]) for word in words) / 1e6, sum(int(word[1]) for word in words) / 1e6)
+    """Return the scheduler times summed over all threads of a process."""
+    columns = [(task / "schedstat").read_text().split() for task in Path(f"/proc/{pid}/task").iterdir()]
+    return Scheduled(sum(int(column[0]) for column in columns) / 1e6, sum(int(column[1]) for column in columns) / 1e6)
 
 
 def resident_bytes(pid: int) -> int:
-    """VmRSS of a process."""
+    """Return the resident memory (VmRSS) of a process in bytes."""
     return int(Path(f"/proc/{pid}/status").read_text().split("VmRSS:")[1].split()[0]) * 1024
 
 
 def in_fresh_process(module: str, *arguments: str) -> dict[str, float]:
-    """Run a module that prints one JSON object of numbers; the object."""
-    ran = subprocess.run(
+    """Run a module in a new process and return the JSON object of numbers that the module prints."""
+    completed = subprocess.run(
         [sys.executable, "-O", "-m", module, *arguments],
         cwd=ROOT,
         capture_output=True,
         text=True,
-        timeout=PATIENCE_S,
+        timeout=PROBE_TIMEOUT_S,
         check=True,
         env={**os.environ, "PYTHONHASHSEED": "0"},
     )
-    values: dict[str, float] = json.loads(ran.stdout)
+    values: dict[str, float] = json.loads(completed.stdout)
     return values
 
 
 async def node(stack: AsyncExitStack, changes: Mapping[str, Any] | None = None, *, sockets: int = 1024) -> Standins:
-    """The real program, a release build, between stand-ins with the example's settings, changed where asked."""
+    """Start the program with `-O` between simulated services, with the example settings updated by `changes`."""
     world = Standins(_merged(EXAMPLE["settings"], changes or {}))
     world.sockets = sockets
     world.calling = False
@@ -98,7 +98,7 @@
 
 
 def pid(world: Standins) -> int:
-    """Of the program."""
+    """Return the process id of the program."""
     assert world.process is not None
     return world.process.pid
 
--- a/benchmarks/capacity/model.py
+++ b/benchmarks/capacity/model.py
@@ -1,4 +1,4 @@
-"""What a role asks for and what bounds it: the words of `roles`, without its content."""
+"""Types that describe roles: their demands, limits and loads. `roles` holds the values."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Condition(Enum):
-    """When. Each is a column of the page."""
+    """An operating condition. Each condition is a column of the page."""
 
     ORDINARY = "ordinary day"
     PEAK = "peak"
@@ -18,7 +18,7 @@
 
 
 class Aspect(Enum):
-    """Of what. Each is a column of the page."""
+    """A kind of resource or quality. Each aspect is a column of the page."""
 
     STATE = "state"
     MESSAGES = "messages"
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limit:
-    """The most that a quantity may be, and where that is said."""
+    """The maximum of a quantity, and the source of this maximum."""
 
     value: float
     unit: str
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """The size at which a series is read, and what its value is multiplied by there."""
+    """The size at which a series is evaluated, and the factor applied to its value."""
 
     size: float
     times: float = 1.0
@@ -46,22 +46,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """A quantity with a measured slope. A condition that `loads` does not name is not measured."""
+    """A quantity with a measured slope. Conditions missing from `loads` are not measured."""
 
     aspect: Aspect
     quantity: str
     series: str  # PART.NAME of a kept result
     limit: Limit
     loads: Mapping[Condition, Load]
-    missing: str  # the mechanism that would have to carry it, where it breaks
+    missing: str  # the mechanism needed if the quantity exceeds its limit
     model: Model = Model.LINEAR
-    addends: tuple[str, ...] = ()  # further series whose values, each with a line of its own, are added
-    wall_time: bool = False  # other work on the machine makes it greater
+    addends: tuple[str, ...] = ()  # further series; each is fitted separately and the values are summed
+    wall_time: bool = False  # other work on the machine increases the value
 
 
 @dataclass(frozen=True, slots=True)
 class Bound:
-    """A quantity that the fleet's size gives exactly, against a bound that stands in the code."""
+    """A quantity computed exactly from the fleet size, with a limit defined in the code."""
 
     aspect: Aspect
     quantity: str
@@ -72,11 +72,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Role:
-    """One row of the page."""
+    """One row of the roles table: a function of the system with its demands and bounds."""
 
     name: str
     mechanism: str
     demands: tuple[Demand, ...] = ()
     bounds: tuple[Bound, ...] = ()
-    without: Mapping[Aspect, str] = field(default_factory=dict)  # aspects that the role has not, and why
-    open: tuple[str, ...] = ()  # what is known not to be measured
+    without: Mapping[Aspect, str] = field(
+        default_factory=dict
+    )  # aspects that do not apply to the role, with the reason
+    open: tuple[str, ...] = ()  # known gaps in the measurements
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -1,4 +1,4 @@
-"""Renders `docs/CAPACITY.md` from the target, the roles and the kept results. It writes no number of its own."""
+"""Renders `docs/CAPACITY.md` from the target, the roles and the kept results. All numbers come from these inputs."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
 
 def render(results: Mapping[str, Result], roles: Sequence[Role] = ROLES) -> str:
-    """The whole page."""
+    """Return the whole page as Markdown."""
     assessed = {role.name: assess(role, results) for role in roles}
-    every = [one for ones in assessed.values() for one in ones]
+    all_assessments = [assessment for assessments in assessed.values() for assessment in assessments]
     return "\n".join(
         [
             "# Capacity: what the design carries, and what it does not",
@@ -46,11 +46,11 @@
             "",
             "## The target",
             "",
-            *_stated(TARGET),
+            *_labelled_values(TARGET),
             "",
             "What the target leaves open and this page assumes:",
             "",
-            *_stated(ASSUMPTIONS),
+            *_labelled_values(ASSUMPTIONS),
             "",
             "## Roles",
             "",
@@ -60,11 +60,11 @@
             "",
             "## Quantities",
             "",
-            *_quantities(every),
+            *_quantities(all_assessments),
             "",
             "## Slopes",
             "",
-            *_slopes(every),
+            *_slopes(all_assessments),
             "",
             *(f"![{chart.title}](charts/{chart.file})" for chart in drawable(results)),
             "",
@@ -76,19 +76,19 @@
             "",
             *_unmeasured(assessed, roles),
             "",
-            *_compared(),
+            *_comparison(),
             "## What breaks",
             "",
             "By factor, the largest first. This is the plan.",
             "",
-            *_breaks(every),
+            *_breaks(all_assessments),
             "",
         ]
     )
 
 
 def differs(text: str, path: Path = PAGE) -> bool:
-    """Whether the page in the repository is another one."""
+    """Return whether the page in the repository is missing or differs from `text`."""
     return not path.exists() or path.read_text() != text
 
 
@@ -98,12 +98,12 @@
     ]
 
 
-def _stated(of: FleetSize | Assumptions) -> list[str]:
-    return _table(("what", "value"), ([one.label, whole(one.value)] for one in rows(of)))
+def _labelled_values(of: FleetSize | Assumptions) -> list[str]:
+    return _table(("what", "value"), ([row.label, whole(row.value)] for row in rows(of)))
 
 
-def _compared() -> list[str]:
-    """Membership before and after its change; nothing where no runs of both are kept."""
+def _comparison() -> list[str]:
+    """Return the section that compares membership before and after its change, empty without kept runs of both."""
     lines = comparison.compared()
     if not lines:
         return []
@@ -123,90 +123,92 @@
 
 
 def _roles(assessed: Mapping[str, list[Assessed]], roles: Sequence[Role]) -> list[str]:
-    head = ["role", *(aspect.value for aspect in Aspect), "carried by", *(one.value for one in Condition)]
+    head = ["role", *(aspect.value for aspect in Aspect), "carried by", *(condition.value for condition in Condition)]
     return _table(head, (_role(role, assessed[role.name]) for role in roles))
 
 
-def _role(role: Role, ones: list[Assessed]) -> list[str]:
-    aspects = [_aspect(role, aspect, ones) for aspect in Aspect]
-    verdicts = [_condition(role, condition, ones) for condition in Condition]
+def _role(role: Role, assessments: list[Assessed]) -> list[str]:
+    aspects = [_aspect(role, aspect, assessments) for aspect in Aspect]
+    verdicts = [_condition(role, condition, assessments) for condition in Condition]
     return [role.name, *aspects, role.mechanism, *verdicts]
 
 
-def _aspect(role: Role, aspect: Aspect, ones: list[Assessed]) -> str:
-    told = [_at_target(one) for one in ones if one.of.aspect is aspect]
-    if told:
-        return "; ".join(told)
+def _aspect(role: Role, aspect: Aspect, assessments: list[Assessed]) -> str:
+    values = [_at_target(assessment) for assessment in assessments if assessment.of.aspect is aspect]
+    if values:
+        return "; ".join(values)
     return role.without.get(aspect, str(NOT_MEASURED))
 
 
-def _at_target(one: Assessed) -> str:
-    cells = [one.cells[condition] for condition in (Condition.PEAK, Condition.ORDINARY, Condition.BAD)]
+def _at_target(assessment: Assessed) -> str:
+    cells = [assessment.cells[condition] for condition in (Condition.PEAK, Condition.ORDINARY, Condition.BAD)]
     cell = next((cell for cell in cells if cell.estimate is not None), None)
-    value = str(NOT_MEASURED) if cell is None else _value(one, cell)
-    return f"{one.of.quantity}: {value}"
+    value = str(NOT_MEASURED) if cell is None else _value(assessment, cell)
+    return f"{assessment.of.quantity}: {value}"
 
 
-def _value(one: Assessed, cell: Cell) -> str:
+def _value(assessment: Assessed, cell: Cell) -> str:
     assert cell.estimate is not None
-    if isinstance(one.of, Bound):
-        return f"{whole(cell.estimate.value)} {one.of.limit.unit}"
-    return estimate(cell.estimate, one.of.limit.unit)
+    if isinstance(assessment.of, Bound):
+        return f"{whole(cell.estimate.value)} {assessment.of.limit.unit}"
+    return estimate(cell.estimate, assessment.of.limit.unit)
 
 
-def _condition(role: Role, condition: Condition, ones: list[Assessed]) -> str:
-    decided = [one for one in ones if one.cells[condition].decided]
+def _condition(role: Role, condition: Condition, assessments: list[Assessed]) -> str:
+    decided = [assessment for assessment in assessments if assessment.cells[condition].decided]
     if not decided:
         return str(NOT_MEASURED)
-    deciding = max(decided, key=lambda one: one.cells[condition].judgement.load)
+    deciding = max(decided, key=lambda assessment: assessment.cells[condition].judgement.load)
     text = f"{deciding.cells[condition].judgement} ({deciding.of.quantity})"
-    unknown = [aspect.value for aspect in Aspect if _unknown(role, aspect, condition, ones)]
+    unknown = [aspect.value for aspect in Aspect if _unknown(role, aspect, condition, assessments)]
     return text + (f"; *not measured*: {', '.join(unknown)}" if unknown else "")
 
 
-def _unknown(role: Role, aspect: Aspect, condition: Condition, ones: list[Assessed]) -> bool:
-    """Whether something of the aspect is not known under the condition, though it is for some condition to be."""
-    if _absent(role, aspect, ones):
+def _unknown(role: Role, aspect: Aspect, condition: Condition, assessments: list[Assessed]) -> bool:
+    """Return whether a quantity of an applicable aspect is undecided or unmeasured under the condition."""
+    if _absent(role, aspect, assessments):
         return True
-    own = [one for one in ones if one.of.aspect is aspect and _asks(one, condition)]
-    others = [one for one in ones if one.of.aspect is aspect]
-    return any(not one.cells[condition].decided for one in own) or (bool(others) and not own)
+    own = [
+        assessment for assessment in assessments if assessment.of.aspect is aspect and _applies(assessment, condition)
+    ]
+    others = [assessment for assessment in assessments if assessment.of.aspect is aspect]
+    return any(not assessment.cells[condition].decided for assessment in own) or (bool(others) and not own)
 
 
-def _asks(one: Assessed, condition: Condition) -> bool:
-    return isinstance(one.of, Bound) or condition in one.of.loads
+def _applies(assessment: Assessed, condition: Condition) -> bool:
+    return isinstance(assessment.of, Bound) or condition in assessment.of.loads
 
 
 # --- quantities and slopes ---
 
 
-def _quantities(every: list[Assessed]) -> list[str]:
+def _quantities(all_assessments: list[Assessed]) -> list[str]:
     head = ["role", "quantity", "limit", "whose", *(condition.value for condition in Condition)]
-    return _table(head, (_quantity(one) for one in every))
+    return _table(head, (_quantity(assessment) for assessment in all_assessments))
 
 
-def _quantity(one: Assessed) -> list[str]:
-    limit = one.of.limit
-    cells = [_told(one, one.cells[condition]) for condition in Condition]
-    return [one.role.name, one.of.quantity, _limit(limit), limit.reason, *cells]
+def _quantity(assessment: Assessed) -> list[str]:
+    limit = assessment.of.limit
+    cells = [_value_and_verdict(assessment, assessment.cells[condition]) for condition in Condition]
+    return [assessment.role.name, assessment.of.quantity, _limit(limit), limit.reason, *cells]
 
 
 def _limit(limit: Limit) -> str:
     return f"{whole(limit.value)} {limit.unit}"
 
 
-def _told(one: Assessed, cell: Cell) -> str:
+def _value_and_verdict(assessment: Assessed, cell: Cell) -> str:
     if cell.estimate is None:
         return str(NOT_MEASURED)
-    return f"{_value(one, cell)}: {cell.judgement}{DISTURBED if one.disturbed else ''}"
+    return f"{_value(assessment, cell)}: {cell.judgement}{DISTURBED if assessment.disturbed else ''}"
 
 
-def _slopes(every: list[Assessed]) -> list[str]:
+def _slopes(all_assessments: list[Assessed]) -> list[str]:
     head = ["series", "varied", "sizes", "unit", "linear in", "at zero", "slope", "target", "run"]
     lines: dict[str, list[str]] = {}
-    for one in every:
-        for slope in one.slopes:
-            lines.setdefault(slope.name, _slope(slope, one.of))
+    for assessment in all_assessments:
+        for slope in assessment.slopes:
+            lines.setdefault(slope.name, _slope(slope, assessment.of))
     return _table(head, lines.values())
 
 
@@ -214,13 +216,13 @@
     name = f"`{slope.name}`"
     if slope.fit is None or slope.series is None or slope.result is None:
         return [name, *[NONE] * 6, slope.refused or str(NOT_MEASURED), NONE]
-    series, found = slope.series, slope.fit
+    series, fitted = slope.series, slope.fit
     sizes = ", ".join(whole(size) for size in series.sizes)
-    value = f"{short(found.slope.value)} ± {short(found.slope.error)}"
+    value = f"{short(fitted.slope.value)} ± {short(fitted.slope.error)}"
     loads = of.loads.values() if isinstance(of, Demand) else ()
     target = ", ".join(dict.fromkeys(whole(round(load.size)) for load in loads))
-    at_zero, run = short(found.intercept), _run_name(slope.result)
-    return [name, series.size, sizes, series.unit, found.model.value, at_zero, value, target, run]
+    at_zero, run = short(fitted.intercept), _run_name(slope.result)
+    return [name, series.size, sizes, series.unit, fitted.model.value, at_zero, value, target, run]
 
 
 def _run_name(result: Result) -> str:
@@ -245,49 +247,53 @@
     ]
 
 
-# --- what is not known, and what breaks ---
+# --- missing measurements and exceeded limits ---
 
 
 def _unmeasured(assessed: Mapping[str, list[Assessed]], roles: Sequence[Role]) -> list[str]:
     lines = []
     for role in roles:
-        ones = assessed[role.name]
-        lines += [[role.name, one.of.quantity, "all"] for one in ones if not one.measured]
-        lines += [[role.name, one.of.quantity, _missing_conditions(one)] for one in ones if _partly(one)]
-        lines += [[role.name, aspect.value, "all"] for aspect in Aspect if _absent(role, aspect, ones)]
+        assessments = assessed[role.name]
+        lines += [[role.name, assessment.of.quantity, "all"] for assessment in assessments if not assessment.measured]
+        lines += [
+            [role.name, assessment.of.quantity, _missing_conditions(assessment)]
+            for assessment in assessments
+            if _partly(assessment)
+        ]
+        lines += [[role.name, aspect.value, "all"] for aspect in Aspect if _absent(role, aspect, assessments)]
         lines += [[role.name, words, NONE] for words in role.open]
     return _table(("role", "what", "conditions"), lines)
 
 
-def _absent(role: Role, aspect: Aspect, ones: list[Assessed]) -> bool:
-    return aspect not in role.without and all(one.of.aspect is not aspect for one in ones)
+def _absent(role: Role, aspect: Aspect, assessments: list[Assessed]) -> bool:
+    return aspect not in role.without and all(assessment.of.aspect is not aspect for assessment in assessments)
 
 
-def _partly(one: Assessed) -> bool:
-    return one.measured and not all(cell.decided for cell in one.cells.values())
+def _partly(assessment: Assessed) -> bool:
+    return assessment.measured and not all(cell.decided for cell in assessment.cells.values())
 
 
-def _missing_conditions(one: Assessed) -> str:
-    return ", ".join(condition.value for condition, cell in one.cells.items() if not cell.decided)
+def _missing_conditions(assessment: Assessed) -> str:
+    return ", ".join(condition.value for condition, cell in assessment.cells.items() if not cell.decided)
 
 
-def _breaks(every: list[Assessed]) -> list[str]:
+def _breaks(all_assessments: list[Assessed]) -> list[str]:
     head = ["factor", "role", "quantity", "needed", "limit", "when", "mechanism that is missing"]
-    broken = [one for one in every if one.worst.judgement.verdict is Verdict.BREAKS]
-    broken.sort(key=lambda one: one.worst.judgement.factor, reverse=True)
-    return _table(head, (_break(one) for one in broken))
+    broken = [assessment for assessment in all_assessments if assessment.worst.judgement.verdict is Verdict.BREAKS]
+    broken.sort(key=lambda assessment: assessment.worst.judgement.factor, reverse=True)
+    return _table(head, (_break(assessment) for assessment in broken))
 
 
-def _break(one: Assessed) -> list[str]:
-    judgement: Judgement = one.worst.judgement
-    limit = one.of.limit
-    when = "always" if isinstance(one.of, Bound) else ", ".join(condition.value for condition in one.when)
+def _break(assessment: Assessed) -> list[str]:
+    judgement: Judgement = assessment.worst.judgement
+    limit = assessment.of.limit
+    when = "always" if isinstance(assessment.of, Bound) else ", ".join(condition.value for condition in assessment.when)
     return [
-        f"{judgement}{DISTURBED if one.disturbed else ''}",
-        one.role.name,
-        one.of.quantity,
-        _value(one, one.worst),
+        f"{judgement}{DISTURBED if assessment.disturbed else ''}",
+        assessment.role.name,
+        assessment.of.quantity,
+        _value(assessment, assessment.worst),
         f"{_limit(limit)} ({limit.reason})",
         when,
-        one.of.missing,
+        assessment.of.missing,
     ]
--- a/benchmarks/capacity/results.py
+++ b/benchmarks/capacity/results.py
@@ -1,4 +1,4 @@
-"""Kept results: what a measurement gave, with what is needed to run it again. One JSON file for each part."""
+"""Kept results: measured series with the data needed to repeat the run. Each part has one JSON file."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ResultError(ValueError):
-    """A kept file that is no result; the message names the file."""
+    """A kept file cannot be read as a result; the message names the file."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,35 +25,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Series:
-    """One quantity measured at several sizes, several times at a size where it was repeated."""
+    """One quantity measured at several sizes. Repeated measurements give several points at the same size."""
 
     name: str
-    size: str  # what was varied, with its unit
+    size: str  # the varied quantity, with its unit
     unit: str  # of the values
     points: tuple[Point, ...]
 
     @property
     def sizes(self) -> list[float]:
-        """The distinct sizes, ascending."""
+        """Return the distinct sizes in ascending order."""
         return sorted({point.size for point in self.points})
 
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """Where values come from."""
+    """The origin of measured values: command, seeds, commit and machine."""
 
     command: str
     seeds: tuple[int, ...]
     commit: str
     date: str
-    machine_shared: bool  # other work ran on the machine meanwhile
+    machine_shared: bool  # other work ran on the machine during the measurement
     python: str
     notes: tuple[str, ...] = ()  # known weaknesses of the measurement
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """All series of one part."""
+    """All series of one part, with the run that produced them."""
 
     part: str
     run: Run
@@ -61,7 +61,7 @@
 
 
 def save(result: Result, directory: Path = RESULTS) -> Path:
-    """Write the part's file; a file of an earlier run is replaced."""
+    """Write the file of the part, replacing the file of an earlier run, and return its path."""
     directory.mkdir(parents=True, exist_ok=True)
     path = directory / f"{result.part}.json"
     path.write_text(json.dumps(asdict(result), indent=1) + "\n")
@@ -69,12 +69,12 @@
 
 
 def load(directory: Path = RESULTS) -> dict[str, Result]:
-    """All kept results by part. Raises ResultError."""
+    """Return all kept results by part. Raises ResultError."""
     return {path.stem: _read(path) for path in sorted(directory.glob("*.json"))}
 
 
 def find(results: dict[str, Result], name: str) -> tuple[Result, Series] | None:
-    """The series called `PART.NAME`, with its result."""
+    """Return the series called `PART.NAME` with its result, or None if it is not kept."""
     part, _, series_name = name.partition(".")
     result = results.get(part)
     if result is None:
@@ -90,7 +90,7 @@
         run["seeds"], run["notes"] = tuple(run["seeds"]), tuple(run["notes"])
         return Result(raw["part"], Run(**run), tuple(_series(series) for series in raw["series"]))
     except (OSError, ValueError, KeyError, TypeError) as error:
-        raise ResultError(f"{path.name}: not a kept result: {error}") from None
+        raise ResultError(f"{path.name}: invalid result file: {error}") from None
 
 
 def _series(raw: dict[str, Any]) -> Series:
--- a/benchmarks/capacity/roles.py
+++ b/benchmarks/capacity/roles.py
@@ -1,6 +1,6 @@
-"""The roles of the fleet: which kept result says what each costs, what bounds it, and what carries it today.
+"""The roles of the fleet, each with the kept results of its cost, its limits and its current mechanism.
 
-Every number here is taken from `benchmarks.fleet_size` or from the code that bounds it."""
+Every number is taken from `benchmarks.fleet_size` or from the code that enforces the limit."""
 
 from __future__ import annotations
 
@@ -39,10 +39,10 @@
     PEAK: Load(CONNECTIONS / TARGET.nodes),
     BAD: Load(CONNECTIONS / TARGET.nodes_without_a_zone),
 }
-KEYS_OF_A_RATE = ASSUMPTIONS.keyed_share * ASSUMPTIONS.key_window_s  # keys held for one request a second
+KEYS_PER_RATE = ASSUMPTIONS.keyed_share * ASSUMPTIONS.key_window_s  # keys retained for a rate of one request a second
 KEY_LOADS = {
-    PEAK: Load(TARGET.requests_per_node_per_s * KEYS_OF_A_RATE),
-    BAD: Load(TARGET.requests_per_node_per_s_without_a_zone * KEYS_OF_A_RATE),
+    PEAK: Load(TARGET.requests_per_node_per_s * KEYS_PER_RATE),
+    BAD: Load(TARGET.requests_per_node_per_s_without_a_zone * KEYS_PER_RATE),
 }
 
 REQUEST = Role(
@@ -98,7 +98,7 @@
 
 
 def _member_costs(scenario: str, words: str, loads: Mapping[Condition, Load]) -> tuple[Demand, ...]:
-    """Bytes and CPU of a member under a scenario of `lab scale`; `scenario` stands before the names of its series."""
+    """Return the demands for bytes and CPU of a member in a scenario; `scenario` is the prefix of its series names."""
     costs = (
         (Aspect.MESSAGES, "bytes sent, mean", ("sent_datagram_bytes_per_s", "sent_stream_bytes_per_s"), CONTROL_BYTES),
         (Aspect.MESSAGES, f"bytes sent, 99 in 100 {WINDOWS}", ("sent_p99_bytes_per_s",), CONTROL_BYTES),
@@ -113,8 +113,8 @@
             limit,
             loads,
             SMALLER_MEMBERSHIP,
-            # Datagrams hardly grow with the members, whole states do with their number. For CPU the line, which is
-            # the greater of the two.
+            # Datagram bytes hardly grow with the number of members, bytes of complete states grow with it. CPU is
+            # fitted linearly, which gives the greater of the two estimates.
             model=Model.BETTER if aspect is Aspect.MESSAGES else Model.LINEAR,
             addends=tuple(f"member.{scenario}{other}" for other in others),
         )
@@ -180,7 +180,7 @@
     ),
 )
 
-RATE_OF_CHANGES = ASSUMPTIONS.peak_change_factor
+PEAK_CHANGE_FACTOR = ASSUMPTIONS.peak_change_factor
 OBSERVER_LOADS = {ORDINARY: Load(TARGET.nodes), PEAK: Load(TARGET.nodes)}
 CHANGE_LOADS = {PEAK: Load(ASSUMPTIONS.change_bytes)}
 LOG_ENTRIES = TARGET.tenants + TARGET.routes
@@ -286,15 +286,16 @@
     open=("memory of an observer by the size of the log's state", "observers in several regions"),
 )
 
-RESTARTS_EACH = TARGET.restarts_per_s / TARGET.nodes  # a second, that one node feeds if all share the work
-ZONE_STARTS_EACH = TARGET.nodes_per_zone / TARGET.nodes_without_a_zone / TARGET.config_in_force_s
+# Starting nodes that one node serves, if all nodes share the work.
+RESTARTS_PER_NODE_PER_S = TARGET.restarts_per_s / TARGET.nodes
+ZONE_STARTS_PER_NODE_PER_S = TARGET.nodes_per_zone / TARGET.nodes_without_a_zone / TARGET.config_in_force_s
 
 
 def _fetches(size: float) -> dict[Condition, Load]:
     return {
-        ORDINARY: Load(size, RESTARTS_EACH),
-        PEAK: Load(size, RESTARTS_EACH * WAVE),
-        BAD: Load(size, ZONE_STARTS_EACH),
+        ORDINARY: Load(size, RESTARTS_PER_NODE_PER_S),
+        PEAK: Load(size, RESTARTS_PER_NODE_PER_S * WAVE),
+        BAD: Load(size, ZONE_STARTS_PER_NODE_PER_S),
     }
 
 
@@ -390,7 +391,7 @@
             CONTROL_CPU,
             {
                 ORDINARY: Load(TARGET.tenants, TARGET.config_changes_per_s),
-                PEAK: Load(TARGET.tenants, TARGET.config_changes_per_s * RATE_OF_CHANGES),
+                PEAK: Load(TARGET.tenants, TARGET.config_changes_per_s * PEAK_CHANGE_FACTOR),
             },
             "changes taken in one by one (`policy/`)",
         ),
@@ -408,8 +409,8 @@
     ),
 )
 
-SCRAPES = 1 / ASSUMPTIONS.scrape_every_s
-ASKS = 1 / ASSUMPTIONS.members_call_every_s
+SCRAPES_PER_S = 1 / ASSUMPTIONS.scrape_every_s
+MEMBERS_CALLS_PER_S = 1 / ASSUMPTIONS.members_call_every_s
 
 OPERATORS = Role(
     "operators' calls and scrapes",
@@ -420,7 +421,7 @@
             "`show-stat`, one row for each service",
             "operators.show_stat_cpu_ms",
             CONTROL_CPU,
-            {condition: Load(TARGET.services, SCRAPES) for condition in Condition},
+            {condition: Load(TARGET.services, SCRAPES_PER_S) for condition in Condition},
             "an answer in pieces, or only what has changed",
         ),
         Demand(
@@ -428,7 +429,7 @@
             "`members`",
             "operators.members_cpu_ms",
             CONTROL_CPU,
-            {condition: Load(TARGET.nodes, ASKS) for condition in Condition},
+            {condition: Load(TARGET.nodes, MEMBERS_CALLS_PER_S) for condition in Condition},
             "an answer for one zone",
         ),
         Demand(
@@ -436,7 +437,7 @@
             "`show-stat`, bytes of answers",
             "operators.show_stat_bytes",
             CONTROL_BYTES,
-            {condition: Load(TARGET.services, SCRAPES) for condition in Condition},
+            {condition: Load(TARGET.services, SCRAPES_PER_S) for condition in Condition},
             "counts of those classes alone that a node has served, or sums made by the control machines",
         ),
         Demand(
@@ -444,7 +445,7 @@
             "`members`, bytes of answers",
             "operators.members_bytes",
             CONTROL_BYTES,
-            {condition: Load(TARGET.nodes, ASKS) for condition in Condition},
+            {condition: Load(TARGET.nodes, MEMBERS_CALLS_PER_S) for condition in Condition},
             "an answer for one zone",
         ),
         Demand(
--- a/benchmarks/capacity/slopes.py
+++ b/benchmarks/capacity/slopes.py
@@ -10,15 +10,15 @@
 from .results import Series
 
 LEAST_SIZES = 4
-LEAST_FACTOR = 8.0  # between the largest and the smallest size
+LEAST_FACTOR = 8.0  # ratio of the largest to the smallest size
 
 
 class TooFewSizesError(ValueError):
-    """A series from which no slope may be taken; the message says why."""
+    """A series has too few sizes, or sizes too close together, for a fit; the message gives the reason."""
 
 
 class Model(Enum):
-    """What a value is taken to be linear in."""
+    """The function of the size in which a value is modelled as linear."""
 
     LINEAR = "size"
     LOGARITHMIC = "log2 size"
@@ -50,21 +50,21 @@
     _spread: float  # sum of squares of the scaled sizes about their mean
 
     def at(self, size: float) -> Estimate:
-        """The value that the line gives at a size, and the standard error of the line there."""
+        """Return the value of the fitted line at a size, with the standard error of the line at this size."""
         x = _SCALES[self.model](size)
         error = self.residual * math.sqrt(1 / self._count + (x - self._mean) ** 2 / self._spread)
         return Estimate(self.intercept + self.slope.value * x, error)
 
 
 def fit(series: Series, model: Model = Model.LINEAR) -> Fit:
-    """Fit a series. Raises TooFewSizesError for under four sizes, or under a factor of 8 between them."""
+    """Fit a series. Raises TooFewSizesError below four sizes, or below a factor of 8 between them."""
     sizes = series.sizes
     if len(sizes) < LEAST_SIZES:
         raise TooFewSizesError(f"{series.name}: {len(sizes)} sizes, {LEAST_SIZES} are needed")
     if sizes[0] <= 0 or sizes[-1] / sizes[0] < LEAST_FACTOR:
         raise TooFewSizesError(f"{series.name}: sizes over less than a factor of {LEAST_FACTOR:.0f}")
     if model is Model.BETTER:
-        return min((fit(series, one) for one in _SCALES), key=lambda found: found.residual)
+        return min((fit(series, candidate) for candidate in _SCALES), key=lambda fitted: fitted.residual)
     scale = _SCALES[model]
     xs = [scale(point.size) for point in series.points]
     ys = [point.value for point in series.points]
--- a/benchmarks/capacity/verdicts.py
+++ b/benchmarks/capacity/verdicts.py
@@ -1,4 +1,4 @@
-"""Verdicts: what a limit says of an estimate."""
+"""Verdicts: the comparison of an estimate with its limit."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Verdict(Enum):
-    """What a limit says of a value."""
+    """The outcome of comparing a value with its limit."""
 
     HOLDS = "holds"
     BREAKS = "breaks"
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Judgement:
-    """A verdict; `factor` is how far the value is from the limit, at least 1. Without a verdict it is 0."""
+    """A verdict and the ratio, at least 1, between value and limit. `factor` is 0 if nothing was decided."""
 
     verdict: Verdict
     factor: float = 0.0
@@ -28,7 +28,7 @@
 
     @property
     def load(self) -> float:
-        """The value as a multiple of the limit; 0 where that is not known."""
+        """Return the value as a multiple of the limit, or 0 if this ratio is not known."""
         if self.verdict is Verdict.NOT_MEASURED:
             return 0.0
         return self.factor if self.verdict is Verdict.BREAKS else 1 / self.factor
@@ -46,13 +46,13 @@
 
 
 def judge(estimate: Estimate, limit: float) -> Judgement:
-    """Compare an estimate with the most that it may be."""
+    """Compare an estimate with its limit."""
     if estimate.error and abs(estimate.value - limit) <= estimate.error:
         return UNDECIDED
     if estimate.value > limit:
         return Judgement(Verdict.BREAKS, estimate.value / limit)
     if estimate.value <= 0:
-        return NOT_MEASURED  # a line that falls below zero says nothing there
+        return NOT_MEASURED  # a fitted line below zero gives no usable value
     return Judgement(Verdict.HOLDS, limit / estimate.value)
 
 
--- a/benchmarks/consensus.py
+++ b/benchmarks/consensus.py
@@ -1,8 +1,9 @@
-"""Measures the log in common: `python -O -m benchmarks.consensus [PART …] [--charts DIR]`.
+"""Measures the replicated log: `python -O -m benchmarks.consensus [PART …] [--charts DIR]`.
 
-In the simulator, over the cores: `seeds` (claims over drawn schedules), `planted` (seeds that a planted error needs),
-`flapping`, `observers`, `behind`. On real processes of this machine: `rate` (beside a bare loop of writes and syncs),
-`failover`, `transfer`, `rest`, `campaign` (fleets side by side under drawn faults; long). Each is bounded."""
+In the simulator, in parallel on all cores: `seeds` (invariants under random schedules), `planted` (seeds needed to
+detect a planted error), `flapping`, `observers`, `behind`. On real processes of this machine: `rate` (compared with a
+plain loop of writes and syncs), `failover`, `transfer`, `rest`, `campaign` (concurrent fleets under random faults;
+long). Each part is bounded in time."""
 
 from __future__ import annotations
 
@@ -31,17 +32,17 @@
 
 SEEDS = 2000
 KILLS = 20
-FLEETS, LASTS = 4, 480.0  # of the campaign: side by side, seconds each
+CAMPAIGN_FLEETS, CAMPAIGN_SECONDS = 4, 480.0  # concurrent fleets, duration of each
 
 
-def over_cores(work: Callable[[Any], Row], jobs: Iterable[Any]) -> list[Row]:
-    """All jobs, one process for each core."""
+def run_in_processes(work: Callable[[Any], Row], jobs: Iterable[Any]) -> list[Row]:
+    """Run all jobs in a pool with one process for each core and return their rows."""
     with ProcessPoolExecutor() as pool:
         return list(pool.map(work, jobs, chunksize=4))
 
 
-def figures(values: list[float]) -> Row:
-    """In milliseconds."""
+def latency_summary(values: list[float]) -> Row:
+    """Return count, median, 99th percentile and maximum of latencies given in seconds."""
     return {
         "runs": len(values),
         "median_ms": round(1000 * statistics.median(values), 1),
@@ -69,8 +70,8 @@
 
 
 def seeds() -> list[Row]:
-    """Drawn schedules of 4, 5 and 7 members, changes of voters in half of them."""
-    rows = over_cores(_seed, range(SEEDS))
+    """Check random schedules of 4, 5 and 7 members; half of them change the voters."""
+    rows = run_in_processes(_seed, range(SEEDS))
     sums = {name: sum(row[name] for row in rows) for name in ("agreed", "reads", "faults", "unknown")}
     return [
         {
@@ -92,17 +93,17 @@
 
 
 def planted() -> list[Row]:
-    """How many seeds each planted error needs."""
+    """Count the seeds needed to detect each planted error."""
     from tests.consensus_mutants import MUTANTS
 
-    return over_cores(_planted, MUTANTS)
+    return run_in_processes(_planted, MUTANTS)
 
 
 def _flapping(seed: int) -> Row:
     rng = random.Random(seed)
     names = [f"n{number}" for number in range(1, 6)]
-    one, other = rng.sample(names, 2)
-    faults = tuple(Fault(5.0 + 2 * number, ("cut", "mend")[number % 2], (one, other)) for number in range(300))
+    first, second = rng.sample(names, 2)
+    faults = tuple(Fault(5.0 + 2 * number, ("cut", "mend")[number % 2], (first, second)) for number in range(300))
     history = Simulator(Schedule(5, 620.0, faults), seed, voters=5, every=0.5).run()
     terms = {
         observation.term
@@ -113,8 +114,8 @@
 
 
 def flapping() -> list[Row]:
-    """A one-sided cut between two of five voters that comes and goes every 2 s for 10 minutes."""
-    rows = over_cores(_flapping, range(20))
+    """Cut and restore one direction between two of five voters every 2 s for 10 minutes, and count elections."""
+    rows = run_in_processes(_flapping, range(20))
     return [
         {
             "runs": len(rows),
@@ -126,27 +127,27 @@
 
 def _observers(count: int) -> Row:
     simulator = Simulator(Schedule(count + 3, 30.0), 1, every=0.2)
-    said: Counter[str] = Counter()
-    say = simulator._send
+    sent_messages: Counter[str] = Counter()
+    send = simulator._send
 
-    def counted(host: Any, to: str, message: Any) -> None:
+    def count_and_send(host: Any, to: str, message: Any) -> None:
         if simulator.now > 10.0:
-            said[host.name] += 1
-        say(host, to, message)
+            sent_messages[host.name] += 1
+        send(host, to, message)
 
-    simulator._send = counted  # type: ignore[method-assign]
+    simulator._send = count_and_send  # type: ignore[method-assign]
     history = simulator.run()
     leader = next(observation.member for observation in reversed(history.observations) if observation.role == "leader")
     first: dict[int, dict[str, float]] = {}
     for observation in history.observations:
         if observation.at > 10.0:
             first.setdefault(observation.applied_index, {}).setdefault(observation.member, observation.at)
-    # Who takes in several entries at once shows the last of them only.
+    # A member that applies several entries at once shows only the last of them.
     spread = [max(times.values()) - min(times.values()) for times in first.values() if len(times) > 0.9 * (count + 3)]
     return {
         "observers": count,
-        "leader_words_per_s": round(said[leader] / 20, 1),
-        "median_words_per_s": round(statistics.median(said.values()) / 20, 1),
+        "leader_words_per_s": round(sent_messages[leader] / 20, 1),
+        "median_words_per_s": round(statistics.median(sent_messages.values()) / 20, 1),
         "spread_p50_ms": round(1000 * quantile(spread, 0.5), 1),
         "spread_p99_ms": round(1000 * quantile(spread, 0.99), 1),
         "broken": sorted(violations(history)),
@@ -154,12 +155,12 @@
 
 
 def observers() -> list[Row]:
-    """What many observers cost the leader, and how soon all have applied an entry."""
-    return over_cores(_observers, (0, 10, 50, 200))
+    """Measure the messages that the leader sends and the spread of applying an entry, by number of observers."""
+    return run_in_processes(_observers, (0, 10, 50, 200))
 
 
 def behind(entries: int = 100_000) -> list[Row]:
-    """An observer that starts after so many entries, while five a second go on."""
+    """Measure how fast an observer catches up that restarts after `entries` entries."""
     settings = replace(
         SETTINGS,
         max_chunk_bytes=64 * 1024,
@@ -167,18 +168,18 @@
         max_log_bytes=4 * 2**20,
         retained_bytes=512 * 1024,
     )
-    late = Schedule(4, 60.0, (Fault(0.01, "crash", ("n4",)), Fault(45.0, "restart", ("n4",))))
-    simulator = Simulator(late, 1, every=1e9, settings=settings)
+    late_restart = Schedule(4, 60.0, (Fault(0.01, "crash", ("n4",)), Fault(45.0, "restart", ("n4",))))
+    simulator = Simulator(late_restart, 1, every=1e9, settings=settings)
     sent = Counter[str]()
-    say, state = simulator._send, {"made": 0, "begun": 0.0, "done": 0.0}
+    send, state = simulator._send, {"made": 0, "begun": 0.0, "done": 0.0}
 
-    def counted(host: Any, to: str, message: Any) -> None:
+    def count_and_send(host: Any, to: str, message: Any) -> None:
         if to.startswith("n4"):
             sent[host.name] += 1
             sent["bytes"] += len(repr(getattr(message, "data", b""))) + sum(
                 len(entry.data) for entry in getattr(message, "entries", ())
             )
-        say(host, to, message)
+        send(host, to, message)
 
     def propose() -> None:
         host = next(
@@ -203,7 +204,7 @@
             simulator._pump(host)
         simulator._at(simulator.now + 0.02, propose)
 
-    def look() -> None:
+    def check_progress() -> None:
         host = simulator.hosts["n4"]
         others = [
             other.participant.state.applied_index for other in simulator.hosts.values() if other.participant is not None
@@ -215,12 +216,12 @@
             and host.participant.state.applied_index >= max(others) - 5
         ):
             state["done"] = simulator.now
-        simulator._at(simulator.now + 0.005, look)
+        simulator._at(simulator.now + 0.005, check_progress)
 
-    simulator._send = counted  # type: ignore[method-assign]
+    simulator._send = count_and_send  # type: ignore[method-assign]
     simulator._at(3.0, propose)
-    simulator._at(45.0, look)
-    begun = time.process_time()
+    simulator._at(45.0, check_progress)
+    started = time.process_time()
     simulator.run()
     return [
         {
@@ -228,7 +229,7 @@
             "caught_up_ms": round(1000 * (state["done"] - 45.0), 1),
             "words_to_it": sum(count for name, count in sent.items() if name != "bytes"),
             "bytes": sent["bytes"],
-            "cpu_s": round(time.process_time() - begun, 1),
+            "cpu_s": round(time.process_time() - started, 1),
         }
     ]
 
@@ -236,8 +237,8 @@
 # --- real processes ---
 
 
-def bare(directory: Path, size: int, seconds: float) -> float:
-    """Writes and syncs a second of one loop."""
+def plain_syncs(directory: Path, size: int, seconds: float) -> float:
+    """Return the number of write-and-sync operations a second in a plain loop."""
     descriptor = os.open(directory / "bare", os.O_RDWR | os.O_CREAT)
     data, count, end = os.urandom(size), 0, time.monotonic() + seconds
     while time.monotonic() < end:
@@ -248,31 +249,31 @@
     return count / seconds
 
 
-async def _rate(voters: int, askers: int, seconds: float) -> Row:
+async def _rate(voters: int, clients: int, seconds: float) -> Row:
     async with AsyncExitStack() as stack:
         fleet = Assembly(Schedule(voters, 1.0), 1, voters=voters)
         await fleet.open(stack)
         leader = await fleet.agrees()
-        times, until = list[float](), time.monotonic() + seconds
+        times, deadline = list[float](), time.monotonic() + seconds
 
-        async def ask(number: int) -> None:
-            while (begun := time.monotonic()) < until:
+        async def propose(number: int) -> None:
+            while (started := time.monotonic()) < deadline:
                 lines = await fleet.processes[leader].ask(f"agree-set k{number} v")
                 if lines and lines[0].startswith("SUCCESS agreed"):
-                    times.append(time.monotonic() - begun)
+                    times.append(time.monotonic() - started)
 
-        await asyncio.gather(*(ask(number) for number in range(askers)))
-        return {"voters": voters, "askers": askers, "per_s": round(len(times) / seconds), **figures(times)}
+        await asyncio.gather(*(propose(number) for number in range(clients)))
+        return {"voters": voters, "askers": clients, "per_s": round(len(times) / seconds), **latency_summary(times)}
 
 
 def rate() -> list[Row]:
-    """Proposals a second at the leader, each over its own connection, beside a bare loop."""
+    """Measure proposals a second at the leader, each on its own connection, and syncs a second of a plain loop."""
     rows = []
     with tempfile.TemporaryDirectory() as directory:
         for voters in (3, 5, 7):
-            loop = bare(Path(directory), 200, 2.0)
-            for askers in (1, 12):
-                rows.append({**asyncio.run(_rate(voters, askers, 5.0)), "bare_syncs_per_s": round(loop)})
+            syncs_per_s = plain_syncs(Path(directory), 200, 2.0)
+            for clients in (1, 12):
+                rows.append({**asyncio.run(_rate(voters, clients, 5.0)), "bare_syncs_per_s": round(syncs_per_s)})
     return rows
 
 
@@ -285,45 +286,45 @@
             leader = await fleet.agrees()
             others = [name for name in fleet.processes if name != leader]
             fleet.processes[leader].signal(signal.SIGKILL)
-            begun = time.monotonic()
-            while not await _agreed(fleet, random.Random(number).choice(others), number):
+            started = time.monotonic()
+            while not await _set_agreed(fleet, random.Random(number).choice(others), number):
                 await asyncio.sleep(0.01)
-            times.append(time.monotonic() - begun)
+            times.append(time.monotonic() - started)
             await fleet.restart(stack, leader)
     return times
 
 
-async def _agreed(fleet: Assembly, name: str, number: int) -> bool:
+async def _set_agreed(fleet: Assembly, name: str, number: int) -> bool:
     lines = await fleet.processes[name].ask(f"agree-set k v{number}")
     return bool(lines) and lines[0].startswith("SUCCESS agreed")
 
 
 def failover() -> list[Row]:
-    """The leader is killed; until the next proposal is agreed. The election time-out is 1 s."""
-    return [{"voters": 3, **figures(asyncio.run(_failover(KILLS)))}]
+    """Measure the time from a kill of the leader to the next agreed proposal. The election time-out is 1 s."""
+    return [{"voters": 3, **latency_summary(asyncio.run(_failover(KILLS)))}]
 
 
 async def _transfer(times: int) -> list[float]:
-    gaps = []
+    gaps_s = []
     async with AsyncExitStack() as stack:
         fleet = Assembly(Schedule(3, 1.0), 1)
         await fleet.open(stack)
         for number in range(times):
             leader = await fleet.agrees()
             other = random.Random(number).choice([name for name in fleet.processes if name != leader])
-            asking = [asyncio.create_task(_agreed(fleet, leader, part)) for part in range(8)]
-            begun = time.monotonic()
+            load = [asyncio.create_task(_set_agreed(fleet, leader, part)) for part in range(8)]
+            started = time.monotonic()
             await fleet.processes[leader].ask(f"agree-transfer {other}")
-            while not await _agreed(fleet, other, number):
+            while not await _set_agreed(fleet, other, number):
                 await asyncio.sleep(0.002)
-            gaps.append(time.monotonic() - begun)
-            await asyncio.gather(*asking)
-    return gaps
+            gaps_s.append(time.monotonic() - started)
+            await asyncio.gather(*load)
+    return gaps_s
 
 
 def transfer() -> list[Row]:
-    """A leader under load hands over; until the next proposal is agreed."""
-    return [{"voters": 3, **figures(asyncio.run(_transfer(20)))}]
+    """Measure the time from a leadership transfer under load to the next agreed proposal."""
+    return [{"voters": 3, **latency_summary(asyncio.run(_transfer(20)))}]
 
 
 async def _rest(seconds: float) -> list[Row]:
@@ -332,7 +333,7 @@
         await fleet.open(stack)
         leader = await fleet.agrees()
 
-        def taken(name: str) -> tuple[float, int]:
+        def cpu_and_memory(name: str) -> tuple[float, int]:
             process = fleet.processes[name].world.process
             assert process is not None
             proc = Path(f"/proc/{process.pid}")
@@ -342,11 +343,11 @@
             )
             return (int(fields[11]) + int(fields[12])) / 100, memory
 
-        before = {name: taken(name) for name in fleet.processes}
+        before = {name: cpu_and_memory(name) for name in fleet.processes}
         await asyncio.sleep(seconds)
         rows = []
         for name in fleet.processes:
-            cpu, memory = taken(name)
+            cpu, memory = cpu_and_memory(name)
             part = "leader" if name == leader else "follower" if name in fleet.voters else "observer"
             rows.append(
                 {"part": part, "cpu_ms_per_s": round(1000 * (cpu - before[name][0]) / seconds, 1), "rss_kib": memory}
@@ -355,30 +356,30 @@
 
 
 def rest() -> list[Row]:
-    """CPU and memory of processes at rest, the platform's part and membership included."""
+    """Measure CPU and memory of idle processes, including the platform connections and membership."""
     return asyncio.run(_rest(20.0))
 
 
 def _campaign(seed: int) -> Row:
-    schedule = draw(seed, 5, LASTS)
+    schedule = draw(seed, 5, CAMPAIGN_SECONDS)
     history = asyncio.run(play(schedule, seed, every=0.08))
-    found = violations(history)
+    broken = violations(history)
     return {
         "seed": seed,
-        "minutes": round(LASTS / 60, 1),
+        "minutes": round(CAMPAIGN_SECONDS / 60, 1),
         "faults": len(schedule.faults),
         "asked": len(history.requests),
         "agreed": len(history.committed_sets()),
         "reads": len(history.answered_reads()),
         "unknown": sum(request.outcome == "unknown" for request in history.requests),
-        "broken": {name: lines[:3] for name, lines in found.items()},
+        "broken": {name: lines[:3] for name, lines in broken.items()},
     }
 
 
 def campaign() -> list[Row]:
-    """Real processes under drawn faults, several fleets side by side."""
-    with ProcessPoolExecutor(FLEETS) as pool:
-        return list(pool.map(_campaign, range(1, FLEETS + 1)))
+    """Run several concurrent fleets of real processes under random faults."""
+    with ProcessPoolExecutor(CAMPAIGN_FLEETS) as pool:
+        return list(pool.map(_campaign, range(1, CAMPAIGN_FLEETS + 1)))
 
 
 PARTS: dict[str, Part] = {
@@ -396,7 +397,7 @@
 
 
 def draw_charts(directory: Path, part: str, rows: list[Row]) -> None:
-    """The chart of a part, where it has one."""
+    """Write the chart of a part, if the part has a chart."""
     directory.mkdir(parents=True, exist_ok=True)
     if part == "observers":
         charts.lines(
--- a/benchmarks/equality.py
+++ b/benchmarks/equality.py
@@ -1,10 +1,10 @@
-"""Figures that a change of names or of shape must not change.
+"""Figures that a renaming or restructuring must not change.
 
-The decision module, membership and consensus are each played from seeds in virtual time:
+The decision module, membership and consensus are each simulated from seeds in virtual time:
 
-`python -m benchmarks.equality [--write]` prints the figures as JSON and exits with 1 where they differ from the kept
-ones; `--write` keeps them. Names of types, fields and events stand in no figure, only what goes over a wire, numbers
-and times."""
+`python -m benchmarks.equality [--write]` prints the figures as JSON and exits with 1 if they differ from the kept
+figures; `--write` replaces the kept figures. Figures depend on encoded bytes, numbers and times, not on the names of
+types, fields or events."""
 
 from __future__ import annotations
 
@@ -32,16 +32,16 @@
 MEMBERSHIP_SEEDS = (1, 2)
 CONSENSUS_SEEDS = (1,)
 SCALE_LOAD = Load(members=40, restarts_per_second=0.787, seconds=15.0, seed=3)
-SCALE_FIGURES_OF_THE_MACHINE = ("cpu_ms_per_s", "memory_mb", "took_s", "commit")
+MACHINE_DEPENDENT_FIGURES = ("cpu_ms_per_s", "memory_mb", "took_s", "commit")
 
 
 def digest(lines: Iterable[str]) -> str:
-    """SHA-256 of lines of text, in hexadecimal."""
+    """Return the SHA-256 of lines of text, in hexadecimal."""
     return hashlib.sha256("\n".join(lines).encode()).hexdigest()
 
 
 def decision_figures() -> dict[str, Any]:
-    """The decision module's actions, as the simulator's wire has them, under every kind of settings."""
+    """Return counts and digests of the decision module's actions, encoded, for each variant of the settings."""
     figures = {}
     for name, settings in SETTINGS_VARIANTS.items():
         lines = [format_action(action, "i") for seed in DECISION_SEEDS for action in play(settings, seed).log]
@@ -50,7 +50,7 @@
 
 
 def membership_figures(seed: int) -> dict[str, Any]:
-    """One drawn schedule of faults among six members, every packet through its bytes."""
+    """Return the figures of a random fault schedule among six members, with every packet encoded."""
     simulator = MembershipSimulator(draw(seed, 6, 90.0), seed, wire=True, persistent=True)
     history = simulator.run()
     times = [f"{seen.at!r} {seen.member} {seen.subject} {seen.by} {seen.incarnation}" for seen in history.seen]
@@ -66,14 +66,14 @@
 
 
 def scale_figures() -> dict[str, Any]:
-    """A small scale run: traffic of every member, and how soon crashes were known."""
+    """Return the figures of a small scale run: traffic of every member, and detection times of crashes."""
     report, _ = simulate_scale(SCALE_LOAD)
     figures = report.as_json()
-    return {name: value for name, value in figures.items() if name not in SCALE_FIGURES_OF_THE_MACHINE}
+    return {name: value for name, value in figures.items() if name not in MACHINE_DEPENDENT_FIGURES}
 
 
 def consensus_figures(seed: int) -> dict[str, Any]:
-    """One drawn schedule of faults among five members with changes of voters, every message through its bytes."""
+    """Return the figures of a random fault schedule among five members with voter changes, every message encoded."""
     schedule = replace(draw(seed, 5, 60.0), seconds=90.0)
     simulator = ConsensusSimulator(
         schedule, seed, voters=3, changes=4.0, wire=True, settings=consensus_simulator.SETTINGS
@@ -100,7 +100,7 @@
 
 
 def all_figures() -> dict[str, Any]:
-    """Every figure of this module, by part."""
+    """Return all figures, by part."""
     return {
         "decision": decision_figures(),
         "membership": {str(seed): membership_figures(seed) for seed in MEMBERSHIP_SEEDS},
@@ -117,7 +117,7 @@
     print(json.dumps(figures, indent=1))
     kept = json.loads(KEPT.read_text())
     different = [part for part in kept if figures.get(part) != kept[part]]
-    print("equal to the digit" if not different else f"DIFFERENT: {', '.join(different)}", file=sys.stderr)
+    print("equal" if not different else f"DIFFERENT: {', '.join(different)}", file=sys.stderr)
     return int(bool(different))
 
 
--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -1,7 +1,7 @@
 """The fleet that the design must carry within two years, as the operators state it (issue 27).
 
-This is the only place where these numbers are written; `docs/CAPACITY.md` is generated from it. `ASSUMPTIONS` holds
-what the statement leaves open and the capacity page needs, each with its reason."""
+This module is the only source of these numbers; `docs/CAPACITY.md` is generated from it. `ASSUMPTIONS` holds the
+values that the capacity page needs and the statement does not give, each with its reason."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 SECONDS_PER_DAY = 86_400
 MILLISECONDS_PER_SECOND = 1000.0
-MEGABYTE = 10**6  # bytes: the stricter reading
+MEGABYTE = 10**6  # bytes; decimal, the stricter interpretation
 KILOBYTE = 10**3  # bytes
 
 
@@ -18,8 +18,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stated:
-    """One field with the words that the page shows for it."""
+class StatedValue:
+    """One field with its label on the page."""
 
     name: str
     label: str
@@ -27,19 +27,19 @@
 
 
 def stated(value: _Number, label: str) -> _Number:
-    """A field with the words that the page shows for it, unit included."""
-    made: _Number = field(default=value, metadata={"label": label})
-    return made
+    """Declare a dataclass field with its label on the page, which includes the unit."""
+    declared: _Number = field(default=value, metadata={"label": label})
+    return declared
 
 
-def rows(of: FleetSize | Assumptions) -> list[Stated]:
-    """All fields, in order."""
-    return [Stated(one.name, one.metadata["label"], getattr(of, one.name)) for one in fields(of)]
+def rows(of: FleetSize | Assumptions) -> list[StatedValue]:
+    """Return all fields with labels and values, in order of declaration."""
+    return [StatedValue(item.name, item.metadata["label"], getattr(of, item.name)) for item in fields(of)]
 
 
 @dataclass(frozen=True, slots=True)
 class FleetSize:
-    """The stated size of the fleet and the limits it must keep."""
+    """The stated size of the fleet and the limits required of the design."""
 
     nodes: int = stated(2_300, "nodes")
     callers: int = stated(200_000, "callers")
@@ -62,58 +62,58 @@
 
     @property
     def requests_per_node_per_s(self) -> float:
-        """The peak, spread evenly."""
+        """Return the peak request rate of a node, with requests spread evenly."""
         return self.requests_per_s / self.nodes
 
     @property
     def nodes_per_zone(self) -> float:
-        """Nodes of one zone, spread evenly."""
+        """Return the nodes in one zone, with nodes spread evenly."""
         return self.nodes / self.zones
 
     @property
     def nodes_without_a_zone(self) -> float:
-        """Nodes left when one zone is lost."""
+        """Return the number of remaining nodes after the loss of one zone."""
         return self.nodes - self.nodes_per_zone
 
     @property
     def requests_per_node_per_s_without_a_zone(self) -> float:
-        """The peak on the nodes that are left when one zone is lost."""
+        """Return the peak request rate of a remaining node after the loss of one zone."""
         return self.requests_per_s / self.nodes_without_a_zone
 
     @property
     def restarts_per_s(self) -> float:
-        """Restarts and replacements in the whole fleet, spread over the day."""
+        """Return restarts and replacements a second in the whole fleet, averaged over the day."""
         return self.restarts_per_day / SECONDS_PER_DAY
 
     @property
     def config_changes_per_s(self) -> float:
-        """Changes of configuration, spread over the day."""
+        """Return configuration changes a second, averaged over the day."""
         return self.config_changes_per_day / SECONDS_PER_DAY
 
     @property
     def control_cpu_ms_per_s(self) -> float:
-        """What a node may spend on control, in milliseconds of a core a second."""
+        """Return the CPU limit of a node for control, in milliseconds of a core a second."""
         return self.control_cpu_percent / 100 * MILLISECONDS_PER_SECOND
 
     @property
     def control_memory_bytes(self) -> float:
-        """What a node may hold for control."""
+        """Return the memory limit of a node for control, in bytes."""
         return self.control_memory_mb * MEGABYTE
 
     @property
     def control_bytes_per_s(self) -> float:
-        """What a node may send for control."""
+        """Return the limit on bytes a second that a node may send for control."""
         return self.control_kb_per_s * KILOBYTE
 
     @property
     def callers_per_node(self) -> float:
-        """Callers, spread evenly."""
+        """Return the callers of one node, with callers spread evenly."""
         return self.callers / self.nodes
 
 
 @dataclass(frozen=True, slots=True)
 class Assumptions:
-    """What the operators' statement leaves open. A changed assumption changes the page, so they stand apart."""
+    """Values that the operators' statement does not give, kept separate because each change alters the page."""
 
     request_core_ms_per_s: float = stated(1000.0, "ms of a core a second for requests: one thread runs them")
     connections_per_caller: int = stated(1, "connections of a caller, to one node each; one that spreads holds more")
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -1,6 +1,6 @@
-"""Memory of a node at rest: VmRSS in KiB of the program between stand-ins, a second after its start.
+"""Memory of an idle node: VmRSS in KiB between simulated services, one second after the start.
 
-`python -m benchmarks.memory [OPTION …]`: the options are the node's. The figure of a release build (`-O`)."""
+`python -m benchmarks.memory [OPTION …]`: the options are passed to the node, which runs with `-O`."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from chutepin.testbench.standins.platform import EXAMPLE, Standins
 
 
-async def at_rest(*options: str) -> int:
-    """Start a node and read what it holds."""
+async def idle_memory_kib(*options: str) -> int:
+    """Start a node and return its resident memory in KiB."""
     async with AsyncExitStack() as stack:
         world = Standins(EXAMPLE["settings"])
         await world.start(stack, *options, environ={"PYTHONOPTIMIZE": "1"})
@@ -27,6 +27,6 @@
 if __name__ == "__main__":
     print(
         f"python {'.'.join(map(str, sys.version_info[:3]))}, {os.cpu_count()} cores:",
-        *(asyncio.run(at_rest(*sys.argv[1:])) for _ in range(3)),
+        *(asyncio.run(idle_memory_kib(*sys.argv[1:])) for _ in range(3)),
         "KiB",
     )
--- a/benchmarks/operation.py
+++ b/benchmarks/operation.py
@@ -1,8 +1,9 @@
-"""Measures day-to-day operation of the real program between stand-ins: `python -m benchmarks.operation [PART …]`.
+"""Measures routine operation of the program between simulated services: `python -m benchmarks.operation [PART …]`.
 
-Parts: `answers` (times of operators' calls at rest, under load, under a flood; CPU of a scrape), `link` (what the peer
-link carries), `upgrades` (in a row under load, with counts), `kills` (the old process killed at a random moment of the
-hand-over), `memory` (at rest, of one process and of two). Loopback alone; each part is bounded in time."""
+Parts: `answers` (latency of operator commands when idle, under load, during a flood; CPU of a scrape), `link`
+(throughput of the hand-over link), `upgrades` (consecutive, under load, with counts), `kills` (the old process is
+killed at a random time of the hand-over), `memory` (idle, of one process and of two). Uses only loopback; each part is
+bounded in time."""
 
 from __future__ import annotations
 
@@ -26,28 +27,28 @@
 from chutepin.testbench.standins.known_client import KnownClient
 from chutepin.testbench.standins.platform import EXAMPLE, Balancer, Standins
 
-CALLS = 300  # of operators, for each row
+CALLS_PER_ROW = 300  # operator commands
 UPGRADES, KILLS = 8, 20
-NUMBERS = itertools.count()  # of requests: each has a key of its own
+REQUEST_NUMBERS = itertools.count()  # each request has a distinct key
 RELEASE = {"PYTHONOPTIMIZE": "1"}
 
 
-async def called(world: Standins, line: bytes) -> tuple[float, str]:
-    """One operator's call: seconds and the answer."""
-    begun = time.perf_counter()
+async def call_operator(world: Standins, line: bytes) -> tuple[float, str]:
+    """Send one operator command and return its latency in seconds and the answer."""
+    started = time.perf_counter()
     reader, writer = await asyncio.open_connection("127.0.0.1", world.ops_port)
     writer.write(line)
     answer = (await reader.read()).decode()
     writer.close()
-    return time.perf_counter() - begun, answer
+    return time.perf_counter() - started, answer
 
 
-async def ready(world: Standins) -> None:
-    """Wait until the process can serve."""
+async def wait_ready(world: Standins) -> None:
+    """Wait until the process reports that it is ready. Raises TimeoutError after 30 s."""
     async with asyncio.timeout_at(asyncio.get_running_loop().time() + 30):
         while True:
             try:
-                if (await called(world, b"ready\n"))[1].startswith("SUCCESS"):
+                if (await call_operator(world, b"ready\n"))[1].startswith("SUCCESS"):
                     return
             except OSError:
                 pass
@@ -55,50 +56,50 @@
 
 
 def cpu(world: Standins) -> float:
-    """Seconds of CPU that the program has used."""
+    """Return the CPU time of the program in seconds."""
     assert world.process is not None
     fields = Path(f"/proc/{world.process.pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def memory(world: Standins) -> int:
-    """KiB that the program holds."""
+def resident_kib(world: Standins) -> int:
+    """Return the resident memory of the program in KiB."""
     assert world.process is not None
     return int(Path(f"/proc/{world.process.pid}/status").read_text().split("VmRSS:")[1].split()[0])
 
 
-async def row(world: Standins, name: str) -> None:
-    """Times of both calls."""
+async def print_latencies(world: Standins, name: str) -> None:
+    """Print the latencies of the commands `ready` and `show-stat`."""
     for line in (b"ready\n", b"show-stat\n"):
-        took = []
-        for _ in range(CALLS):
-            seconds, answer = await called(world, line)
+        times_ms = []
+        for _ in range(CALLS_PER_ROW):
+            seconds, answer = await call_operator(world, line)
             assert answer.startswith("SUCCESS"), answer
-            took.append(1000 * seconds)
+            times_ms.append(1000 * seconds)
             await asyncio.sleep(0.005)
-        took.sort()
+        times_ms.sort()
         print(
-            f"{name:8} {line.decode().strip():10} {len(answer):5} bytes  median {statistics.median(took):6.2f} ms  "
-            f"p99 {took[int(0.99 * CALLS)]:6.2f} ms  max {took[-1]:6.2f} ms",
+            f"{name:8} {line.decode().strip():10} {len(answer):5} bytes  median {statistics.median(times_ms):6.2f} ms  "
+            f"p99 {times_ms[int(0.99 * CALLS_PER_ROW)]:6.2f} ms  max {times_ms[-1]:6.2f} ms",
             flush=True,
         )
 
 
-async def answers(stack: AsyncExitStack) -> None:
-    """Operators' calls at rest, under load and under a flood."""
+async def measure_answers(stack: AsyncExitStack) -> None:
+    """Measure operator commands when idle, under load and during a flood."""
     world = Standins(EXAMPLE["settings"])
     await world.start(stack, ops=True, environ=RELEASE)
-    await ready(world)
-    await row(world, "rest")
+    await wait_ready(world)
+    await print_latencies(world, "rest")
     before = cpu(world)
     for _ in range(1000):
-        await called(world, b"show-stat\n")
+        await call_operator(world, b"show-stat\n")
     print(f"CPU of one scrape: {cpu(world) - before:.3f} ms", flush=True)
     load = [asyncio.ensure_future(KnownClient(world.port, requests_per_s=60).run(30)) for _ in range(8)]
     await asyncio.sleep(1)
-    begun, before = time.monotonic(), cpu(world)
-    await row(world, "load")
-    print(f"(load: {(cpu(world) - before) / (time.monotonic() - begun):.2f} of a core)")
+    started, before = time.monotonic(), cpu(world)
+    await print_latencies(world, "load")
+    print(f"(load: {(cpu(world) - before) / (time.monotonic() - started):.2f} of a core)")
     flood = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -109,178 +110,195 @@
         stdout=asyncio.subprocess.DEVNULL,
     )
     await asyncio.sleep(1)
-    await row(world, "flood")
+    await print_latencies(world, "flood")
     await flood.wait()
     for task in load:
         task.cancel()
     await asyncio.gather(*load, return_exceptions=True)
 
 
-async def link(stack: AsyncExitStack) -> None:
-    """Frames of keys through a Unix socket between two streams of one loop, written as a session writes."""
-    count, got = 20_000, 0
+async def measure_link(stack: AsyncExitStack) -> None:
+    """Measure the throughput of key frames through a Unix socket, written in the same way as by a session."""
+    count, received = 20_000, 0
     path = stack.enter_context(tempfile.TemporaryDirectory()) + "/link"
 
-    async def hear(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        nonlocal got
+    async def receive(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        nonlocal received
         frames = FrameReader()
         while data := await reader.read(65536):
             frames.feed(data)
             while frames.next() is not None:
-                got += 1
+                received += 1
         writer.close()
 
-    server = await asyncio.start_unix_server(hear, path)
+    server = await asyncio.start_unix_server(receive, path)
     _, writer = await asyncio.open_unix_connection(path)
-    begun, telling = time.perf_counter(), 0.0
+    started, writing_s = time.perf_counter(), 0.0
     for number in range(count):
         entry = IdempotencyRecord(f"{number:032x}", f"{number:016x}", 1e9, bytes(16), f"{number:016x}")
         start = time.perf_counter()
         writer.write(encode_record(entry))
-        telling += time.perf_counter() - start
+        writing_s += time.perf_counter() - start
         if writer.transport.get_write_buffer_size():
             await writer.drain()
-    while got < count:
+    while received < count:
         await asyncio.sleep(0.001)
     print(
-        f"link: {count / (time.perf_counter() - begun):.0f} keys a second both ends on one core; a claim adds "
-        f"{1e6 * telling / count:.0f} microseconds before its run"
+        f"link: {count / (time.perf_counter() - started):.0f} keys a second both ends on one core; a claim adds "
+        f"{1e6 * writing_s / count:.0f} microseconds before its run"
     )
     writer.close()
     server.close()
 
 
 class Traffic:
-    """Keyed and safe requests, tries split at random over whatever the listening address gives."""
+    """A client that sends keyed and unkeyed requests to the process behind the listening address."""
 
-    def __init__(self, port: int, chance: random.Random) -> None:
-        self._port, self._chance = port, chance
-        self.words: Counter[str] = Counter()
-        self.on = True
+    def __init__(self, port: int, rng: random.Random) -> None:
+        self._port, self._rng = port, rng
+        self.outcomes: Counter[str] = Counter()
+        self.running = True
 
     async def run(self) -> None:
-        """Ask until switched off; on a farewell or an end, connect again."""
+        """Send requests until stopped. Reconnect if the node closes or announces that it will close the connection."""
         balancer: Balancer | None = None
-        again: int | None = None
-        while self.on:
+        retry_number: int | None = None
+        while self.running:
             try:
                 if balancer is None or balancer.ended or 0 in balancer.answers:
                     if balancer is not None:
                         await balancer.close()
                     balancer = Balancer(*await asyncio.open_connection("127.0.0.1", self._port))
             except OSError:
-                self.words["not connected"] += 1
+                self.outcomes["not connected"] += 1
                 await asyncio.sleep(0.02)
                 continue
-            if again is not None:  # what was lost with its connection may have run: ask for it again
-                number, keyed, again = again, True, None
+            if retry_number is not None:  # a request lost with its connection may have run: send it again
+                number, keyed, retry_number = retry_number, True, None
             else:
-                number, keyed = next(NUMBERS), self._chance.random() < 0.4
+                number, keyed = next(REQUEST_NUMBERS), self._rng.random() < 0.4
             tag = balancer.call(
                 "work-order" if keyed else "position-push",
                 b"order %d" % number,
                 f"{number:032x}" if keyed else None,
                 wait=3000,
             )
-            until = time.monotonic() + 4
-            while tag not in balancer.answers and not balancer.ended and time.monotonic() < until:
+            deadline = time.monotonic() + 4
+            while tag not in balancer.answers and not balancer.ended and time.monotonic() < deadline:
                 await asyncio.sleep(0.002)
-            word = balancer.answers[tag][0][0].decode() if tag in balancer.answers else "LOST"
-            self.words[word] += 1
-            again = number if keyed and word == "LOST" else None
+            outcome = balancer.answers[tag][0][0].decode() if tag in balancer.answers else "LOST"
+            self.outcomes[outcome] += 1
+            retry_number = number if keyed and outcome == "LOST" else None
         if balancer is not None:
             await balancer.close()
 
 
-async def succession(
-    stack: AsyncExitStack, upgrades: int, between: Callable[[Standins, Standins], object], chance: random.Random
+async def run_upgrades(
+    stack: AsyncExitStack, upgrades: int, during_upgrade: Callable[[Standins, Standins], object], rng: random.Random
 ) -> tuple[Counter[str], int, list[float], str]:
-    """Upgrades in a row under load: what clients heard, keys run twice, seconds until `ready`, the last one's log."""
-    place = stack.enter_context(tempfile.TemporaryDirectory())
-    worlds, took = [Standins(EXAMPLE["settings"])], []
-    worlds[0].environ = {"TMPDIR": place, **RELEASE}
+    """Run consecutive upgrades under load.
+
+    Return the request outcomes, the keys run twice, the seconds until `ready` and the log of the last process."""
+    directory = stack.enter_context(tempfile.TemporaryDirectory())
+    worlds, ready_s = [Standins(EXAMPLE["settings"])], []
+    worlds[0].environ = {"TMPDIR": directory, **RELEASE}
     await worlds[0].start(stack, ops=True)
-    await ready(worlds[0])
-    traffic = [Traffic(worlds[0].port, chance) for _ in range(12)]
+    await wait_ready(worlds[0])
+    traffic = [Traffic(worlds[0].port, rng) for _ in range(12)]
     tasks = [asyncio.ensure_future(t.run()) for t in traffic]
     for _ in range(upgrades):
         old, new = worlds[-1], Standins(EXAMPLE["settings"])
         new.environ, new.listen_port = old.environ, old.port
-        begun = time.monotonic()
+        started = time.monotonic()
         starts = asyncio.ensure_future(new.start(stack, ops=True))
-        between(old, new)
+        during_upgrade(old, new)
         await starts
-        await ready(new)
-        took.append(time.monotonic() - begun)
+        await wait_ready(new)
+        ready_s.append(time.monotonic() - started)
         assert old.process is not None
         send_signal(old.process, signal.SIGTERM)
         await old.process.wait()
         worlds.append(new)
         await asyncio.sleep(0.3)
-    for one in traffic:
-        one.on = False
+    for client in traffic:
+        client.running = False
     await asyncio.gather(*tasks)
-    ran = Counter(body for world in worlds for _, cls, body in world.runs if cls == "work-order")
+    executions = Counter(body for world in worlds for _, cls, body in world.runs if cls == "work-order")
     log = await worlds[-1].leave()
-    return sum((one.words for one in traffic), Counter()), sum(n - 1 for n in ran.values()), took, log
+    return (
+        sum((client.outcomes for client in traffic), Counter()),
+        sum(n - 1 for n in executions.values()),
+        ready_s,
+        log,
+    )
 
 
-async def upgrades(stack: AsyncExitStack) -> None:
-    """Upgrades in order."""
-    words, twice, took, _ = await succession(stack, UPGRADES, lambda old, new: None, random.Random(1))
+async def measure_upgrades(stack: AsyncExitStack) -> None:
+    """Measure planned upgrades, in which the old process stops in an orderly way."""
+    outcomes, twice, ready_s, _ = await run_upgrades(stack, UPGRADES, lambda old, new: None, random.Random(1))
     print(
-        f"{UPGRADES} upgrades: {dict(words)}, keys run twice {twice}, ready after {statistics.median(took):.2f} s "
-        f"(most {max(took):.2f})"
+        f"{UPGRADES} upgrades: {dict(outcomes)}, keys run twice {twice}, ready after {statistics.median(ready_s):.2f} s "
+        f"(most {max(ready_s):.2f})"
     )
 
 
-async def kills(stack: AsyncExitStack) -> None:
-    """The old process killed at a random moment of the hand-over, by seed."""
+async def measure_kills(stack: AsyncExitStack) -> None:
+    """Measure hand-overs in which the old process is killed at a random time, drawn from the seed."""
     total: Counter[str] = Counter()
-    doubled, crashed, met = 0, 0, 0
+    doubled, crashed, handovers = 0, 0, 0
     for seed in range(KILLS):
-        chance = random.Random(seed)
+        rng = random.Random(seed)
 
-        def kill(old: Standins, new: Standins, chance: random.Random = chance) -> None:
+        def kill(old: Standins, new: Standins, rng: random.Random = rng) -> None:
             def end() -> None:
                 if old.process is not None and old.process.returncode is None:
                     send_signal(old.process, signal.SIGKILL)
 
-            asyncio.get_running_loop().call_later(0.15 + chance.random() * 0.35, end)
+            asyncio.get_running_loop().call_later(0.15 + rng.random() * 0.35, end)
 
         async with AsyncExitStack() as inner:
-            words, twice, _, log = await succession(inner, 1, kill, chance)
-        total += words
-        # Killed before the two had met it is a crash like any other: nobody knows what had run.
-        knew = "handover.predecessor_lost" in log or "handover.connect_failed" in log
-        met, doubled, crashed = met + knew, doubled + twice * knew, crashed + twice * (not knew)
+            outcomes, repeated, _, log = await run_upgrades(inner, 1, kill, rng)
+        total += outcomes
+        # A kill before the processes connect is an ordinary crash: the new process cannot know which requests ran.
+        connected = "handover.predecessor_lost" in log or "handover.connect_failed" in log
+        handovers, doubled, crashed = (
+            handovers + connected,
+            doubled + repeated * connected,
+            crashed + repeated * (not connected),
+        )
     print(
-        f"{KILLS} kills, {met} after the two had met: {dict(total)}, keys run twice {doubled}; "
-        f"by the crashes before, {crashed}"
+        f"{KILLS} kills, {handovers} after both processes had connected: {dict(total)}, keys run twice {doubled}; "
+        f"keys run twice after earlier kills {crashed}"
     )
 
 
-async def at_rest(stack: AsyncExitStack) -> None:
-    """Memory of one process that operators call, and of both during an upgrade."""
-    place = stack.enter_context(tempfile.TemporaryDirectory())
+async def measure_memory(stack: AsyncExitStack) -> None:
+    """Measure the memory of one idle process, and of both processes during an upgrade."""
+    directory = stack.enter_context(tempfile.TemporaryDirectory())
     old, new = Standins(EXAMPLE["settings"]), Standins(EXAMPLE["settings"])
-    old.environ = new.environ = {"TMPDIR": place, **RELEASE}
+    old.environ = new.environ = {"TMPDIR": directory, **RELEASE}
     await old.start(stack, ops=True)
-    await ready(old)
+    await wait_ready(old)
     await asyncio.sleep(1)
-    print(f"memory of one process: {memory(old)} KiB")
+    print(f"memory of one process: {resident_kib(old)} KiB")
     new.listen_port = old.port
     await new.start(stack, ops=True)
-    await ready(new)
+    await wait_ready(new)
     await asyncio.sleep(1)
-    print(f"memory of two: {memory(old)} + {memory(new)} KiB")
+    print(f"memory of two processes: {resident_kib(old)} + {resident_kib(new)} KiB")
 
 
-PARTS = {"answers": answers, "link": link, "upgrades": upgrades, "kills": kills, "memory": at_rest}
+PARTS = {
+    "answers": measure_answers,
+    "link": measure_link,
+    "upgrades": measure_upgrades,
+    "kills": measure_kills,
+    "memory": measure_memory,
+}
 
 
 async def main(names: list[str]) -> None:
-    """Run parts one after the other."""
+    """Run the named parts, or all parts, one after the other."""
     for name in names or list(PARTS):
         async with AsyncExitStack() as stack:
             await PARTS[name](stack)
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -1,4 +1,4 @@
-"""What benchmarks of several parts share: the command line, and figures of a sample."""
+"""Helpers shared by benchmarks of several parts: the command line, and quantiles of a sample."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def quantile(values: Sequence[float], part: float) -> float:
-    """Return the value below which this part of the values lies; nan of none."""
+    """Return the value below which this part of the values lies, or nan without values."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, math.ceil(part * len(ordered)) - 1)] if ordered else math.nan
 
@@ -24,7 +24,7 @@
 def run_parts(parts: Mapping[str, Part], long: str, draw_charts: DrawCharts) -> None:
     """Run the parts that the command line names, print their rows as JSON, draw their charts.
 
-    Without a name all run but the one called `long`."""
+    Without a name, run all parts except the part called `long`."""
     parser = argparse.ArgumentParser()
     parser.add_argument("parts", nargs="*", metavar="PART", help=", ".join(parts))
     parser.add_argument("--charts", type=Path)
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,9 +1,9 @@
-"""Measures the embedded store beside direct writes to the same disk.
+"""Measures the embedded store compared with direct writes to the same disk.
 
     python -O -m benchmarks.store [--directory DIR] [commits|open|stall|memory|space …]
 
-Every comparison is one run with its variants in turn, and medians over the rounds. Results are printed as Markdown
-tables; docs/store.md keeps those of one run, with its machine."""
+Every comparison runs its variants in turn and takes medians over the rounds. Results are printed as Markdown tables;
+docs/store.md keeps the tables of one run and describes its machine."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 @contextmanager
 def scratch_directory(parent: str) -> Iterator[Path]:
-    """A directory that is removed afterwards."""
+    """Create a temporary directory and remove it on exit."""
     path = Path(tempfile.mkdtemp(dir=parent))
     try:
         yield path
@@ -46,7 +46,7 @@
 
 
 def table(head: list[str], rows: list[list[object]]) -> None:
-    """Print Markdown."""
+    """Print a Markdown table."""
     print("| " + " | ".join(head) + " |\n|" + " --- |" * len(head))
     for row in rows:
         print(
@@ -65,7 +65,7 @@
 
 
 def direct_commits(path: Path, count: int, group: int, size: int, writes: int) -> float:
-    """Commits a second of a loop that writes a group, in so many writes, and syncs it."""
+    """Return the commits a second of a loop that writes each group in `writes` writes and syncs it."""
     descriptor = os.open(path / "direct", os.O_RDWR | os.O_CREAT | os.O_TRUNC)
     data = os.urandom(group * (RECORD_HEADER_BYTES + KEY_BYTES + size) // writes)
     begin = time.perf_counter()
@@ -79,7 +79,7 @@
 
 
 def store_commits(path: Path, count: int, group: int, size: int) -> float:
-    """Commits a second of a caller that puts a group and waits for it."""
+    """Return the commits a second of a caller that puts a group and waits for its commit."""
     value = os.urandom(size)
     with Store.open(path / "store", segment_bytes=64 * 2**20, max_bytes=16 * GIB, max_memory=GIB) as store:
         store.put(b"warm", b"", math.inf)
@@ -94,7 +94,9 @@
 
 
 def overlapping_commits(path: Path, count: int, group: int, size: int) -> float:
-    """Commits a second of two callers on a loop that put groups by turns: one encodes while the other's is synced."""
+    """Return the commits a second of two callers on one event loop.
+
+    One caller's group is encoded while the other's is synced."""
     value = os.urandom(size)
 
     async def run() -> float:
@@ -119,7 +121,7 @@
 
 
 def awaited_puts(path: Path, count: int, group: int, size: int) -> float:
-    """Records a second of so many callers on an event loop, each of which puts one record and awaits it."""
+    """Return the records a second of `group` callers on one event loop; each awaits every single record."""
     value = os.urandom(size)
 
     async def run() -> float:
@@ -140,7 +142,7 @@
 
 
 def commits(parent: str) -> None:
-    """Group commit beside loops that write and sync directly."""
+    """Compare group commit with loops that write and sync directly."""
     rows: list[list[object]] = []
     for size in VALUE_BYTES:
         for group in (1, 16, 256):
@@ -181,7 +183,7 @@
 
 
 def fill_store(path: Path, count: int, size: int) -> None:
-    """A store with so many keys, all sealed but the last segment."""
+    """Create a store with `count` keys, in which all segments but the last are sealed."""
     value = os.urandom(size)
     with Store.open(path, segment_bytes=8 * 2**20, max_bytes=64 * GIB, max_memory=8 * GIB) as store:
         for number in range(count):
@@ -190,7 +192,7 @@
 
 
 def opening(parent: str, count: int = 1_000_000, size: int = 200) -> None:
-    """Opening with hints, by a full scan, and reading the same bytes."""
+    """Compare opening with hints, opening by a full scan, and reading the same bytes."""
     with scratch_directory(parent) as path:
         fill_store(path / "store", count, size)
         files = LocalFileSystem(path / "store")
@@ -204,10 +206,10 @@
             for hints in (True, False):
                 gc.collect()
                 begin = time.perf_counter()
-                found = StoreReader(files).read(hints=hints)
+                recovered = StoreReader(files).read(hints=hints)
                 read_times.append(time.perf_counter() - begin)
-                assert found is not None and len(found.log.index) == count
-                del found
+                assert recovered is not None and len(recovered.log.index) == count
+                del recovered
             begin = time.perf_counter()
             Store.open(path / "store", max_bytes=64 * GIB, max_memory=8 * GIB).close()
             results.append((raw, *read_times, time.perf_counter() - begin))
@@ -228,21 +230,21 @@
 
 
 def stalls(parent: str) -> None:
-    """The longest put and commit of a steady writer, with and without compaction beside it."""
+    """Measure put and commit latencies of a steady writer, with and without concurrent compaction."""
     rows: list[list[object]] = []
     rng = random.Random(1)
     for name, keys in (("no compaction: every key new", 0), ("compaction: 8,000 keys replaced at random", 8000)):
         with scratch_directory(parent) as path, Store.open(path, segment_bytes=2**20, max_bytes=64 * 2**20) as store:
-            puts, waits = [], []
+            put_s, commit_s = [], []
             for number in range(60_000):
                 key = b"%024d" % (rng.randrange(keys) if keys else number)
                 begin = time.perf_counter()
                 store.put(key, bytes(1000), math.inf if keys else time.time() + 1)
-                puts.append(time.perf_counter() - begin)
+                put_s.append(time.perf_counter() - begin)
                 if number % 16 == 15:
                     begin = time.perf_counter()
                     store.commit()
-                    waits.append(time.perf_counter() - begin)
+                    commit_s.append(time.perf_counter() - begin)
             metrics = store.metrics()
             rows.append(
                 [
@@ -250,7 +252,7 @@
                     metrics.get("copied_bytes", 0) / 2**20,
                     *(
                         1000 * value
-                        for times in (puts, waits)
+                        for times in (put_s, commit_s)
                         for value in (statistics.median(times), sorted(times)[int(0.999 * len(times))], max(times))
                     ),
                 ]
@@ -271,12 +273,12 @@
 
 
 def resident_bytes() -> int:
-    """VmRSS in bytes."""
+    """Return the resident memory (VmRSS) of this process in bytes."""
     return int(Path("/proc/self/status").read_text().split("VmRSS:")[1].split()[0]) * 1024
 
 
 def memory(parent: str, count: int = 500_000) -> None:
-    """Bytes of memory for each key: what opening a store adds to the process."""
+    """Measure the bytes of memory for each key, as the growth of the process when a store is opened."""
     rows: list[list[object]] = []
     for name, expires in (("never", math.inf), ("within the hour", 3600.0)):
         first = time.time() + 60
@@ -288,16 +290,16 @@
             gc.collect()
             before = resident_bytes()
             with Store.open(path, max_bytes=8 * GIB, max_memory=GIB) as store:
-                grown = resident_bytes() - before
+                growth_bytes = resident_bytes() - before
                 estimate = store.metrics()["memory_bytes"]
-            rows.append([f"{count:,}", name, grown / count, estimate / count])
+            rows.append([f"{count:,}", name, growth_bytes / count, estimate / count])
     table(["keys of 32 bytes", "expire", "measured, bytes a key", "the store's estimate"], rows)
 
 
 def space(parent: str) -> None:
-    """Space and rewriting over long runs, on a clock of their own."""
+    """Measure disk space and write amplification over long runs with a simulated clock."""
     rng = random.Random(1)
-    kinds: dict[str, Callable[[int], tuple[bytes, float]]] = {
+    workloads: dict[str, Callable[[int], tuple[bytes, float]]] = {
         "keyed requests: new keys, window 44 s": lambda n: (b"%024d" % n, 44.118),
         "new keys, a tenth kept for good": lambda n: (b"%024d" % n, math.inf if n % 10 == 0 and n < 60_000 else 44.118),
         "5,000 keys replaced at random": lambda _: (b"%024d" % rng.randrange(5000), math.inf),
@@ -307,7 +309,7 @@
         ),
     }
     rows: list[list[object]] = []
-    for name, kind in kinds.items():
+    for name, workload in workloads.items():
         now = [1e9]
         max_disk_mib = 0.0
         max_ratio = 0.0
@@ -319,8 +321,8 @@
                 lambda *_, **__: None,
             )
             for number in range(150_000):
-                key, life = kind(number)
-                while not engine.put(key, bytes(800), now[0] + life):
+                key, lifetime_s = workload(number)
+                while not engine.put(key, bytes(800), now[0] + lifetime_s):
                     engine.flush()
                     engine.step()
                 now[0] += 0.005
@@ -367,10 +369,10 @@
 
 
 @click.command()
-@click.option("--directory", default=".", show_default=True, help="Where to write: the disk that is measured.")
+@click.option("--directory", default=".", show_default=True, help="Directory to write to, on the measured disk.")
 @click.argument("parts", nargs=-1, type=click.Choice(list(BENCHMARKS)))
 def main(directory: str, parts: tuple[str, ...]) -> None:
-    """Measure all parts, or those named."""
+    """Measure the named parts, or all parts."""
     print(f"{os.cpu_count()} cores; {time.strftime('%Y-%m-%d')}\n")
     for part in parts or BENCHMARKS:
         BENCHMARKS[part](directory)
