--- a/benchmarks/operation.py
+++ b/benchmarks/operation.py
@@ -235,10 +235,10 @@
 
 async def measure_upgrades(stack: AsyncExitStack) -> None:
     """Measure planned upgrades, in which the old process stops in an orderly way."""
-    outcomes, twice, ready_s, _ = await run_upgrades(stack, UPGRADES, lambda old, new: None, random.Random(1))
+    counts, repeats, times, _ = await run_upgrades(stack, UPGRADES, lambda old, new: None, random.Random(1))
     print(
-        f"{UPGRADES} upgrades: {dict(outcomes)}, keys run twice {twice}, ready after {statistics.median(ready_s):.2f} s "
-        f"(most {max(ready_s):.2f})"
+        f"{UPGRADES} upgrades: {dict(counts)}, keys run twice {repeats}, ready after {statistics.median(times):.2f} s "
+        f"(most {max(times):.2f})"
     )
 
 
--- a/tests/data/__init__.py
+++ b/tests/data/__init__.py
@@ -1,1 +1,1 @@
-"""Bytes that an earlier version wrote, and the command that wrote them (`README.md`)."""
+"""Bytes written by an earlier version, and the modules that generate them (`README.md`)."""
--- a/tests/data/make_platform_bytes.py
+++ b/tests/data/make_platform_bytes.py
@@ -1,9 +1,10 @@
-"""What the program writes to the platform, as data: `platform.json` beside this file, made by
+"""Generates `platform.json` beside this file: the messages that the program sends to the platform services.
 
     python -m tests.data.make_platform_bytes
 
-It drives the real program between raw stand-ins that share no code with it. What depends on the time is masked with #:
-the module's value and advice in answers, the milliseconds a call to the records has left, and ports."""
+Runs the program between simulated services that share no protocol code with it. Time-dependent values are masked with
+`#`: the value and advice of the decision module in answers, the remaining milliseconds of a call to the records
+service, and ports."""
 
 from __future__ import annotations
 
@@ -28,29 +29,29 @@
 
 ROOT = Path(__file__).parents[2]
 KEPT = Path(__file__).with_name("platform.json")
-PATIENCE = 60.0
+TIMEOUT_S = 60.0
 SETTINGS = json.loads((ROOT / "deploy" / "example.json").read_text())["settings"]
 KEY = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 
 
-async def until(holds: Callable[[], Any]) -> None:
-    """Wait far longer than needed until something holds."""
-    end = time.monotonic() + PATIENCE
-    while not holds():
-        assert time.monotonic() < end, "it never came to hold"
+async def until(condition: Callable[[], Any]) -> None:
+    """Wait until the condition is true. Raises AssertionError after a generous time-out."""
+    end = time.monotonic() + TIMEOUT_S
+    while not condition():
+        assert time.monotonic() < end, "condition not met within the time-out"
         await asyncio.sleep(0.005)
 
 
 def _describe(world: World, answers: dict[str, list[str]]) -> str:
-    """What a wait that failed needs to be understood."""
+    """Return the messages observed so far, for diagnosis of a failed wait."""
     return (
         f"answers so far: {list(answers)}; to the executor: {world.executor[-8:]}; METERs {len(world.meters)}; "
-        f"links {len(world.links)}; to the records {world.records[-3:]}; reports {len(world.control)}"
+        f"links {len(world.links)}; to the records service {world.records[-3:]}; reports {len(world.control)}"
     )
 
 
 async def run_program(environ: dict[str, str], *arguments: str) -> tuple[int, str, str]:
-    """The exit code, output and errors of the program run to its end."""
+    """Run the program to its end and return the exit code, standard output and standard error."""
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "chutepin", *arguments, cwd=ROOT, env={**os.environ, **environ},
         stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE,
@@ -60,56 +61,56 @@
 
 
 def array(*items: bytes) -> bytes:
-    """A RESP array of bulk strings."""
+    """Encode a RESP array of bulk strings."""
     return b"*%d\r\n" % len(items) + b"".join(b"$%d\r\n%b\r\n" % (len(item), item) for item in items)
 
 
 class Balancer:
-    """A balancer's connection that keeps arrays as they came; any other byte is an error."""
+    """A balancer connection that reads RESP arrays exactly; any unexpected byte is an error."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
     def call(self, tag: int, cls: str, body: bytes, more: str = ",d=7000", id: str = "") -> str:
-        """Send a request; its id."""
+        """Send a request and return its id."""
         id = id or f"{tag:016x}"
         fields = f"i={id},s={int(time.time() * 1000)},f=1,t=bernard-lodge,m=24.5,p=0.5{more}"
         self.writer.write(array(b"RPC.CALL", b"%d" % tag, cls.encode(), fields.encode(), body))
         return id
 
     async def next(self) -> list[str]:
-        """The next array, masked; an empty list at the end of the connection."""
-        async with asyncio.timeout(PATIENCE):
-            head = await self.reader.readline()
-            if not head:
+        """Read the next array with masked values, or an empty list at the end of the connection."""
+        async with asyncio.timeout(TIMEOUT_S):
+            header = await self.reader.readline()
+            if not header:
                 return []
             items = []
-            for _ in range(int(head[1:-2])):
+            for _ in range(int(header[1:-2])):
                 length = await self.reader.readline()
                 items.append(await self.reader.readexactly(int(length[1:-2])))
                 assert length == b"$%d\r\n" % len(items[-1]) and await self.reader.readexactly(2) == b"\r\n"
-        assert head == b"*%d\r\n" % len(items)
+        assert header == b"*%d\r\n" % len(items)
         if len(items) > 2:
             items[2] = re.sub(rb"\b([vw])=[0-9.e+-]+", rb"\1=#", items[2])
         return [item.decode("latin-1") for item in items]
 
 
 class World:
-    """A node and all that it speaks to."""
+    """A node and the simulated services connected to it, with the messages that they received."""
 
     def __init__(self) -> None:
         self.settings: dict[str, Any] = json.loads(json.dumps(SETTINGS))
         self.name = "n3"
         self.arguments: tuple[str, ...] = ()
         self.welcomes = True
-        self.holds_meters = False  # METERs are not answered: what the node has sent stays unconfirmed
+        self.holds_meters = False  # leaves METERs unanswered, so that messages from the node stay unconfirmed
         self.executor: list[str] = []  # messages, without METERs
         self.meters: list[str] = []
         self.notices = 0
         self.records: list[str] = []
-        self.records_reply: list[bytes] = []  # words that end the next calls, in place of DONE
-        self.refuses = False  # the records service answers WAIT to all
-        self.silent: set[str] = set()  # runs that say nothing when they are stopped
+        self.records_reply: list[bytes] = []  # replies to the next calls, instead of DONE
+        self.refuses = False  # the records service answers every call with WAIT
+        self.silent: set[str] = set()  # runs that send no EXIT after KILL
         self.control: list[str] = []
         self.links: list[asyncio.StreamWriter] = []
         self.port = self.ops_port = 0
@@ -117,10 +118,10 @@
 
     @asynccontextmanager
     async def running(self) -> AsyncIterator[World]:
-        """Run the program, until killed."""
+        """Run the program and the simulated services; kill the program on exit."""
         servers = [
-            await asyncio.start_server(side, "127.0.0.1", 0)
-            for side in (self._executor_side, self._records_side, self._control_side)
+            await asyncio.start_server(handler, "127.0.0.1", 0)
+            for handler in (self._executor_side, self._records_side, self._control_side)
         ]
         ports = [server.sockets[0].getsockname()[1] for server in servers]
         self.port, self.ops_port = await free_port(), await free_port()
@@ -151,41 +152,41 @@
                     server.close()
 
     async def connect(self) -> Balancer:
-        """A balancer, once the node listens."""
+        """Connect as a balancer, as soon as the node listens."""
         return Balancer(*await self._dial(self.port))
 
     @staticmethod
     async def _dial(port: int) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        end = time.monotonic() + PATIENCE
+        end = time.monotonic() + TIMEOUT_S
         while True:
             try:
                 return await asyncio.open_connection("127.0.0.1", port)
             except OSError:
-                assert time.monotonic() < end, "it never listened"
+                assert time.monotonic() < end, f"no listener on port {port} within the time-out"
                 await asyncio.sleep(0.02)
 
     async def ask(self, line: str) -> str:
-        """An operator's call; the whole answer."""
+        """Send an operator command and return the whole answer."""
         reader, writer = await self._dial(self.ops_port)
         writer.write(line.encode() + b"\n")
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_S):
             answer = await reader.read()
         writer.close()
         return answer.decode()
 
     def notify(self, word: str, *rest: str | int, body: bytes) -> None:
-        """Write a numbered notice to the node."""
+        """Send a numbered notice from the executor to the node."""
         self.notices += 1
         head = " ".join(map(str, (word, self.notices, *rest, len(body))))
         self.links[-1].write(head.encode() + b"\r\n" + body + b"\r\n")
 
     def cut_unconfirmed(self) -> None:
-        """Lose the executor's link while its last commands are in doubt; the next link answers METERs again."""
+        """Abort the executor link while its last commands are unconfirmed. The next link answers METERs again."""
         self.links[-1].transport.abort()
         self.holds_meters = False
 
     async def got(self, message: str) -> None:
-        """Wait for a message to the executor."""
+        """Wait until the executor has received the message."""
         await until(lambda: message in self.executor)
 
     async def _executor_side(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -205,7 +206,7 @@
                     if self.welcomes:
                         writer.write(b"WELCOME hot 5\r\n")
                 self.executor.append(line)
-                if words[0] == "KILL" and words[1] not in self.silent:  # before any METER that follows
+                if words[0] == "KILL" and words[1] not in self.silent:  # answered before any later METER
                     self.notify("EXIT", words[1], "cancelled", 10, body=b"")
 
     async def _records_side(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -231,8 +232,8 @@
 
 
 @asynccontextmanager
-async def _shown_where_it_fails(world: World, answers: dict[str, list[str]]) -> AsyncIterator[None]:
-    """Print what had happened where a wait fails."""
+async def _print_state_on_failure(world: World, answers: dict[str, list[str]]) -> AsyncIterator[None]:
+    """Print the messages observed so far if a wait in the block fails."""
     try:
         yield
     except (AssertionError, TimeoutError):
@@ -240,12 +241,12 @@
         raise
 
 
-async def _served(found: dict[str, Any]) -> None:
-    """Answers, commands, calls to the records, reports and health checks of one node."""
+async def _collect_messages(found: dict[str, Any]) -> None:
+    """Collect the answers, commands, record calls, reports and health checks of one node."""
     world = World()
     world.name, world.welcomes = "n 3/\u00e9", False
     answers: dict[str, list[str]] = {}
-    async with world.running(), _shown_where_it_fails(world, answers):
+    async with world.running(), _print_state_on_failure(world, answers):
         balancer = await world.connect()
         await until(lambda: world.links and world.control)
         balancer.writer.write(array(b"RPC.HEALTH", b"1", b""))
@@ -256,10 +257,10 @@
         world.links[-1].write(b"WELCOME hot 5\r\n")
         await until(lambda: world.meters)
 
-        odd = bytes(range(256))
-        id = balancer.call(3, "position-push", odd)
+        all_bytes = bytes(range(256))
+        id = balancer.call(3, "position-push", all_bytes)
         await until(lambda: any(m.startswith(f"EXEC {id}") for m in world.executor))
-        world.notify("EXIT", id, "complete", 200, body=odd)
+        world.notify("EXIT", id, "complete", 200, body=all_bytes)
         answers["served"] = await balancer.next()
         balancer.writer.write(array(b"RPC.HEALTH", b"2", b""))
         answers["health once ready"] = await balancer.next()
@@ -297,11 +298,11 @@
         world.notify("EXIT", id, "complete", 10, body=b"part of it")
         answers["served without the call"] = await balancer.next()
 
-        world.holds_meters = True  # else a METERS would confirm the EXEC before a slow machine loses the link
+        world.holds_meters = True  # otherwise a METERS can confirm the EXEC before a slow machine drops the link
         id = balancer.call(7, "work-order", b"in doubt", f",d=14000,k={KEY[::-1]}")
         await until(lambda: any(m.startswith(f"EXEC {id}") for m in world.executor))
         world.cut_unconfirmed()
-        await world.got(f"KILL {id}\r\n")  # asks whether it was begun; it was
+        await world.got(f"KILL {id}\r\n")  # asks whether the run has started; the executor answers that it has
         await world.got(f"WAKE {id}\r\n")
         world.notify("EXIT", id, "complete", 10, body=b"woken")
         answers["served over a lost link"] = await balancer.next()
@@ -327,13 +328,13 @@
 
         await until(lambda: any('"NotReady"' in report for report in world.control))
         found["reports"] = list(dict.fromkeys(world.control))
-        bad = await world.connect()
-        bad.call(10, "position-push", b"open while it breaks off")
+        malformed = await world.connect()
+        malformed.call(10, "position-push", b"open while it breaks off")
         await until(lambda: any("open while it breaks off" in m for m in world.executor))
-        bad.writer.write(b"GET / HTTP/1.1\r\n\r\n")
-        answers["what is open where the balancer is malformed"] = await bad.next()
-        answers["the last words to it"] = await bad.next()
-        answers["and then"] = await bad.next()
+        malformed.writer.write(b"GET / HTTP/1.1\r\n\r\n")
+        answers["what is open where the balancer is malformed"] = await malformed.next()
+        answers["the last words to it"] = await malformed.next()
+        answers["and then"] = await malformed.next()
 
         assert world.process is not None
         send_signal(world.process, signal.SIGTERM)
@@ -343,11 +344,11 @@
     found["answers"] = answers
     assert world.meters[:3] == ["METER 1\r\n", "METER 2\r\n", "METER 3\r\n"]
     found["executor"] = world.executor
-    found["records"] = list(dict.fromkeys(world.records))  # a call that is refused is made again, as time allows
+    found["records"] = list(dict.fromkeys(world.records))  # refused calls are retried a varying number of times
 
 
 def _encoded() -> dict[str, str]:
-    """Answers as they are encoded: each verdict with and without a value, advice, the last word and a body."""
+    """Return encoded answers: each verdict with and without a value, advice, the flag `last` and a body."""
     found = {}
     for verdict, wait, last, value, body in itertools.product(
         ("served", "refused", "failed"),
@@ -361,8 +362,8 @@
     return found
 
 
-def _broken() -> dict[str, str | None]:
-    """Broken files of the platform by what is wrong; None is one that is not there."""
+def _invalid_configs() -> dict[str, str | None]:
+    """Return invalid configuration files by their fault; None stands for a missing file."""
     good = json.loads((ROOT / "deploy" / "example.json").read_text())
     changes: dict[str, dict[str, Any]] = {
         "an empty name": {"name": ""},
@@ -380,36 +381,38 @@
         "settings that are empty": {"settings": {}},
         "categories that are empty": {"settings": good["settings"] | {"categories": []}},
     }
-    files: dict[str, str | None] = {what: json.dumps(good | change) for what, change in changes.items()}
+    files: dict[str, str | None] = {fault: json.dumps(good | change) for fault, change in changes.items()}
     return files | {"not there": None, "not JSON": "{", "not an object": "[]"}
 
 
-async def _errors() -> dict[str, list[Any]]:
-    """The exit code, output and errors for each broken file, its path masked."""
-    turns = asyncio.Semaphore(4)
+async def _collect_errors() -> dict[str, list[Any]]:
+    """Return the exit code, output and errors for each invalid file, with its path masked."""
+    concurrency = asyncio.Semaphore(4)
     with tempfile.TemporaryDirectory() as directory:
 
-        async def one(index: int, source: str | None) -> list[Any]:
+        async def run_with_config(index: int, source: str | None) -> list[Any]:
             path = Path(directory) / f"{index}.json"
             if source is not None:
                 path.write_text(source)
-            async with turns:
+            async with concurrency:
                 code, output, errors = await run_program({"LB_CONFIG": str(path)})
             return [code, output, errors.replace(str(path), "FILE")]
 
-        broken = _broken()
-        results = await asyncio.gather(*(one(index, source) for index, source in enumerate(broken.values())))
-    found = dict(zip(broken, results, strict=True))
+        configs = _invalid_configs()
+        results = await asyncio.gather(
+            *(run_with_config(index, source) for index, source in enumerate(configs.values()))
+        )
+    found = dict(zip(configs, results, strict=True))
     found["not set"] = list(await run_program({"LB_CONFIG": ""}))
     return found
 
 
 def wire() -> dict[str, Any]:
-    """What goes over the wires."""
+    """Return the messages on all connections, and encoded answers."""
 
     async def run() -> dict[str, Any]:
         found: dict[str, Any] = {}
-        await _served(found)
+        await _collect_messages(found)
         found["encoded answers"] = _encoded()
         return found
 
@@ -417,8 +420,8 @@
 
 
 def errors() -> dict[str, list[Any]]:
-    """What bad configuration is answered with."""
-    return asyncio.run(_errors())
+    """Return the exit codes, output and errors for invalid configurations."""
+    return asyncio.run(_collect_errors())
 
 
 if __name__ == "__main__":
--- a/tests/data/make_stored_bytes.py
+++ b/tests/data/make_stored_bytes.py
@@ -1,7 +1,7 @@
-"""Write the kept bytes: `python -m tests.data.make_stored_bytes [DIRECTORY]`, by default beside this file.
+"""Writes the kept bytes: `python -m tests.data.make_stored_bytes [DIRECTORY]`, by default beside this file.
 
-The store's and the journal's sequences are also what the tests carry out again. Kinds of messages go by their number
-on the wire; the names in `frames.json` are those that they had when the data was made."""
+Tests also repeat the operations on the store and the journal. Kinds of messages are identified by their number on the
+wire; `frames.json` has the names that the kinds had when the data was generated."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
 from ..helper import Core
 
 DATA = Path(__file__).parent
-BORN = 1_700_000_000.0  # Unix seconds: when the kept store begins
-ENDS = BORN + 60  # when it was closed
+BORN = 1_700_000_000.0  # Unix time in seconds at which the kept store is created
+ENDS = BORN + 60  # time at which the kept store is closed
 SEGMENT, MAX_BYTES, MAX_MEMORY = 1024, 64 * 1024, 2**20
 CLUSTER = "kept-cluster"
 Model = dict[bytes, tuple[bytes, float]]
@@ -48,7 +48,7 @@
 
 
 class StoreWriter:
-    """A store driven step by step, without its thread: so the same operations lay out the same bytes."""
+    """A store run step by step without its thread, so that the same operations produce the same bytes."""
 
     def __init__(self, directory: Path) -> None:
         self.now = BORN
@@ -74,7 +74,7 @@
         self.model.pop(key, None)
 
     def settle(self) -> None:
-        """Make all durable and do what is to be done beside the writers."""
+        """Make all writes durable and complete the background work."""
         self._engine.settle()
 
     def compact(self) -> None:
@@ -89,12 +89,12 @@
 
 
 def live(model: Model, now: float) -> dict[str, str]:
-    """What has not expired, as the kept JSON has it."""
+    """Return the unexpired entries in the form of the kept JSON."""
     return {key.hex(): value.hex() for key, (value, expires) in sorted(model.items()) if expires > now}
 
 
 def write_store(directory: Path) -> Model:
-    """Puts, overrulings, deletes, expiries and a compaction, over several segments."""
+    """Write a store of several segments with puts, overwrites, deletes, expiries and a compaction."""
     store = StoreWriter(directory)
     for number in range(24):
         store.put(b"early/%02d" % number, bytes([number]) * (20 + number), math.inf if number % 3 else BORN + 30)
@@ -104,7 +104,7 @@
     for number in range(0, 24, 2):
         store.delete(b"early/%02d" % number)
         store.settle()
-    store.now = BORN + 40  # the third ones have expired
+    store.now = BORN + 40  # every third entry has expired
     for number in range(1, 24, 4):
         store.put(b"early/%02d" % number, b"anew %d" % number, BORN + 500.125)
     store.settle()
@@ -128,20 +128,22 @@
 
 
 def proposal(index: int, key: str, value: str) -> Entry:
-    """An entry as a member proposes it."""
+    """Return a log entry with a proposal that sets a key."""
     data = pack_proposal(Proposal(new_proposal_id(index - 1, 1000 + index), 1, pack_assignment(key, value.encode())))
     return Entry(index, 2 + index // 4, EntryKind.PROPOSAL, data)
 
 
 def journal_changes() -> list[Persist]:
-    """What a member makes durable, in order: entries, a vote, a log replaced at its end, a snapshot, entries on."""
+    """Return the durable changes of a member in order.
+
+    Entries, a vote, a replaced end of the log, a snapshot and further entries."""
     voters = Membership(("anna", "bert~0a1b", "carl"), ("dora",))
     first = Entry(1, 1, EntryKind.VOTERS, b"", voters)
     empty = Entry(2, 2, EntryKind.NO_OP)
     entries = [proposal(index, f"key {index % 3}", f"value {index}") for index in range(3, 10)]
-    copy = ReplicatedState(KeyValueMachine())
-    copy.apply([first, empty, *entries[:4]])
-    snapshot = Snapshot(6, entries[3].term, voters, copy.snapshot())
+    state = ReplicatedState(KeyValueMachine())
+    state.apply([first, empty, *entries[:4]])
+    snapshot = Snapshot(6, entries[3].term, voters, state.snapshot())
     return [
         Persist(1, "anna", 1, (first,)),
         Persist(2, "bert~0a1b", 2, (empty, *entries[:3])),
@@ -156,7 +158,7 @@
 
 
 def large_changes() -> list[Persist]:
-    """A snapshot of more than one piece that takes the place of another, with nothing left of the log before."""
+    """Return changes in which a snapshot of several chunks replaces an earlier snapshot and the whole log."""
     data = b"".join(zlib.crc32(b"%d" % number).to_bytes(4) for number in range(17_000))
     earlier, members = Snapshot(4, 1, Membership(("anna",)), data[:40_000]), Membership(("anna", "bert"), ("carl",))
     return [
@@ -168,19 +170,19 @@
 
 
 def identity_changes() -> list[Change]:
-    """Whose journal it is."""
+    """Return the changes that store the identity of the member and the known stores."""
     stored = StoredIdentity(CLUSTER, "anna", "00c0ffee00c0ffee", StoreStatus.CONFIRMED)
     return [(IDENTITY_KEY, stored.pack()), (KNOWN_STORES_KEY, bytes(msgpack.packb({"bert": "0a1b", "carl": "2c3d"})))]
 
 
 def identities() -> Iterator[bytes]:
-    """One of each standing."""
-    for standing in StoreStatus:
-        yield StoredIdentity(CLUSTER, "anna", "00c0ffee00c0ffee", standing).pack()
+    """Return a packed identity for each store status."""
+    for status in StoreStatus:
+        yield StoredIdentity(CLUSTER, "anna", "00c0ffee00c0ffee", status).pack()
 
 
 def write_journal(directory: Path) -> None:
-    """The journal's changes, each made durable, on a store."""
+    """Write the journal's changes to a store and make each change durable."""
     store = StoreWriter(directory)
     for changes in [identity_changes(), *written(journal_changes())]:
         for key, value in changes:
@@ -194,7 +196,7 @@
 
 
 def gossip_frames() -> Iterator[tuple[str, bytes]]:
-    """All kinds by their number, then the ways in which a frame may be written."""
+    """Return frames of all kinds in order of their number, then encoding variants."""
     kinds: list[tuple[str, tuple[Any, ...]]] = [
         ("Ping", (7, "via-member", 8)),
         ("Ack", (9, 123)),
@@ -225,8 +227,8 @@
         body = BODIES[number](*values)
         packet = Packet("receiver", me, 1_700_000_000_002, 100 + number, 2**32 - 1 - number, body, updates)
         yield name, gossip_frame(packet, cluster)
-    bare = Packet("", whole, whole.incarnation, 1, 0, BODIES[0](1))
-    yield "Ping, bare", gossip_frame(bare, cluster)
+    minimal = Packet("", whole, whole.incarnation, 1, 0, BODIES[0](1))
+    yield "Ping, bare", gossip_frame(minimal, cluster)
     yield "Found, not answered", gossip_frame(Packet("anna", short, 3, 1, 0, BODIES[3](1, "x", False, -1)), cluster)
     yield "Sync, with its length", stream_frame(Packet("anna", whole, 3, 1, 0, BODIES[5](False, True)), cluster)
     many = tuple(whole._replace(name=f"member-{number:03d}", incarnation=number) for number in range(128))
@@ -234,7 +236,7 @@
 
 
 def consensus_frames() -> Iterator[tuple[str, bytes]]:
-    """All kinds by their number."""
+    """Return frames of all kinds in order of their number."""
     voters = Membership(("anna", "bert~0a1b"), ("carl", "dora"))
     entries = (Entry(5, 2, EntryKind.NO_OP), proposal(6, "key", "value"), Entry(7, 4, EntryKind.VOTERS, b"why", voters))
     kinds: list[tuple[str, tuple[Any, ...]]] = [
@@ -263,7 +265,7 @@
 
 
 def learned() -> dict[str, object]:
-    """What a core has learned of a few requests."""
+    """Return the experience that a core gains from a few requests."""
     core = Core()
     for number in range(12):
         core.pick(f"run-{number}", key=f"key-{number % 5}" if number % 2 else None)
@@ -275,7 +277,7 @@
 
 
 def handover_frames() -> Iterator[tuple[str, bytes]]:
-    """All verbs, with the fields that either process tells."""
+    """Return frames of all verbs, with the fields that either process sends."""
     entry = KeyEntry("tenant key \u00e9", "try-1", 1234.5, bytes(range(16)), "try-0", End.ERROR, b"re\xffsult\r\n")
     yield "HELLO", encode_frame("HELLO", version=1)
     yield "HERE", encode_frame("HERE", version=1)
@@ -296,14 +298,14 @@
 
 
 def all_frames() -> dict[str, dict[str, str]]:
-    """Hex by protocol and kind."""
+    """Return all frames as hexadecimal text, by protocol and kind."""
     frames = {"gossip": gossip_frames(), "consensus": consensus_frames(), "hand-over": handover_frames()}
-    kinds = {protocol: {name: data.hex() for name, data in made} for protocol, made in frames.items()}
+    kinds = {protocol: {name: data.hex() for name, data in encoded} for protocol, encoded in frames.items()}
     return kinds | {"preface": {"consensus": PREFACE.hex()}}
 
 
 def plain(value: Any) -> Any:
-    """As JSON has it, without the names of types and fields."""
+    """Convert a value to JSON types, without the names of types and fields."""
     if isinstance(value, bytes):
         return value.hex()
     if is_dataclass(value) and not isinstance(value, type):
@@ -314,19 +316,19 @@
 
 
 def digest(value: object) -> str:
-    """Of what is too large to keep."""
+    """Return the SHA-256 of a value that is too large to keep, in hexadecimal."""
     return hashlib.sha256(json.dumps(plain(value)).encode()).hexdigest()
 
 
 def written(changes: Iterable[Persist]) -> Iterator[list[Change]]:
-    """What the journal makes of each change."""
+    """Return the keys and values that the journal writes for each change."""
     journal = Journal()
     for change in changes:
         yield journal.write(change)
 
 
 def state_after(written: Iterable[list[Change]]) -> Any:
-    """The member's state that is read from these keys and values, and what is left to be deleted."""
+    """Return the member's state read from these keys and values, and the keys still to be deleted."""
     values: dict[bytes, bytes | None] = {}
     for changes in written:
         values |= dict(changes)
@@ -338,7 +340,7 @@
 
 
 def main(directory: Path) -> None:
-    """Write all of the data anew."""
+    """Generate all data, replacing the store and journal directories."""
     for name in ("store", "journal"):
         shutil.rmtree(directory / name, ignore_errors=True)
     model = write_store(directory / "store")
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page: fits, verdicts, and that the page is what the kept results give."""
+"""Tests of the capacity page: fits, verdicts, kept results, and equality of the kept page with the rendered page."""
 
 from __future__ import annotations
 
@@ -45,25 +45,25 @@
     return Series(name, "things", "ms/s", tuple(Point(size, slope * size) for size in sizes))
 
 
-def results(one: Series) -> dict[str, Result]:
-    return {"made": Result("made", RUN, (one,))}
+def results(measured: Series) -> dict[str, Result]:
+    return {"made": Result("made", RUN, (measured,))}
 
 
 # --- the page ---
 
 
-def test_the_page_is_what_the_kept_results_give() -> None:
+def test_page_matches_kept_results() -> None:
     assert not differs(render(load())), "run python -m benchmarks.capacity"
 
 
-def test_a_page_that_was_edited_is_found(tmp_path: Path) -> None:
+def test_edited_or_missing_page_differs(tmp_path: Path) -> None:
     edited = tmp_path / "CAPACITY.md"
     edited.write_text(PAGE.read_text() + "1 ms\n")
     assert differs(render(load()), edited)
     assert differs(render(load()), tmp_path / "none.md")
 
 
-def test_the_check_writes_nothing_and_fails_in_one_line(
+def test_check_fails_with_one_line_and_keeps_page(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert command.main(["--check"]) == 0
@@ -77,24 +77,24 @@
 @pytest.mark.parametrize(
     "words", [["nothing"], ["--fast"], ["--check", "--charts"], ["--check", "start"], ["start", "nothing"]]
 )
-def test_bad_arguments_are_one_line(words: list[str], capsys: pytest.CaptureFixture[str]) -> None:
+def test_invalid_arguments_print_one_line(words: list[str], capsys: pytest.CaptureFixture[str]) -> None:
     assert command.main(words) == command.MISUSED
     captured = capsys.readouterr()
     assert captured.err.startswith("capacity: ") and captured.err.count("\n") == 1
     assert captured.out == ""
 
 
-def test_without_results_every_slope_says_not_measured() -> None:
+def test_slopes_without_results_are_not_measured() -> None:
     text = render({})
     table = text.split("## Slopes")[1].split("##")[0].strip().splitlines()[2:]
     assert len(table) >= len(PARTS)
     assert all("*not measured*" in line for line in table)
     quantities = text.split("## Quantities")[1].split("##")[0].strip().splitlines()[2:]
-    exact = sum(len(role.bounds) for role in ROLES)  # these stand in the code and need no result
+    exact = sum(len(role.bounds) for role in ROLES)  # bounds are computed from the code and need no result
     assert sum(line.count("*not measured*") == len(Condition) for line in quantities) == len(quantities) - exact
 
 
-def test_a_role_with_a_gap_names_it_beside_its_verdict() -> None:
+def test_verdict_lists_unmeasured_aspects() -> None:
     text = render(results(series((10.0, 20.0, 40.0, 80.0))), [ROLE])
     row = next(line for line in text.splitlines() if line.startswith("| a role | "))
     cells = [cell.strip() for cell in row.split("|")]
@@ -102,7 +102,7 @@
     assert cells[-2] == "*not measured*"
 
 
-def test_what_breaks_is_the_last_table_by_factor() -> None:
+def test_last_table_sorts_exceeded_limits_by_factor() -> None:
     last = render(load()).split("## What breaks")
     assert len(last) == 2 and "##" not in last[1]
     factors = [
@@ -115,27 +115,29 @@
 
 
 @pytest.mark.parametrize("shared", [True, False])
-def test_a_time_taken_on_a_shared_machine_says_so(shared: bool) -> None:
-    late = Demand(Aspect.DELAY, "p99", "made.cpu", LIMIT, {Condition.PEAK: Load(400.0)}, "a faster one", wall_time=True)
+def test_wall_time_of_shared_machine_is_marked(shared: bool) -> None:
+    demand = Demand(
+        Aspect.DELAY, "p99", "made.cpu", LIMIT, {Condition.PEAK: Load(400.0)}, "a faster one", wall_time=True
+    )
     kept = Result("made", replace(RUN, machine_shared=shared), (series((10.0, 20.0, 40.0, 80.0)),))
-    last = render({"made": kept}, [Role("a role", "a mechanism", (late,))]).split("## What breaks")[1]
+    last = render({"made": kept}, [Role("a role", "a mechanism", (demand,))]).split("## What breaks")[1]
     assert "*breaks by \N{MULTIPLICATION SIGN}2.00*" in last
     assert ("on a shared machine" in last) == shared
 
 
-def test_every_role_of_the_issue_has_one_row() -> None:
+def test_every_role_has_one_row() -> None:
     table = render({}).split("## Roles")[1].split("## Quantities")[0]
     for role in ROLES:
         assert table.count(f"| {role.name} | ") == 1
 
 
-def test_the_target_stands_on_the_page_as_it_is_stated() -> None:
+def test_page_contains_all_target_labels() -> None:
     text = render({})
     for stated in (*rows(TARGET), *rows(ASSUMPTIONS)):
         assert f"| {stated.label} | " in text
 
 
-def test_charts_that_the_page_shows_are_kept_and_can_be_drawn(tmp_path: Path) -> None:
+def test_charts_of_page_are_kept_and_drawable(tmp_path: Path) -> None:
     shown = drawable(load())
     assert shown
     assert all((CHARTS / chart.file).exists() for chart in shown)
@@ -146,27 +148,27 @@
 # --- kept results ---
 
 
-def test_a_result_is_read_as_it_was_written(tmp_path: Path) -> None:
+def test_saved_result_loads_unchanged(tmp_path: Path) -> None:
     kept = results(series((10.0, 20.0, 40.0, 80.0)))["made"]
     save(kept, tmp_path)
     assert load(tmp_path) == {"made": kept}
 
 
 @pytest.mark.parametrize("text", ["", "[]", "{}", '{"part": "made", "run": {}, "series": []}'])
-def test_a_file_that_is_no_result_is_named(text: str, tmp_path: Path) -> None:
+def test_invalid_result_error_names_file(text: str, tmp_path: Path) -> None:
     (tmp_path / "made.json").write_text(text)
     with pytest.raises(ResultError, match=r"made\.json"):
         load(tmp_path)
 
 
-def test_kept_results_are_those_of_parts_and_name_their_run() -> None:
+def test_kept_results_belong_to_parts_and_record_run() -> None:
     for part, result in load().items():
         assert part in PARTS and result.part == part
         assert result.run.command == f"python -m benchmarks.capacity {part}"
         assert result.run.commit and result.run.date
 
 
-def test_every_demand_names_a_part() -> None:
+def test_every_demand_series_belongs_to_part() -> None:
     for role in ROLES:
         for demand in role.demands:
             assert demand.series.partition(".")[0] in PARTS
@@ -175,27 +177,27 @@
 # --- fits ---
 
 
-def test_a_fit_finds_a_known_slope_within_its_error() -> None:
+def test_linear_fit_recovers_known_slope_and_error() -> None:
     rng = random.Random(1)
     sizes = [100.0, 200.0, 400.0, 800.0, 1600.0]
     points = tuple(Point(size, 7.0 + 0.25 * size + rng.gauss(0.0, 3.0)) for size in sizes for _ in range(200))
-    found = fit(Series("made", "things", "ms", points))
+    fitted = fit(Series("made", "things", "ms", points))
     expected = 3.0 / math.sqrt(200 * sum((size - 620.0) ** 2 for size in sizes))
-    assert found.slope.error == pytest.approx(expected, rel=0.1)
-    assert abs(found.slope.value - 0.25) < 3 * expected
-    at = found.at(2300.0)
+    assert fitted.slope.error == pytest.approx(expected, rel=0.1)
+    assert abs(fitted.slope.value - 0.25) < 3 * expected
+    at = fitted.at(2300.0)
     assert abs(at.value - (7.0 + 0.25 * 2300.0)) < 3 * at.error
-    assert at.error > found.at(620.0).error
+    assert at.error > fitted.at(620.0).error
 
 
-def test_a_fit_by_the_logarithm_finds_its_slope() -> None:
+def test_logarithmic_fit_recovers_known_slope() -> None:
     points = tuple(Point(size, 1.0 + 0.5 * math.log2(size)) for size in (10.0, 20.0, 40.0, 80.0))
-    found = fit(Series("made", "things", "s", points), Model.LOGARITHMIC)
-    assert found.slope.value == pytest.approx(0.5)
-    assert found.at(2300.0).value == pytest.approx(1.0 + 0.5 * math.log2(2300.0))
+    fitted = fit(Series("made", "things", "s", points), Model.LOGARITHMIC)
+    assert fitted.slope.value == pytest.approx(0.5)
+    assert fitted.at(2300.0).value == pytest.approx(1.0 + 0.5 * math.log2(2300.0))
 
 
-def test_the_better_model_is_the_one_with_the_smaller_residual() -> None:
+def test_better_model_has_smaller_residual() -> None:
     sizes = (10.0, 20.0, 40.0, 80.0)
     line = Series("made", "things", "s", tuple(Point(size, 3.0 + 2.0 * size) for size in sizes))
     curve = Series("made", "things", "s", tuple(Point(size, 3.0 + 2.0 * math.log2(size)) for size in sizes))
@@ -203,7 +205,7 @@
     assert fit(curve, Model.BETTER).model is Model.LOGARITHMIC
 
 
-def test_addends_are_fitted_each_by_itself() -> None:
+def test_addends_are_fitted_separately() -> None:
     sizes = (10.0, 20.0, 40.0, 80.0)
     flat = Series("flat", "things", "ms/s", tuple(Point(size, 1.0 + math.log2(size)) for size in sizes))
     demand = replace(DEMAND, model=Model.BETTER, addends=("made.flat",), loads={Condition.PEAK: Load(1024.0)})
@@ -218,7 +220,7 @@
 @pytest.mark.parametrize(
     "sizes", [(10.0, 20.0, 80.0), (10.0, 10.0, 40.0, 80.0), (10.0, 20.0, 40.0, 79.0), (0.0, 1, 2, 8)]
 )
-def test_under_four_sizes_or_a_factor_of_eight_there_is_no_slope(sizes: tuple[float, ...]) -> None:
+def test_too_few_or_too_close_sizes_have_no_slope(sizes: tuple[float, ...]) -> None:
     with pytest.raises(TooFewSizesError):
         fit(series(sizes))
     (assessed,) = assess(ROLE, results(series(sizes)))
@@ -231,7 +233,7 @@
 # --- verdicts ---
 
 
-def test_a_verdict_is_the_distance_from_the_limit() -> None:
+def test_verdict_factor_is_ratio_to_limit() -> None:
     holds, breaks = judge(Estimate(25.0, 1.0), 100.0), judge(Estimate(400.0, 1.0), 100.0)
     assert (holds.verdict, holds.factor, holds.load) == (Verdict.HOLDS, 4.0, 0.25)
     assert (breaks.verdict, breaks.factor, breaks.load) == (Verdict.BREAKS, 4.0, 4.0)
@@ -242,17 +244,17 @@
     assert judge(Estimate(-1.0, 2.0), 100.0) is NOT_MEASURED
 
 
-def test_the_worst_of_several_decides_and_is_named() -> None:
-    one, other = (
+def test_worst_quantity_determines_verdict() -> None:
+    first, second = (
         replace(DEMAND, quantity=name, limit=Limit(most, "B", "-")) for name, most in (("a", 50.0), ("b", 20.0))
     )
-    text = render(results(series((10.0, 20.0, 40.0, 80.0))), [Role("a role", "a mechanism", (one, other))])
+    text = render(results(series((10.0, 20.0, 40.0, 80.0))), [Role("a role", "a mechanism", (first, second))])
     row = next(line for line in text.splitlines() if line.startswith("| a role | "))
     assert "*breaks by \N{MULTIPLICATION SIGN}1.25* (b)" in row
     assert "*breaks by \N{MULTIPLICATION SIGN}10.0* (b)" in row
 
 
-def test_each_condition_is_judged_at_its_own_load() -> None:
+def test_conditions_use_separate_loads() -> None:
     (assessed,) = assess(ROLE, results(series((10.0, 20.0, 40.0, 80.0))))
     assert assessed.cells[Condition.ORDINARY].judgement.factor == pytest.approx(4.0)
     assert assessed.cells[Condition.PEAK].judgement.verdict is Verdict.BREAKS
@@ -261,7 +263,7 @@
     assert assessed.when == [Condition.PEAK]
 
 
-def test_a_bound_in_the_code_is_judged_without_a_measurement() -> None:
+def test_bound_has_verdict_without_measurement() -> None:
     bound = Bound(Aspect.STATE, "names", 300.0, Limit(100.0, "names", "made up"), "more room")
     (assessed,) = assess(Role("a role", "a mechanism", bounds=(bound,)), {})
     assert all(cell.judgement.factor == 3.0 for cell in assessed.cells.values())
@@ -270,30 +272,30 @@
 # --- parts ---
 
 
-def test_the_largest_table_of_members_is_found_in_the_settings() -> None:
+def test_member_limit_is_read_from_configuration_check() -> None:
     assert most_members() >= 1024
 
 
 @pytest.mark.parametrize("part", PARTS)
-def test_every_part_can_be_run(part: str) -> None:
+def test_every_part_has_run_function(part: str) -> None:
     assert callable(import_module(f"benchmarks.capacity.measure.{part}").run)
 
 
-def test_a_process_is_told_its_processor_time() -> None:
+def test_scheduler_times_include_processor_time() -> None:
     before = scheduled(os.getpid())
-    begun = time.process_time()
-    while time.process_time() < begun + 0.02:
+    started = time.process_time()
+    while time.process_time() < started + 0.02:
         pass
     assert scheduled(os.getpid()).cpu_ms - before.cpu_ms >= 15
 
 
-def test_settings_of_a_size_are_sound() -> None:
+def test_generated_settings_are_valid() -> None:
     assert len(parse_settings(settings("tenants", 37)).tenants) == 37
     assert len(parse_settings(settings("classes", 37)).classes) == 37
 
 
-def test_the_direct_call_and_the_node_tell_their_answers_apart() -> None:
-    async def asked() -> None:
+def test_direct_and_node_connections_parse_answers() -> None:
+    async def exchange() -> None:
         server = await asyncio.start_server(lambda _reader, _writer: None, "127.0.0.1", 0)
         address = server.sockets[0].getsockname()
         direct = Direct(*await asyncio.open_connection(*address))
@@ -305,10 +307,10 @@
         await through.close()
         server.close()
 
-    asyncio.run(asked())
+    asyncio.run(exchange())
 
 
-def test_runs_of_lab_scale_become_series(tmp_path: Path) -> None:
+def test_lab_scale_runs_become_series(tmp_path: Path) -> None:
     for members in (100, 200):
         run = {
             "members": members,
@@ -321,19 +323,19 @@
         lost = {**run, "scenario": "zone-lost", "sent_bytes_per_s": {"mean": 1.0 * members, "p99": 1.0}}
         (tmp_path / f"lost-{members}.json").write_text(json.dumps([lost]))
         (tmp_path / f"{members}.json").write_text(json.dumps(run))
-    hung = {"members": 400, "scenario": "zone-lost", "unfinished_after_cpu_s": 9}
-    (tmp_path / "unfinished.json").write_text(json.dumps([hung]))
+    unfinished = {"members": 400, "scenario": "zone-lost", "unfinished_after_cpu_s": 9}
+    (tmp_path / "unfinished.json").write_text(json.dumps([unfinished]))
     measured = member.read(tmp_path)
     assert any("did not end in time: 1 (zone-lost, 400 members" in note for note in measured.notes)
-    found = {one.name: one.points for one in measured.series}
-    assert found["sent_bytes_per_s"] == (Point(100.0, 1000.0), Point(200.0, 2000.0))
-    assert found["crash_known_p99_s"][0] == Point(100.0, 3.0)
-    assert found["zone_lost_sent_bytes_per_s"] == (Point(100.0, 100.0), Point(200.0, 200.0))
-    assert "memory_bytes" not in found  # that of a simulator, not of a member
+    points = {item.name: item.points for item in measured.series}
+    assert points["sent_bytes_per_s"] == (Point(100.0, 1000.0), Point(200.0, 2000.0))
+    assert points["crash_known_p99_s"][0] == Point(100.0, 3.0)
+    assert points["zone_lost_sent_bytes_per_s"] == (Point(100.0, 100.0), Point(200.0, 200.0))
+    assert "memory_bytes" not in points  # memory of the simulator, not of a member
     assert measured.seeds == (7,)
 
 
-def test_a_file_that_is_no_run_of_lab_scale_is_named(tmp_path: Path) -> None:
+def test_invalid_lab_scale_error_names_file(tmp_path: Path) -> None:
     with pytest.raises(ResultError):
         member.read(tmp_path)
     (tmp_path / "100.json").write_text("{}")
@@ -351,7 +353,7 @@
     (directory / "unfinished-churn.json").write_text("[]")
 
 
-def test_runs_of_both_mechanisms_stand_side_by_side(tmp_path: Path) -> None:
+def test_comparison_has_runs_of_both_mechanisms(tmp_path: Path) -> None:
     before, after = tmp_path / "before", tmp_path / "after"
     _keep_run(before, sent_bytes_per_s={"mean": 4223.4, "p99": 19962.3})
     assert comparison.compared(before, after) == []
@@ -362,7 +364,7 @@
     assert second[5] == second[7] == "—"
 
 
-def test_a_kept_run_that_cannot_be_read_is_named(tmp_path: Path) -> None:
+def test_unreadable_run_error_names_file(tmp_path: Path) -> None:
     (tmp_path / "scale-x.json").write_text("{")
     with pytest.raises(ResultError, match=r"^scale-x\.json: "):
         comparison.compared(tmp_path, tmp_path / "none")
--- a/tests/test_equality.py
+++ b/tests/test_equality.py
@@ -1,5 +1,6 @@
-"""Figures of the decision module and of the simulators are equal, to the digit, to the kept ones: a change of names or
-of shape changes none of them."""
+"""Tests that figures of the decision module and the simulators equal the kept figures exactly.
+
+Guards against refactoring that changes behaviour."""
 
 from __future__ import annotations
 
@@ -20,11 +21,11 @@
 
 
 @pytest.mark.parametrize("part", PARTS)
-def test_figures_of_a_seed_are_equal_to_the_kept_ones(part: str) -> None:
+def test_figures_equal_kept_figures(part: str) -> None:
     kept = json.loads(equality.KEPT.read_text())[part]
     assert json.loads(json.dumps(PARTS[part]())) == kept
 
 
-def test_a_different_seed_gives_different_figures() -> None:
+def test_figures_depend_on_seed() -> None:
     kept = json.loads(equality.KEPT.read_text())["membership"]
     assert json.loads(json.dumps(equality.membership_figures(3))) not in kept.values()
--- a/tests/test_external_names.py
+++ b/tests/test_external_names.py
@@ -1,4 +1,4 @@
-"""Names that leave the process stand in the code as `docs/external-names.txt` lists them."""
+"""Tests that the code still contains every external name listed in `docs/external-names.txt`."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 def listed_names() -> list[str]:
-    """Return the names of the list, each once, without its headings."""
+    """Return the distinct names of the list, without its headings."""
     lines = [line.partition("#")[0].strip() for line in LIST.read_text().splitlines()]
     return list(dict.fromkeys(line for line in lines if line))
 
 
-def words_of_the_code() -> frozenset[str]:
-    """Return the identifiers of the code and the words of its strings, docstrings and comments left out."""
+def words_in_code() -> frozenset[str]:
+    """Return the identifiers and the words of strings in the code, without docstrings and comments."""
     words: set[str] = set()
     for folder in ("chutepin", "benchmarks"):
         for path in (ROOT / folder).rglob("*.py"):
@@ -38,6 +38,6 @@
     assert len(listed_names()) >= MIN_NAMES
 
 
-def test_external_names_stand_in_code() -> None:
-    words = words_of_the_code()
+def test_code_contains_external_names() -> None:
+    words = words_in_code()
     assert [name for name in listed_names() if name not in words] == []
