--- a/benchmarks/capacity/assess.py
+++ b/benchmarks/capacity/assess.py
@@ -30,21 +30,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """One series of a demand and its fit. `refused` gives the reason if a kept series cannot be fitted."""
+    """One series of a demand and its fit. `fit_error` gives the reason if a kept series cannot be fitted."""
 
     name: str  # PART.NAME
     result: Result | None = None
     series: Series | None = None
     fit: Fit | None = None
-    refused: str = ""
+    fit_error: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Assessed:
+class Assessment:
     """A demand or bound with its cells, and the slopes from which they are computed."""
 
     role: Role
-    of: Demand | Bound
+    requirement: Demand | Bound
     cells: Mapping[Condition, Cell]
     slopes: tuple[Slope, ...] = ()
 
@@ -62,7 +62,7 @@
     def disturbed(self) -> bool:
         """Return whether other work on the machine may have increased the measured value."""
         shared = any(slope.result is not None and slope.result.run.machine_shared for slope in self.slopes)
-        return shared and isinstance(self.of, Demand) and self.of.wall_time
+        return shared and isinstance(self.requirement, Demand) and self.requirement.wall_time
 
     @property
     def when(self) -> list[Condition]:
@@ -70,23 +70,23 @@
         return [condition for condition, cell in self.cells.items() if cell.judgement.verdict is Verdict.BREAKS]
 
 
-def assess(role: Role, results: Mapping[str, Result]) -> list[Assessed]:
+def assess(role: Role, results: Mapping[str, Result]) -> list[Assessment]:
     """Return the assessments of all demands and bounds of a role, in order."""
     return [_demand(role, demand, results) for demand in role.demands] + [_bound(role, bound) for bound in role.bounds]
 
 
-def _bound(role: Role, bound: Bound) -> Assessed:
+def _bound(role: Role, bound: Bound) -> Assessment:
     estimate = Estimate(bound.needed, 0.0)
     cell = Cell(estimate, judge(estimate, bound.limit.value))
-    return Assessed(role, bound, dict.fromkeys(Condition, cell))
+    return Assessment(role, bound, dict.fromkeys(Condition, cell))
 
 
-def _demand(role: Role, demand: Demand, results: Mapping[str, Result]) -> Assessed:
+def _demand(role: Role, demand: Demand, results: Mapping[str, Result]) -> Assessment:
     slopes = tuple(_slope(name, demand, results) for name in (demand.series, *demand.addends))
     fits = [slope.fit for slope in slopes if slope.fit is not None]
     if len(fits) < len(slopes):
-        return Assessed(role, demand, dict.fromkeys(Condition, UNKNOWN), slopes)
-    return Assessed(role, demand, {condition: _cell(demand, fits, condition) for condition in Condition}, slopes)
+        return Assessment(role, demand, dict.fromkeys(Condition, UNKNOWN), slopes)
+    return Assessment(role, demand, {condition: _cell(demand, fits, condition) for condition in Condition}, slopes)
 
 
 def _slope(name: str, demand: Demand, results: Mapping[str, Result]) -> Slope:
@@ -97,7 +97,7 @@
     try:
         return Slope(name, result, series, fit(series, demand.model))
     except TooFewSizesError as error:
-        return Slope(name, result, series, refused=str(error))
+        return Slope(name, result, series, fit_error=str(error))
 
 
 def _cell(demand: Demand, fits: list[Fit], condition: Condition) -> Cell:
@@ -105,8 +105,8 @@
     if load is None:
         return UNKNOWN
     parts = [fitted.at(load.size) for fitted in fits]
-    value = load.times * sum(part.value for part in parts)
-    error = load.times * math.hypot(*(part.error for part in parts))
+    value = load.factor * sum(part.value for part in parts)
+    error = load.factor * math.hypot(*(part.error for part in parts))
     estimate = Estimate(value, error)
     judgement = judge(estimate, demand.limit.value)
     return UNKNOWN if judgement is NOT_MEASURED else Cell(estimate, judgement)
--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -15,7 +15,7 @@
         self.type_annotation, self.value = unit, value
 
 
-def most_members() -> int:
+def max_members() -> int:
     """Return the largest value of `members` that the block `cluster` accepts."""
     check = CHECKS["members"]
     assert callable(check)
--- a/benchmarks/capacity/comparison.py
+++ b/benchmarks/capacity/comparison.py
@@ -77,7 +77,7 @@
         yield from runs
 
 
-def compared(before: Path = BEFORE, after: Path = AFTER) -> list[list[str]]:
+def comparison_rows(before: Path = BEFORE, after: Path = AFTER) -> list[list[str]]:
     """Return a row for each kept run, or no rows unless both mechanisms have runs. Raises ResultError."""
     runs = [MemberRun(raw, directory == before) for directory in (before, after) for raw in _completed_runs(directory)]
     if len({run.before for run in runs}) < 2:
--- a/benchmarks/capacity/measure/__init__.py
+++ b/benchmarks/capacity/measure/__init__.py
@@ -1,4 +1,4 @@
-"""The measured parts, one module each. `PARTS` lists the modules; the `run` of each returns a `Measured`."""
+"""The measured parts, one module each. `PARTS` lists the modules; the `run` of each returns a `Measurement`."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from importlib import import_module
 
 from ..results import ROOT, Result, Run
-from .tools import Measured
+from .tools import Measurement
 
 PARTS = (
     "request",
@@ -29,7 +29,7 @@
 def measure(part: str, *, shared: bool) -> Result:
     """Measure a part. `shared` states whether other work runs on the machine."""
     module = import_module(f".{part}", __package__)
-    run: Callable[[], Measured] = module.run
+    run: Callable[[], Measurement] = module.run
     measured = run()
     commit = subprocess.run(
         ["git", "rev-parse", "--short", "HEAD"], cwd=ROOT, capture_output=True, text=True, check=True
--- a/benchmarks/capacity/measure/changes.py
+++ b/benchmarks/capacity/measure/changes.py
@@ -8,7 +8,7 @@
 from chutepin.testbench.simulators.consensus import SETTINGS
 
 from .log import SimulatedRun, simulate
-from .tools import Measured, Table
+from .tools import Measurement, Table
 
 VALUE_BYTES = (32, 128, 512, 1_024)  # the state machine accepts values of up to 1,024 bytes
 OBSERVERS = 100
@@ -33,7 +33,7 @@
     return itertools.count(10 ** (size - 2))
 
 
-def run() -> Measured:
+def run() -> Measurement:
     """Measure the part and return its series."""
     table = Table("bytes of a change", UNITS)
     for seed in SEEDS:
@@ -45,7 +45,7 @@
                 observer_bytes_per_s=outcome.observers.bytes_per_s,
                 feeder_bytes_per_s=outcome.most_bytes_per_s,
             )
-    return Measured(
+    return Measurement(
         table.series(),
         SEEDS,
         (
--- a/benchmarks/capacity/measure/classes.py
+++ b/benchmarks/capacity/measure/classes.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from .tenants import measure_in_processes
-from .tools import Measured
+from .tools import Measurement
 
 SIZES = (100, 400, 1_600, 6_400)
 
 
-def run() -> Measured:
+def run() -> Measurement:
     """Measure the part and return its series."""
     return measure_in_processes("classes", SIZES)
--- a/benchmarks/capacity/measure/connections.py
+++ b/benchmarks/capacity/measure/connections.py
@@ -5,7 +5,7 @@
 import asyncio
 from contextlib import AsyncExitStack
 
-from .tools import SETTLE_S, Measured, Table, node, pid, resident_bytes
+from .tools import SETTLE_S, Measurement, Table, pid, resident_bytes, start_node
 
 SIZES = (50, 100, 200, 400, 800)
 ROUNDS = 2
@@ -14,12 +14,12 @@
 UNITS = {"memory_bytes": "bytes"}
 
 
-async def measured() -> Measured:
+async def measure_connections() -> Measurement:
     """Open connections to one process in steps, keep them open and measure its memory after each step."""
     table = Table("connections", UNITS)
     for _ in range(ROUNDS):
         async with AsyncExitStack() as stack:
-            world = await node(stack, sockets=SOCKETS)
+            world = await start_node(stack, sockets=SOCKETS)
             before = resident_bytes(pid(world))
             readers: list[asyncio.StreamReader] = []
             for size in SIZES:
@@ -29,7 +29,7 @@
                 if any(reader.at_eof() for reader in readers):
                     raise RuntimeError("the node closed an idle connection")
                 table.add(size, memory_bytes=resident_bytes(pid(world)) - before)
-    return Measured(
+    return Measurement(
         table.series(),
         notes=(
             "idle connections without a request; what stands in the program's memory, not in the kernel's buffers",
@@ -46,6 +46,6 @@
     return reader
 
 
-def run() -> Measured:
+def run() -> Measurement:
     """Measure the part and return its series."""
-    return asyncio.run(measured())
+    return asyncio.run(measure_connections())
--- a/benchmarks/capacity/measure/keys.py
+++ b/benchmarks/capacity/measure/keys.py
@@ -8,7 +8,7 @@
 
 from chutepin.testbench.standins.platform import EXAMPLE, Balancer
 
-from .tools import SETTLE_S, Measured, Table, node, pid, resident_bytes
+from .tools import SETTLE_S, Measurement, Table, pid, resident_bytes, start_node
 
 SIZES = (500, 1000, 2000, 4000, 8000)
 CONCURRENT_REQUESTS = 4
@@ -29,12 +29,12 @@
     }
 
 
-async def measured() -> Measured:
+async def measure_keys() -> Measurement:
     """Send requests with distinct keys in steps. Refused requests store no key and are not counted."""
     table = Table("keys", UNITS)
     rng = random.Random(SEED)
     async with AsyncExitStack() as stack:
-        world = await node(stack, _settings(EXAMPLE["settings"]["categories"]))
+        world = await start_node(stack, _settings(EXAMPLE["settings"]["categories"]))
         balancer = await world.connect()
         done = 0
         while done < WARM_UP_REQUESTS:
@@ -46,7 +46,7 @@
             await asyncio.sleep(SETTLE_S)
             table.add(done, memory_bytes=resident_bytes(pid(world)) - before)
         await balancer.close()
-    return Measured(
+    return Measurement(
         table.series(),
         (SEED,),
         (
@@ -68,6 +68,6 @@
     return served
 
 
-def run() -> Measured:
+def run() -> Measurement:
     """Measure the part and return its series."""
-    return asyncio.run(measured())
+    return asyncio.run(measure_keys())
--- a/benchmarks/capacity/measure/log.py
+++ b/benchmarks/capacity/measure/log.py
@@ -19,7 +19,7 @@
 from chutepin.testbench.simulators.consensus import LINK_DELAY_S, SETTINGS, WRITE_DURATION_S, Simulator
 
 from .request import quantile
-from .tools import Measured, Table
+from .tools import Measurement, Table
 
 OBSERVERS = (50, 100, 200, 400, 800)
 VOTERS = 3
@@ -131,7 +131,7 @@
     return f"{1000 * bounds[0]:g} to {1000 * bounds[1]:g} ms"
 
 
-def run() -> Measured:
+def run() -> Measurement:
     """Measure the part and return its series."""
     table = Table("observers", UNITS)
     for seed in SEEDS:
@@ -147,7 +147,7 @@
                 feeder_bytes_per_s=outcome.most_bytes_per_s,
                 spread_p99_s=quantile(outcome.spread_s, 0.99),
             )
-    return Measured(
+    return Measurement(
         table.series(),
         SEEDS,
         (
--- a/benchmarks/capacity/measure/member.py
+++ b/benchmarks/capacity/measure/member.py
@@ -14,7 +14,7 @@
 from chutepin.testbench.scale.workload import Scenario
 
 from ..results import RESULTS, ResultError
-from .tools import Measured, Table
+from .tools import Measurement, Table
 
 FILES = RESULTS / "member"
 STEADY = Scenario.CHURN.value
@@ -95,7 +95,7 @@
     )
 
 
-def read(directory: Path) -> Measured:
+def read(directory: Path) -> Measurement:
     """Read all result files of a directory. Raises ResultError."""
     all_runs = list(_runs(directory))
     runs = [run for run in all_runs if UNFINISHED not in run]
@@ -106,9 +106,11 @@
     for run in runs:
         table.add(run["members"], **{prefix(run) + name: value for name, value in values_of(run).items()})
     seeds = {run["seed"] for run in all_runs if isinstance(run.get("seed"), int)}
-    return Measured(table.series(), tuple(sorted(seeds)), _notes(runs, [run for run in all_runs if UNFINISHED in run]))
+    return Measurement(
+        table.series(), tuple(sorted(seeds)), _notes(runs, [run for run in all_runs if UNFINISHED in run])
+    )
 
 
-def run() -> Measured:
+def run() -> Measurement:
     """Measure the part and return its series."""
     return read(FILES)
--- a/benchmarks/capacity/measure/member_runs.py
+++ b/benchmarks/capacity/measure/member_runs.py
@@ -30,7 +30,7 @@
 SEEDS = (1, 2, 3)
 
 
-def kept(scenario: Scenario, members: int) -> bool:
+def has_result(scenario: Scenario, members: int) -> bool:
     """Return whether the result of a finished run of this scenario and size is kept."""
     return any(FILES.glob(f"scale-simulator-{scenario.value}-{members}-seed*.json"))
 
@@ -70,7 +70,7 @@
             return False
         for path in Path(folder).glob("*.json"):
             (FILES / path.name).write_text(path.read_text())
-    return kept(scenario, members)
+    return has_result(scenario, members)
 
 
 def main(words: list[str]) -> None:
@@ -79,7 +79,7 @@
         scenario = Scenario(word)
         for members in STEADY_MEMBERS if scenario is Scenario.CHURN else BAD_HOUR_MEMBERS:
             for seed in SEEDS:
-                if kept(scenario, members):
+                if has_result(scenario, members):
                     break
                 finished = run_scale(scenario, members, seed)
                 print(
--- a/benchmarks/capacity/measure/operators.py
+++ b/benchmarks/capacity/measure/operators.py
@@ -16,7 +16,7 @@
 from chutepin.request_metrics import RequestMetrics
 
 from .start import record
-from .tools import Measured, Table
+from .tools import Measurement, Table
 
 CLASSES = (100, 400, 1_600, 6_400)
 MEMBERS = (100, 300, 900, 2_300)
@@ -52,7 +52,7 @@
     table.add(members, members_cpu_ms=cpu_ms, members_bytes=size)
 
 
-def run() -> Measured:
+def run() -> Measurement:
     """Measure the part and return its series."""
     rng = random.Random(1)
     stat, members = Table("classes", STAT_UNITS), Table("members", MEMBERS_UNITS)
@@ -61,7 +61,7 @@
             _show_stat(stat, size, rng)
         for size in MEMBERS:
             _members(members, size)
-    return Measured(
+    return Measurement(
         stat.series() + members.series(),
         (1,),
         ("the answer made and encoded in one process, without the socket that carries it",),
--- a/benchmarks/capacity/measure/request.py
+++ b/benchmarks/capacity/measure/request.py
@@ -16,7 +16,7 @@
 from chutepin.net.resp import RespParser, array
 from chutepin.testbench.standins.platform import Standins
 
-from .tools import Measured, Scheduled, Table, node, pid, scheduled
+from .tools import Measurement, SchedulerTimes, Table, pid, scheduler_times, start_node
 
 RATES = (50, 100, 200, 400, 800)  # requests a second
 SECONDS = 6.0
@@ -66,10 +66,10 @@
         while data := await self.reader.read(READ_BYTES):
             now = time.perf_counter()
             for tag, served in self.answers(data):
-                begun = self.sent.pop(tag, None)
-                if begun is not None and served:
+                started = self.sent.pop(tag, None)
+                if started is not None and served:
                     self.served += 1
-                    self.latencies_ms.append(1000 * (now - begun))
+                    self.latencies_ms.append(1000 * (now - started))
 
     async def close(self) -> None:
         """Stop reading and close the connection."""
@@ -130,9 +130,9 @@
 
 async def offer(ask: Callable[[], None], rate: float, seconds: float, rng: random.Random) -> None:
     """Send requests at random times, independent of the answers to earlier requests (open loop)."""
-    begun = time.perf_counter()
-    due = begun
-    while due < begun + seconds:
+    started = time.perf_counter()
+    due = started
+    while due < started + seconds:
         due += rng.expovariate(rate)
         if (ahead := due - time.perf_counter()) > 0:
             await asyncio.sleep(ahead)
@@ -152,22 +152,22 @@
         return link.latencies_ms
 
 
-async def measure_through_node(rate: float, rng: random.Random) -> tuple[Scheduled, ThroughNode]:
+async def measure_through_node(rate: float, rng: random.Random) -> tuple[SchedulerTimes, ThroughNode]:
     """Return the processor time of the node a second, and the connection with its latencies."""
     async with AsyncExitStack() as stack:
-        world = await node(stack)
+        world = await start_node(stack)
         link = ThroughNode(*await asyncio.open_connection("127.0.0.1", world.port))
         await offer(link.ask, rate, 1.0, rng)  # warm-up
         link.latencies_ms.clear()
         link.asked = link.served = 0
-        before, begun = scheduled(pid(world)), time.perf_counter()
+        before, started = scheduler_times(pid(world)), time.perf_counter()
         await offer(link.ask, rate, SECONDS, rng)
-        after, took = scheduled(pid(world)), time.perf_counter() - begun
+        after, took = scheduler_times(pid(world)), time.perf_counter() - started
         await link.close()
-        return Scheduled((after.cpu_ms - before.cpu_ms) / took, (after.waited_ms - before.waited_ms) / took), link
+        return SchedulerTimes((after.cpu_ms - before.cpu_ms) / took, (after.waited_ms - before.waited_ms) / took), link
 
 
-async def measured() -> Measured:
+async def measure_rates() -> Measurement:
     """Measure all rates in turn, for several rounds."""
     table = Table("requests a second", UNITS)
     for round_number in range(ROUNDS):
@@ -185,7 +185,7 @@
                 added_p99_ms=node_p99 - direct_p99,
                 not_served=100 * (1 - link.served / link.asked),
             )
-    return Measured(
+    return Measurement(
         table.series(),
         tuple(SEED + number for number in range(ROUNDS)),
         (
@@ -198,6 +198,6 @@
     )
 
 
-def run() -> Measured:
+def run() -> Measurement:
     """Measure the part and return its series."""
-    return asyncio.run(measured())
+    return asyncio.run(measure_rates())
--- a/benchmarks/capacity/measure/start.py
+++ b/benchmarks/capacity/measure/start.py
@@ -24,7 +24,7 @@
     pack_proposal,
 )
 
-from .tools import Measured, Table
+from .tools import Measurement, Table
 
 MEMBERS = (100, 300, 900, 2_300)
 FACTS = (32, 64, 128, 256)  # the state machine accepts up to 256 names
@@ -82,7 +82,7 @@
     table.add(facts, log_state_bytes=len(replica.machine.snapshot()), log_take_in_cpu_ms=_timed(load_state))
 
 
-def run() -> Measured:
+def run() -> Measurement:
     """Measure the part and return its series."""
     rng = random.Random(SEED)
     membership, log = Table("members", MEMBER_UNITS), Table("names", FACT_UNITS)
@@ -91,7 +91,7 @@
             _membership(membership, members)
         for facts in FACTS:
             _log(log, facts, rng)
-    return Measured(
+    return Measurement(
         membership.series() + log.series(),
         (SEED,),
         (
--- a/benchmarks/capacity/measure/tenants.py
+++ b/benchmarks/capacity/measure/tenants.py
@@ -9,7 +9,7 @@
 from chutepin.decision.control_loop import CONTROL_INTERVAL_S
 from chutepin.testbench.standins.platform import EXAMPLE
 
-from .tools import Measured, Table, in_fresh_process
+from .tools import Measurement, Table, run_in_new_process
 
 SIZES = (2_000, 8_000, 32_000, 128_000)
 ROUNDS = 2
@@ -38,7 +38,7 @@
     return made
 
 
-def measure_in_processes(kind: str, sizes: tuple[int, ...]) -> Measured:
+def measure_in_processes(kind: str, sizes: tuple[int, ...]) -> Measurement:
     """Measure settings of the given sizes, each in a new process, and return the series."""
     table = Table(kind, UNITS)
     for _ in range(ROUNDS):
@@ -46,10 +46,10 @@
             with tempfile.NamedTemporaryFile("w") as file:
                 json.dump(settings(kind, size), file)
                 file.flush()
-                values = in_fresh_process(PROBE, file.name)
+                values = run_in_new_process(PROBE, file.name)
             control = values.pop("control_cpu_ms")
             table.add(size, control_cpu_ms_per_s=CONTROLS_PER_S * control, **values)
-    return Measured(
+    return Measurement(
         table.series(),
         notes=(
             "settings parsed from their JSON, module built; without requests",
@@ -58,6 +58,6 @@
     )
 
 
-def run() -> Measured:
+def run() -> Measurement:
     """Measure the part and return its series."""
     return measure_in_processes("tenants", SIZES)
--- a/benchmarks/capacity/measure/tools.py
+++ b/benchmarks/capacity/measure/tools.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Measured:
+class Measurement:
     """The series that a part measured, with their seeds and notes."""
 
     series: tuple[Series, ...]
@@ -54,17 +54,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Scheduled:
+class SchedulerTimes:
     """Processor and waiting time of a process since its start, as counted by the kernel's scheduler."""
 
     cpu_ms: float  # running on a processor
     waited_ms: float  # runnable, but waiting for a processor
 
 
-def scheduled(pid: int) -> Scheduled:
+def scheduler_times(pid: int) -> SchedulerTimes:
     """Return the scheduler times summed over all threads of a process."""
     columns = [(task / "schedstat").read_text().split() for task in Path(f"/proc/{pid}/task").iterdir()]
-    return Scheduled(sum(int(column[0]) for column in columns) / 1e6, sum(int(column[1]) for column in columns) / 1e6)
+    return SchedulerTimes(
+        sum(int(column[0]) for column in columns) / 1e6, sum(int(column[1]) for column in columns) / 1e6
+    )
 
 
 def resident_bytes(pid: int) -> int:
@@ -72,7 +74,7 @@
     return int(Path(f"/proc/{pid}/status").read_text().split("VmRSS:")[1].split()[0]) * 1024
 
 
-def in_fresh_process(module: str, *arguments: str) -> dict[str, float]:
+def run_in_new_process(module: str, *arguments: str) -> dict[str, float]:
     """Run a module in a new process and return the JSON object of numbers that the module prints."""
     completed = subprocess.run(
         [sys.executable, "-O", "-m", module, *arguments],
@@ -87,7 +89,9 @@
     return values
 
 
-async def node(stack: AsyncExitStack, changes: Mapping[str, Any] | None = None, *, sockets: int = 1024) -> Standins:
+async def start_node(
+    stack: AsyncExitStack, changes: Mapping[str, Any] | None = None, *, sockets: int = 1024
+) -> Standins:
     """Start the program with `-O` between simulated services, with the example settings updated by `changes`."""
     world = Standins(_merged(EXAMPLE["settings"], changes or {}))
     world.sockets = sockets
--- a/benchmarks/capacity/model.py
+++ b/benchmarks/capacity/model.py
@@ -41,7 +41,7 @@
     """The size at which a series is evaluated, and the factor applied to its value."""
 
     size: float
-    times: float = 1.0
+    factor: float = 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,7 +78,5 @@
     mechanism: str
     demands: tuple[Demand, ...] = ()
     bounds: tuple[Bound, ...] = ()
-    without: Mapping[Aspect, str] = field(
-        default_factory=dict
-    )  # aspects that do not apply to the role, with the reason
-    open: tuple[str, ...] = ()  # known gaps in the measurements
+    inapplicable: Mapping[Aspect, str] = field(default_factory=dict)  # aspects without meaning for the role, and why
+    known_gaps: tuple[str, ...] = ()  # quantities known to be unmeasured
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -8,13 +8,13 @@
 from benchmarks.fleet_size import ASSUMPTIONS, TARGET, Assumptions, FleetSize, rows
 
 from . import comparison
-from .assess import Assessed, Cell, Slope, assess
+from .assess import Assessment, Cell, Slope, assess
 from .drawing import drawable
 from .model import Aspect, Bound, Condition, Demand, Limit, Role
 from .numbers import estimate, short, whole
 from .results import ROOT, Result
 from .roles import ROLES
-from .slopes import LEAST_FACTOR, LEAST_SIZES
+from .slopes import MIN_FACTOR, MIN_SIZES
 from .verdicts import NOT_MEASURED, Judgement, Verdict
 
 PAGE = ROOT / "docs" / "CAPACITY.md"
@@ -35,7 +35,7 @@
             f"edit. CI checks that it is what the generator gives. `{COMMAND} PART …` measures parts again",
             "and then renders.",
             "",
-            f"A slope is fitted by least squares over at least {LEAST_SIZES} sizes and a factor of {LEAST_FACTOR:.0f}; "
+            f"A slope is fitted by least squares over at least {MIN_SIZES} sizes and a factor of {MIN_FACTOR:.0f}; "
             "what follows ± is a",
             "standard error, of the line alone: it does not say whether the line stays one beyond the sizes measured.",
             "Bytes of members are fitted by the size or by its logarithm, whichever leaves the smaller residual.",
@@ -104,7 +104,7 @@
 
 def _comparison() -> list[str]:
     """Return the section that compares membership before and after its change, empty without kept runs of both."""
-    lines = comparison.compared()
+    lines = comparison.comparison_rows()
     if not lines:
         return []
     return [
@@ -122,100 +122,102 @@
 # --- roles ---
 
 
-def _roles(assessed: Mapping[str, list[Assessed]], roles: Sequence[Role]) -> list[str]:
+def _roles(assessed: Mapping[str, list[Assessment]], roles: Sequence[Role]) -> list[str]:
     head = ["role", *(aspect.value for aspect in Aspect), "carried by", *(condition.value for condition in Condition)]
     return _table(head, (_role(role, assessed[role.name]) for role in roles))
 
 
-def _role(role: Role, assessments: list[Assessed]) -> list[str]:
+def _role(role: Role, assessments: list[Assessment]) -> list[str]:
     aspects = [_aspect(role, aspect, assessments) for aspect in Aspect]
     verdicts = [_condition(role, condition, assessments) for condition in Condition]
     return [role.name, *aspects, role.mechanism, *verdicts]
 
 
-def _aspect(role: Role, aspect: Aspect, assessments: list[Assessed]) -> str:
-    values = [_at_target(assessment) for assessment in assessments if assessment.of.aspect is aspect]
+def _aspect(role: Role, aspect: Aspect, assessments: list[Assessment]) -> str:
+    values = [_at_target(assessment) for assessment in assessments if assessment.requirement.aspect is aspect]
     if values:
         return "; ".join(values)
-    return role.without.get(aspect, str(NOT_MEASURED))
+    return role.inapplicable.get(aspect, str(NOT_MEASURED))
 
 
-def _at_target(assessment: Assessed) -> str:
+def _at_target(assessment: Assessment) -> str:
     cells = [assessment.cells[condition] for condition in (Condition.PEAK, Condition.ORDINARY, Condition.BAD)]
     cell = next((cell for cell in cells if cell.estimate is not None), None)
     value = str(NOT_MEASURED) if cell is None else _value(assessment, cell)
-    return f"{assessment.of.quantity}: {value}"
+    return f"{assessment.requirement.quantity}: {value}"
 
 
-def _value(assessment: Assessed, cell: Cell) -> str:
+def _value(assessment: Assessment, cell: Cell) -> str:
     assert cell.estimate is not None
-    if isinstance(assessment.of, Bound):
-        return f"{whole(cell.estimate.value)} {assessment.of.limit.unit}"
-    return estimate(cell.estimate, assessment.of.limit.unit)
+    if isinstance(assessment.requirement, Bound):
+        return f"{whole(cell.estimate.value)} {assessment.requirement.limit.unit}"
+    return estimate(cell.estimate, assessment.requirement.limit.unit)
 
 
-def _condition(role: Role, condition: Condition, assessments: list[Assessed]) -> str:
+def _condition(role: Role, condition: Condition, assessments: list[Assessment]) -> str:
     decided = [assessment for assessment in assessments if assessment.cells[condition].decided]
     if not decided:
         return str(NOT_MEASURED)
     deciding = max(decided, key=lambda assessment: assessment.cells[condition].judgement.load)
-    text = f"{deciding.cells[condition].judgement} ({deciding.of.quantity})"
+    text = f"{deciding.cells[condition].judgement} ({deciding.requirement.quantity})"
     unknown = [aspect.value for aspect in Aspect if _unknown(role, aspect, condition, assessments)]
     return text + (f"; *not measured*: {', '.join(unknown)}" if unknown else "")
 
 
-def _unknown(role: Role, aspect: Aspect, condition: Condition, assessments: list[Assessed]) -> bool:
+def _unknown(role: Role, aspect: Aspect, condition: Condition, assessments: list[Assessment]) -> bool:
     """Return whether a quantity of an applicable aspect is undecided or unmeasured under the condition."""
     if _absent(role, aspect, assessments):
         return True
     own = [
-        assessment for assessment in assessments if assessment.of.aspect is aspect and _applies(assessment, condition)
+        assessment
+        for assessment in assessments
+        if assessment.requirement.aspect is aspect and _applies(assessment, condition)
     ]
-    others = [assessment for assessment in assessments if assessment.of.aspect is aspect]
+    others = [assessment for assessment in assessments if assessment.requirement.aspect is aspect]
     return any(not assessment.cells[condition].decided for assessment in own) or (bool(others) and not own)
 
 
-def _applies(assessment: Assessed, condition: Condition) -> bool:
-    return isinstance(assessment.of, Bound) or condition in assessment.of.loads
+def _applies(assessment: Assessment, condition: Condition) -> bool:
+    return isinstance(assessment.requirement, Bound) or condition in assessment.requirement.loads
 
 
 # --- quantities and slopes ---
 
 
-def _quantities(all_assessments: list[Assessed]) -> list[str]:
+def _quantities(all_assessments: list[Assessment]) -> list[str]:
     head = ["role", "quantity", "limit", "whose", *(condition.value for condition in Condition)]
     return _table(head, (_quantity(assessment) for assessment in all_assessments))
 
 
-def _quantity(assessment: Assessed) -> list[str]:
-    limit = assessment.of.limit
+def _quantity(assessment: Assessment) -> list[str]:
+    limit = assessment.requirement.limit
     cells = [_value_and_verdict(assessment, assessment.cells[condition]) for condition in Condition]
-    return [assessment.role.name, assessment.of.quantity, _limit(limit), limit.reason, *cells]
+    return [assessment.role.name, assessment.requirement.quantity, _limit(limit), limit.reason, *cells]
 
 
 def _limit(limit: Limit) -> str:
     return f"{whole(limit.value)} {limit.unit}"
 
 
-def _value_and_verdict(assessment: Assessed, cell: Cell) -> str:
+def _value_and_verdict(assessment: Assessment, cell: Cell) -> str:
     if cell.estimate is None:
         return str(NOT_MEASURED)
     return f"{_value(assessment, cell)}: {cell.judgement}{DISTURBED if assessment.disturbed else ''}"
 
 
-def _slopes(all_assessments: list[Assessed]) -> list[str]:
+def _slopes(all_assessments: list[Assessment]) -> list[str]:
     head = ["series", "varied", "sizes", "unit", "linear in", "at zero", "slope", "target", "run"]
     lines: dict[str, list[str]] = {}
     for assessment in all_assessments:
         for slope in assessment.slopes:
-            lines.setdefault(slope.name, _slope(slope, assessment.of))
+            lines.setdefault(slope.name, _slope(slope, assessment.requirement))
     return _table(head, lines.values())
 
 
 def _slope(slope: Slope, of: Demand | Bound) -> list[str]:
     name = f"`{slope.name}`"
     if slope.fit is None or slope.series is None or slope.result is None:
-        return [name, *[NONE] * 6, slope.refused or str(NOT_MEASURED), NONE]
+        return [name, *[NONE] * 6, slope.fit_error or str(NOT_MEASURED), NONE]
     series, fitted = slope.series, slope.fit
     sizes = ", ".join(whole(size) for size in series.sizes)
     value = f"{short(fitted.slope.value)} ± {short(fitted.slope.error)}"
@@ -250,50 +252,58 @@
 # --- missing measurements and exceeded limits ---
 
 
-def _unmeasured(assessed: Mapping[str, list[Assessed]], roles: Sequence[Role]) -> list[str]:
+def _unmeasured(assessed: Mapping[str, list[Assessment]], roles: Sequence[Role]) -> list[str]:
     lines = []
     for role in roles:
         assessments = assessed[role.name]
-        lines += [[role.name, assessment.of.quantity, "all"] for assessment in assessments if not assessment.measured]
         lines += [
-            [role.name, assessment.of.quantity, _missing_conditions(assessment)]
+            [role.name, assessment.requirement.quantity, "all"] for assessment in assessments if not assessment.measured
+        ]
+        lines += [
+            [role.name, assessment.requirement.quantity, _missing_conditions(assessment)]
             for assessment in assessments
             if _partly(assessment)
         ]
         lines += [[role.name, aspect.value, "all"] for aspect in Aspect if _absent(role, aspect, assessments)]
-        lines += [[role.name, words, NONE] for words in role.open]
+        lines += [[role.name, words, NONE] for words in role.known_gaps]
     return _table(("role", "what", "conditions"), lines)
 
 
-def _absent(role: Role, aspect: Aspect, assessments: list[Assessed]) -> bool:
-    return aspect not in role.without and all(assessment.of.aspect is not aspect for assessment in assessments)
+def _absent(role: Role, aspect: Aspect, assessments: list[Assessment]) -> bool:
+    return aspect not in role.inapplicable and all(
+        assessment.requirement.aspect is not aspect for assessment in assessments
+    )
 
 
-def _partly(assessment: Assessed) -> bool:
+def _partly(assessment: Assessment) -> bool:
     return assessment.measured and not all(cell.decided for cell in assessment.cells.values())
 
 
-def _missing_conditions(assessment: Assessed) -> str:
+def _missing_conditions(assessment: Assessment) -> str:
     return ", ".join(condition.value for condition, cell in assessment.cells.items() if not cell.decided)
 
 
-def _breaks(all_assessments: list[Assessed]) -> list[str]:
+def _breaks(all_assessments: list[Assessment]) -> list[str]:
     head = ["factor", "role", "quantity", "needed", "limit", "when", "mechanism that is missing"]
     broken = [assessment for assessment in all_assessments if assessment.worst.judgement.verdict is Verdict.BREAKS]
     broken.sort(key=lambda assessment: assessment.worst.judgement.factor, reverse=True)
     return _table(head, (_break(assessment) for assessment in broken))
 
 
-def _break(assessment: Assessed) -> list[str]:
+def _break(assessment: Assessment) -> list[str]:
     judgement: Judgement = assessment.worst.judgement
-    limit = assessment.of.limit
-    when = "always" if isinstance(assessment.of, Bound) else ", ".join(condition.value for condition in assessment.when)
+    limit = assessment.requirement.limit
+    when = (
+        "always"
+        if isinstance(assessment.requirement, Bound)
+        else ", ".join(condition.value for condition in assessment.when)
+    )
     return [
         f"{judgement}{DISTURBED if assessment.disturbed else ''}",
         assessment.role.name,
-        assessment.of.quantity,
+        assessment.requirement.quantity,
         _value(assessment, assessment.worst),
         f"{_limit(limit)} ({limit.reason})",
         when,
-        assessment.of.missing,
+        assessment.requirement.missing,
     ]
--- a/benchmarks/capacity/roles.py
+++ b/benchmarks/capacity/roles.py
@@ -12,21 +12,21 @@
 from chutepin.consensus.replicated_state import MAX_SNAPSHOT_BYTES
 from chutepin.testbench.scale.traffic import WINDOW
 
-from .bounds import most_members
+from .bounds import max_members
 from .model import Aspect, Bound, Condition, Demand, Limit, Load, Role
 from .slopes import Model
 
 ORDINARY, PEAK, BAD = Condition.ORDINARY, Condition.PEAK, Condition.BAD
-WAVE = ASSUMPTIONS.peak_restart_factor
+PEAK_RESTART_FACTOR = ASSUMPTIONS.peak_restart_factor
 
 CONTROL_CPU = Limit(TARGET.control_cpu_ms_per_s, "ms/s", "what a node may spend on control")
 CONTROL_BYTES = Limit(TARGET.control_bytes_per_s, "B/s", "what a node may send for control")
 CONTROL_MEMORY = Limit(TARGET.control_memory_bytes, "B", "what a node may hold for control")
 NODE_CORE = Limit(ASSUMPTIONS.request_core_ms_per_s, "ms/s", "the core of a node's event loop")
 NODE_MEMORY = Limit(ASSUMPTIONS.node_memory_mb * MEGABYTE, "B", "what a node may hold")
-ADDED = Limit(TARGET.added_p99_ms, "ms", "the operators")
-IN_FORCE = Limit(TARGET.config_in_force_s, "s", "a change is in force everywhere")
-IN_FORCE_CPU = Limit(1000 * TARGET.config_in_force_s, "ms", "a change is in force everywhere")
+ADDED_LATENCY = Limit(TARGET.added_p99_ms, "ms", "the operators")
+CONFIG_DELAY = Limit(TARGET.config_in_force_s, "s", "a change is in force everywhere")
+CONFIG_DELAY_CPU = Limit(1000 * TARGET.config_in_force_s, "ms", "a change is in force everywhere")
 LOG_STATE = Limit(MAX_SNAPSHOT_BYTES, "B", "chutepin.consensus.replicated_state.MAX_SNAPSHOT_BYTES")
 
 REQUEST_LOADS = {
@@ -61,7 +61,7 @@
             Aspect.DELAY,
             "added p99",
             "request.added_p99_ms",
-            ADDED,
+            ADDED_LATENCY,
             REQUEST_LOADS,
             "a request path that does not queue behind one loop at the peak",
             wall_time=True,
@@ -83,8 +83,8 @@
             "remembered results on the store (`keys/` on `store/`)",
         ),
     ),
-    without={Aspect.STATE: "the keys, under memory", Aspect.MESSAGES: "no messages between nodes"},
-    open=(
+    inapplicable={Aspect.STATE: "the keys, under memory", Aspect.MESSAGES: "no messages between nodes"},
+    known_gaps=(
         "requests with keys, with calls below, over AMQP, or with large bodies",
         "the ordinary day: the operators state no rate for it",
         "a rate above what one core answers: how much of it is refused",
@@ -150,7 +150,7 @@
             Aspect.DELAY,
             "a crash is known to all (p99)",
             "member.crash_known_p99_s",
-            IN_FORCE,
+            CONFIG_DELAY,
             MEMBER_LOADS,
             "faster spreading",
             Model.LOGARITHMIC,
@@ -159,7 +159,7 @@
             Aspect.DELAY,
             "a zone lost is known to all (p99)",
             "member.zone_lost_crash_known_p99_s",
-            IN_FORCE,
+            CONFIG_DELAY,
             BAD_HOUR_LOADS,
             "faster spreading",
             Model.LOGARITHMIC,
@@ -170,11 +170,11 @@
             Aspect.STATE,
             "members' names, the dead of a day included",
             TARGET.nodes + TARGET.failures_per_day,
-            Limit(most_members(), "names", "the most that the block `cluster` takes for `members`"),
+            Limit(max_members(), "names", "the most that the block `cluster` takes for `members`"),
             "a larger table of members, or membership by zone",
         ),
     ),
-    open=(
+    known_gaps=(
         "bad hours one after the other, and more than one at once",
         "what an ordinary day's rate of restarts is at the peak: the same is taken",
     ),
@@ -231,7 +231,7 @@
             "a machine of policies and routes on the log (`policy/`, `routes/`)",
         ),
     ),
-    open=(
+    known_gaps=(
         "voters in several regions: all of it was measured within one place",
         "a leader that is lost while changes come at the peak",
     ),
@@ -277,13 +277,13 @@
             Aspect.DELAY,
             "an entry is applied by all (p99)",
             "log.spread_p99_s",
-            IN_FORCE,
+            CONFIG_DELAY,
             OBSERVER_LOADS,
             "a flatter tree",
         ),
     ),
-    without={Aspect.STATE: "that of the log, under the voter"},
-    open=("memory of an observer by the size of the log's state", "observers in several regions"),
+    inapplicable={Aspect.STATE: "that of the log, under the voter"},
+    known_gaps=("memory of an observer by the size of the log's state", "observers in several regions"),
 )
 
 # Starting nodes that one node serves, if all nodes share the work.
@@ -294,7 +294,7 @@
 def _fetches(size: float) -> dict[Condition, Load]:
     return {
         ORDINARY: Load(size, RESTARTS_PER_NODE_PER_S),
-        PEAK: Load(size, RESTARTS_PER_NODE_PER_S * WAVE),
+        PEAK: Load(size, RESTARTS_PER_NODE_PER_S * PEAK_RESTART_FACTOR),
         BAD: Load(size, ZONE_STARTS_PER_NODE_PER_S),
     }
 
@@ -331,7 +331,7 @@
             Aspect.PROCESSOR,
             "taking in the membership",
             "start.take_in_cpu_ms",
-            IN_FORCE_CPU,
+            CONFIG_DELAY_CPU,
             {condition: Load(TARGET.nodes) for condition in Condition},
             "a smaller state",
         ),
@@ -339,13 +339,13 @@
             Aspect.PROCESSOR,
             "taking in the state of the log",
             "start.log_take_in_cpu_ms",
-            IN_FORCE_CPU,
+            CONFIG_DELAY_CPU,
             {condition: Load(LOG_ENTRIES) for condition in Condition},
             "a state kept over restarts and fetched by difference",
         ),
     ),
-    without={Aspect.DELAY: "no limit is stated; the time for a change is taken"},
-    open=("a real process's start at this size, and its memory meanwhile", "a seed that many ask at once"),
+    inapplicable={Aspect.DELAY: "no limit is stated; the time for a change is taken"},
+    known_gaps=("a real process's start at this size, and its memory meanwhile", "a seed that many ask at once"),
 )
 
 TABLES = Role(
@@ -380,7 +380,7 @@
             Aspect.PROCESSOR,
             "reading all tenants, at a start",
             "tenants.build_cpu_ms",
-            IN_FORCE_CPU,
+            CONFIG_DELAY_CPU,
             {condition: Load(TARGET.tenants) for condition in Condition},
             "settings kept in a form that needs no reading as a whole",
         ),
@@ -396,14 +396,14 @@
             "changes taken in one by one (`policy/`)",
         ),
     ),
-    without={Aspect.STATE: "under memory", Aspect.DELAY: "under processor time"},
-    open=("routes: the program has none", "how a change reaches a node: the file is read at the start only"),
+    inapplicable={Aspect.STATE: "under memory", Aspect.DELAY: "under processor time"},
+    known_gaps=("routes: the program has none", "how a change reaches a node: the file is read at the start only"),
 )
 
 CONTROL = Role(
     f"the {TARGET.control_machines} control machines",
     "none: no part of the program is placed on them",
-    open=(
+    known_gaps=(
         f"what runs on the {TARGET.control_machines}, each one's load, and that of the others with "
         f"{TARGET.control_machines_lost} lost",
     ),
@@ -452,7 +452,7 @@
             Aspect.DELAY,
             "what a request waits behind one `show-stat`",
             "operators.show_stat_cpu_ms",
-            ADDED,
+            ADDED_LATENCY,
             {condition: Load(TARGET.services) for condition in Condition},
             "an answer made in pieces, between which requests go on",
         ),
@@ -460,13 +460,13 @@
             Aspect.DELAY,
             "what a request waits behind one `members`",
             "operators.members_cpu_ms",
-            ADDED,
+            ADDED_LATENCY,
             {condition: Load(TARGET.nodes) for condition in Condition},
             "an answer made in pieces, between which requests go on",
         ),
     ),
-    without={Aspect.STATE: "none of its own", Aspect.MEMORY: "an answer is let go when it is sent"},
-    open=("one operator's view of the whole fleet: there is no call for that",),
+    inapplicable={Aspect.STATE: "none of its own", Aspect.MEMORY: "an answer is let go when it is sent"},
+    known_gaps=("one operator's view of the whole fleet: there is no call for that",),
 )
 
 ROLES = (REQUEST, MEMBER, VOTER, OBSERVER, START, TABLES, CONTROL, OPERATORS)
--- a/benchmarks/capacity/slopes.py
+++ b/benchmarks/capacity/slopes.py
@@ -9,8 +9,8 @@
 
 from .results import Series
 
-LEAST_SIZES = 4
-LEAST_FACTOR = 8.0  # ratio of the largest to the smallest size
+MIN_SIZES = 4
+MIN_FACTOR = 8.0  # ratio of the largest to the smallest size
 
 
 class TooFewSizesError(ValueError):
@@ -59,10 +59,10 @@
 def fit(series: Series, model: Model = Model.LINEAR) -> Fit:
     """Fit a series. Raises TooFewSizesError below four sizes, or below a factor of 8 between them."""
     sizes = series.sizes
-    if len(sizes) < LEAST_SIZES:
-        raise TooFewSizesError(f"{series.name}: {len(sizes)} sizes, {LEAST_SIZES} are needed")
-    if sizes[0] <= 0 or sizes[-1] / sizes[0] < LEAST_FACTOR:
-        raise TooFewSizesError(f"{series.name}: sizes over less than a factor of {LEAST_FACTOR:.0f}")
+    if len(sizes) < MIN_SIZES:
+        raise TooFewSizesError(f"{series.name}: {len(sizes)} sizes, {MIN_SIZES} are needed")
+    if sizes[0] <= 0 or sizes[-1] / sizes[0] < MIN_FACTOR:
+        raise TooFewSizesError(f"{series.name}: sizes over less than a factor of {MIN_FACTOR:.0f}")
     if model is Model.BETTER:
         return min((fit(series, candidate) for candidate in _SCALES), key=lambda fitted: fitted.residual)
     scale = _SCALES[model]
--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -26,7 +26,7 @@
     value: float
 
 
-def stated(value: _Number, label: str) -> _Number:
+def labelled(value: _Number, label: str) -> _Number:
     """Declare a dataclass field with its label on the page, which includes the unit."""
     declared: _Number = field(default=value, metadata={"label": label})
     return declared
@@ -41,24 +41,24 @@
 class FleetSize:
     """The stated size of the fleet and the limits required of the design."""
 
-    nodes: int = stated(2_300, "nodes")
-    callers: int = stated(200_000, "callers")
-    services: int = stated(4_900, "services")
-    requests_per_s: float = stated(2_100_000.0, "requests a second at the peak, the whole fleet")
-    routes: int = stated(63_000, "routes")
-    tenants: int = stated(780_000, "tenants")
-    added_p99_ms: float = stated(3.2, "ms added to a request, for 99 in 100")
-    regions: int = stated(9, "regions")
-    zones: int = stated(22, "zones")
-    config_changes_per_day: int = stated(31_000, "changes of configuration a day")
-    config_in_force_s: float = stated(12.0, "s until a change is in force everywhere")
-    control_cpu_percent: float = stated(3.1, "% of a core that a node may spend on control")
-    control_memory_mb: float = stated(128.0, "MB of a node for control")
-    control_kb_per_s: float = stated(4.0, "KB a second that a node may send for control")
-    control_machines: int = stated(23, "machines set aside for control")
-    control_machines_lost: int = stated(2, "of these lost at once")
-    failures_per_day: int = stated(240, "machines that fail on an ordinary day")
-    restarts_per_day: int = stated(68_000, "restarted or replaced a day")
+    nodes: int = labelled(2_300, "nodes")
+    callers: int = labelled(200_000, "callers")
+    services: int = labelled(4_900, "services")
+    requests_per_s: float = labelled(2_100_000.0, "requests a second at the peak, the whole fleet")
+    routes: int = labelled(63_000, "routes")
+    tenants: int = labelled(780_000, "tenants")
+    added_p99_ms: float = labelled(3.2, "ms added to a request, for 99 in 100")
+    regions: int = labelled(9, "regions")
+    zones: int = labelled(22, "zones")
+    config_changes_per_day: int = labelled(31_000, "changes of configuration a day")
+    config_in_force_s: float = labelled(12.0, "s until a change is in force everywhere")
+    control_cpu_percent: float = labelled(3.1, "% of a core that a node may spend on control")
+    control_memory_mb: float = labelled(128.0, "MB of a node for control")
+    control_kb_per_s: float = labelled(4.0, "KB a second that a node may send for control")
+    control_machines: int = labelled(23, "machines set aside for control")
+    control_machines_lost: int = labelled(2, "of these lost at once")
+    failures_per_day: int = labelled(240, "machines that fail on an ordinary day")
+    restarts_per_day: int = labelled(68_000, "restarted or replaced a day")
 
     @property
     def requests_per_node_per_s(self) -> float:
@@ -115,16 +115,16 @@
 class Assumptions:
     """Values that the operators' statement does not give, kept separate because each change alters the page."""
 
-    request_core_ms_per_s: float = stated(1000.0, "ms of a core a second for requests: one thread runs them")
-    connections_per_caller: int = stated(1, "connections of a caller, to one node each; one that spreads holds more")
-    keyed_share: float = stated(0.15, "part of the requests with a key to remember: the demo's mix")
-    key_window_s: float = stated(44.118, "s for which a key is remembered: deploy/example.json")
-    node_memory_mb: float = stated(192.0, "MB that a node may hold: deploy/example.json")
-    scrape_every_s: float = stated(15.0, "s between scrapes (`show-stat`) of a node")
-    members_call_every_s: float = stated(60.0, "s between calls of `members` to a node")
-    change_bytes: int = stated(256, "bytes of a change of configuration")
-    peak_change_factor: float = stated(10.0, "times the day's mean: changes of configuration at the peak")
-    peak_restart_factor: float = stated(10.0, "times the day's mean: restarts in a wave")
+    request_core_ms_per_s: float = labelled(1000.0, "ms of a core a second for requests: one thread runs them")
+    connections_per_caller: int = labelled(1, "connections of a caller, to one node each; one that spreads holds more")
+    keyed_share: float = labelled(0.15, "part of the requests with a key to remember: the demo's mix")
+    key_window_s: float = labelled(44.118, "s for which a key is remembered: deploy/example.json")
+    node_memory_mb: float = labelled(192.0, "MB that a node may hold: deploy/example.json")
+    scrape_every_s: float = labelled(15.0, "s between scrapes (`show-stat`) of a node")
+    members_call_every_s: float = labelled(60.0, "s between calls of `members` to a node")
+    change_bytes: int = labelled(256, "bytes of a change of configuration")
+    peak_change_factor: float = labelled(10.0, "times the day's mean: changes of configuration at the peak")
+    peak_restart_factor: float = labelled(10.0, "times the day's mean: restarts in a wave")
 
 
 TARGET = FleetSize()
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -17,12 +17,12 @@
 from benchmarks.capacity import __main__ as command
 from benchmarks.capacity import comparison
 from benchmarks.capacity.assess import assess
-from benchmarks.capacity.bounds import most_members
+from benchmarks.capacity.bounds import max_members
 from benchmarks.capacity.drawing import CHARTS, draw, drawable
 from benchmarks.capacity.measure import PARTS, member
 from benchmarks.capacity.measure.request import BODY, Direct, ThroughNode
 from benchmarks.capacity.measure.tenants import settings
-from benchmarks.capacity.measure.tools import scheduled
+from benchmarks.capacity.measure.tools import scheduler_times
 from benchmarks.capacity.model import Aspect, Bound, Condition, Demand, Limit, Load, Role
 from benchmarks.capacity.page import PAGE, differs, render
 from benchmarks.capacity.results import Point, Result, ResultError, Run, Series, load, save
@@ -224,9 +224,9 @@
     with pytest.raises(TooFewSizesError):
         fit(series(sizes))
     (assessed,) = assess(ROLE, results(series(sizes)))
-    assert not assessed.measured and assessed.slopes[0].refused
+    assert not assessed.measured and assessed.slopes[0].fit_error
     text = render(results(series(sizes)), [ROLE])
-    assert assessed.slopes[0].refused in text
+    assert assessed.slopes[0].fit_error in text
     assert "holds by" not in text
 
 
@@ -273,7 +273,7 @@
 
 
 def test_member_limit_is_read_from_configuration_check() -> None:
-    assert most_members() >= 1024
+    assert max_members() >= 1024
 
 
 @pytest.mark.parametrize("part", PARTS)
@@ -282,11 +282,11 @@
 
 
 def test_scheduler_times_include_processor_time() -> None:
-    before = scheduled(os.getpid())
+    before = scheduler_times(os.getpid())
     started = time.process_time()
     while time.process_time() < started + 0.02:
         pass
-    assert scheduled(os.getpid()).cpu_ms - before.cpu_ms >= 15
+    assert scheduler_times(os.getpid()).cpu_ms - before.cpu_ms >= 15
 
 
 def test_generated_settings_are_valid() -> None:
@@ -356,9 +356,9 @@
 def test_comparison_has_runs_of_both_mechanisms(tmp_path: Path) -> None:
     before, after = tmp_path / "before", tmp_path / "after"
     _keep_run(before, sent_bytes_per_s={"mean": 4223.4, "p99": 19962.3})
-    assert comparison.compared(before, after) == []
+    assert comparison.comparison_rows(before, after) == []
     _keep_run(after, sent_bytes_per_s={"mean": 1234.5, "p99": 2000.0}, false_deaths=2)
-    first, second = comparison.compared(before, after)
+    first, second = comparison.comparison_rows(before, after)
     assert (first[:4], first[-2:]) == (["churn", "400", "before", "4,220, 20,000"], ["0", "1, abc"])
     assert (second[:4], second[-2:]) == (["churn", "400", "now", "1,230, 2,000"], ["2.00", "1, abc"])
     assert second[5] == second[7] == "—"
@@ -367,4 +367,4 @@
 def test_unreadable_run_error_names_file(tmp_path: Path) -> None:
     (tmp_path / "scale-x.json").write_text("{")
     with pytest.raises(ResultError, match=r"^scale-x\.json: "):
-        comparison.compared(tmp_path, tmp_path / "none")
+        comparison.comparison_rows(tmp_path, tmp_path / "none")
