--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -49,15 +49,15 @@
 async def measure_flood(kind: str, program: Path, rules: bool) -> list[object]:
     """Measure the service to known clients during one flood and return the row of the table."""
     async with AsyncExitStack() as stack:
-        world = Standins(EXAMPLE["settings"])
-        world.descriptors, world.program, world.calling = 256, program, False
+        standins = Standins(EXAMPLE["settings"])
+        standins.descriptors, standins.program, standins.calling = 256, program, False
         options: list[str] = []
         if rules:
             path = Path(stack.enter_context(tempfile.TemporaryDirectory())) / "node.kdl"
             path.write_text(SETTINGS)
             options = ["node", "--setup", str(path)]
-        await world.start(stack, *options, environ={"PYTHONOPTIMIZE": "1"})
-        assert world.process is not None
+        await standins.start(stack, *options, environ={"PYTHONOPTIMIZE": "1"})
+        assert standins.process is not None
         flood = None
         if kind != "none":
             flood = await asyncio.create_subprocess_exec(
@@ -65,20 +65,20 @@
                 "-m",
                 "chutepin.testbench.standins.flood",
                 kind,
-                str(world.port),
+                str(standins.port),
                 str(SECONDS + 2),
                 cwd=ROOT,
                 stdout=asyncio.subprocess.PIPE,
             )
             await asyncio.sleep(1.5)
-        client = KnownClient(world.port)
-        before, started = cpu(world.process.pid), time.monotonic()
+        client = KnownClient(standins.port)
+        before, started = cpu(standins.process.pid), time.monotonic()
         await client.run(SECONDS - 1)
-        used = (cpu(world.process.pid) - before) / (time.monotonic() - started)
+        used = (cpu(standins.process.pid) - before) / (time.monotonic() - started)
         flood_report: dict[str, object] = {}
         if flood is not None:
             flood_report = json.loads((await flood.communicate())[0])
-        after = KnownClient(world.port, source="127.0.200.1")
+        after = KnownClient(standins.port, source="127.0.200.1")
         await after.run(0.5)
         return [
             kind,
--- a/benchmarks/capacity/measure/changes.py
+++ b/benchmarks/capacity/measure/changes.py
@@ -43,7 +43,7 @@
                 size,
                 leader_bytes_per_s=outcome.leader.bytes_per_s,
                 observer_bytes_per_s=outcome.observers.bytes_per_s,
-                feeder_bytes_per_s=outcome.most_bytes_per_s,
+                feeder_bytes_per_s=outcome.max_bytes_per_s,
             )
     return Measurement(
         table.series(),
--- a/benchmarks/capacity/measure/connections.py
+++ b/benchmarks/capacity/measure/connections.py
@@ -19,16 +19,16 @@
     table = Table("connections", UNITS)
     for _ in range(ROUNDS):
         async with AsyncExitStack() as stack:
-            world = await start_node(stack, sockets=SOCKETS)
-            before = resident_bytes(pid(world))
+            standins = await start_node(stack, sockets=SOCKETS)
+            before = resident_bytes(pid(standins))
             readers: list[asyncio.StreamReader] = []
             for size in SIZES:
                 while len(readers) < size:
-                    readers.append(await _open(stack, world.port, len(readers)))
+                    readers.append(await _open(stack, standins.port, len(readers)))
                 await asyncio.sleep(SETTLE_S)
                 if any(reader.at_eof() for reader in readers):
                     raise RuntimeError("the node closed an idle connection")
-                table.add(size, memory_bytes=resident_bytes(pid(world)) - before)
+                table.add(size, memory_bytes=resident_bytes(pid(standins)) - before)
     return Measurement(
         table.series(),
         notes=(
--- a/benchmarks/capacity/measure/keys.py
+++ b/benchmarks/capacity/measure/keys.py
@@ -34,17 +34,17 @@
     table = Table("keys", UNITS)
     rng = random.Random(SEED)
     async with AsyncExitStack() as stack:
-        world = await start_node(stack, _settings(EXAMPLE["settings"]["categories"]))
-        balancer = await world.connect()
+        standins = await start_node(stack, _settings(EXAMPLE["settings"]["categories"]))
+        balancer = await standins.connect()
         done = 0
         while done < WARM_UP_REQUESTS:
             done += await _send_requests(balancer, rng)
-        before, done = resident_bytes(pid(world)), 0
+        before, done = resident_bytes(pid(standins)), 0
         for size in SIZES:
             while done < size:
                 done += await _send_requests(balancer, rng)
             await asyncio.sleep(SETTLE_S)
-            table.add(done, memory_bytes=resident_bytes(pid(world)) - before)
+            table.add(done, memory_bytes=resident_bytes(pid(standins)) - before)
         await balancer.close()
     return Measurement(
         table.series(),
--- a/benchmarks/capacity/measure/log.py
+++ b/benchmarks/capacity/measure/log.py
@@ -93,7 +93,7 @@
 
     leader: ResourceUsage
     observers: ResourceUsage  # mean of all observers
-    most_bytes_per_s: float  # of the observer that sends the most
+    max_bytes_per_s: float  # of the observer that sends the most
     spread_s: list[float]  # for each entry, from the first member that shows it to the last
 
 
@@ -144,7 +144,7 @@
                 leader_cpu_ms_per_s=outcome.leader.cpu_ms_per_s,
                 observer_bytes_per_s=outcome.observers.bytes_per_s,
                 observer_cpu_ms_per_s=outcome.observers.cpu_ms_per_s,
-                feeder_bytes_per_s=outcome.most_bytes_per_s,
+                feeder_bytes_per_s=outcome.max_bytes_per_s,
                 spread_p99_s=quantile(outcome.spread_s, 0.99),
             )
     return Measurement(
--- a/benchmarks/capacity/measure/member_runs.py
+++ b/benchmarks/capacity/measure/member_runs.py
@@ -54,36 +54,36 @@
     The exit code is ignored: the result file also reports violated guarantees."""
     max_cpu_s = MAX_LONG_CPU_S if scenario in LONG_SCENARIOS else MAX_CPU_S
     FILES.mkdir(parents=True, exist_ok=True)
-    with tempfile.TemporaryDirectory() as folder:
-        command = [sys.executable, "-O", "-m", "chutepin", "lab", "scale", "--json", "--out", folder]
+    with tempfile.TemporaryDirectory() as directory:
+        command = [sys.executable, "-O", "-m", "chutepin", "lab", "scale", "--json", "--out", directory]
         command += ["--members", str(members), "--restarts-per-second", str(TARGET.restarts_per_s)]
         command += ["--seconds", str(SECONDS), "--seed", str(seed), "--scenario", scenario.value]
-        done = subprocess.run(
+        completed = subprocess.run(
             command,
             cwd=ROOT,
             stdout=subprocess.DEVNULL,
             check=False,
             preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_CPU, (max_cpu_s, max_cpu_s)),
         )
-        if done.returncode in (-signal.SIGXCPU, -signal.SIGKILL):
+        if completed.returncode in (-signal.SIGXCPU, -signal.SIGKILL):
             _unfinished(scenario, members, seed, max_cpu_s)
             return False
-        for path in Path(folder).glob("*.json"):
+        for path in Path(directory).glob("*.json"):
             (FILES / path.name).write_text(path.read_text())
     return has_result(scenario, members)
 
 
-def main(words: list[str]) -> None:
+def main(arguments: list[str]) -> None:
     """Run all sizes of the named scenarios, or of all scenarios."""
-    for word in words or [scenario.value for scenario in Scenario]:
-        scenario = Scenario(word)
+    for name in arguments or [scenario.value for scenario in Scenario]:
+        scenario = Scenario(name)
         for members in STEADY_MEMBERS if scenario is Scenario.CHURN else BAD_HOUR_MEMBERS:
             for seed in SEEDS:
                 if has_result(scenario, members):
                     break
                 finished = run_scale(scenario, members, seed)
                 print(
-                    f"{word}, {members} members, seed {seed}: {'finished' if finished else 'did not finish'}",
+                    f"{name}, {members} members, seed {seed}: {'finished' if finished else 'did not finish'}",
                     flush=True,
                 )
 
--- a/benchmarks/capacity/measure/request.py
+++ b/benchmarks/capacity/measure/request.py
@@ -37,21 +37,21 @@
 }
 
 
-class Link:
+class ClientConnection:
     """A connection whose requests are identified by tags; records the latency of each answer."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
-        self.sent: dict[str, float] = {}
+        self.start_times: dict[str, float] = {}
         self.latencies_ms: list[float] = []
-        self.asked = self.served = 0
+        self.sent_count = self.served = 0
         self._task = asyncio.ensure_future(self._read())
 
-    def ask(self) -> None:
+    def send(self) -> None:
         """Send one request and record its start time."""
-        self.asked += 1
-        tag = str(self.asked)
-        self.sent[tag] = time.perf_counter()
+        self.sent_count += 1
+        tag = str(self.sent_count)
+        self.start_times[tag] = time.perf_counter()
         self.writer.write(self.request(tag))
 
     def request(self, tag: str) -> bytes:
@@ -66,7 +66,7 @@
         while data := await self.reader.read(READ_BYTES):
             now = time.perf_counter()
             for tag, served in self.answers(data):
-                started = self.sent.pop(tag, None)
+                started = self.start_times.pop(tag, None)
                 if started is not None and served:
                     self.served += 1
                     self.latencies_ms.append(1000 * (now - started))
@@ -78,7 +78,7 @@
         self.writer.close()
 
 
-class ThroughNode(Link):
+class NodeConnection(ClientConnection):
     """A caller's connection to the node under test."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -99,7 +99,7 @@
         return answered
 
 
-class Direct(Link):
+class DirectConnection(ClientConnection):
     """A direct connection to the simulated executor that uses the protocol of a node."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -128,7 +128,7 @@
     return ordered[min(len(ordered) - 1, int(part * len(ordered)))] if ordered else float("nan")
 
 
-async def offer(ask: Callable[[], None], rate: float, seconds: float, rng: random.Random) -> None:
+async def send_at_rate(send: Callable[[], None], rate: float, seconds: float, rng: random.Random) -> None:
     """Send requests at random times, independent of the answers to earlier requests (open loop)."""
     started = time.perf_counter()
     due = started
@@ -136,35 +136,37 @@
         due += rng.expovariate(rate)
         if (ahead := due - time.perf_counter()) > 0:
             await asyncio.sleep(ahead)
-        ask()
+        send()
     await asyncio.sleep(0.3)  # wait for the last answers
 
 
 async def measure_direct(rate: float, rng: random.Random) -> list[float]:
     """Return the latencies of the simulated executor without the node, in milliseconds."""
     async with AsyncExitStack() as stack:
-        world = Standins({})
-        server = await asyncio.start_server(world._executor_side, "127.0.0.1", 0)
+        standins = Standins({})
+        server = await asyncio.start_server(standins._executor_side, "127.0.0.1", 0)
         stack.callback(server.close)
-        link = Direct(*await asyncio.open_connection(*server.sockets[0].getsockname()))
-        await offer(link.ask, rate, SECONDS, rng)
-        await link.close()
-        return link.latencies_ms
+        connection = DirectConnection(*await asyncio.open_connection(*server.sockets[0].getsockname()))
+        await send_at_rate(connection.send, rate, SECONDS, rng)
+        await connection.close()
+        return connection.latencies_ms
 
 
-async def measure_through_node(rate: float, rng: random.Random) -> tuple[SchedulerTimes, ThroughNode]:
+async def measure_through_node(rate: float, rng: random.Random) -> tuple[SchedulerTimes, NodeConnection]:
     """Return the processor time of the node a second, and the connection with its latencies."""
     async with AsyncExitStack() as stack:
-        world = await start_node(stack)
-        link = ThroughNode(*await asyncio.open_connection("127.0.0.1", world.port))
-        await offer(link.ask, rate, 1.0, rng)  # warm-up
-        link.latencies_ms.clear()
-        link.asked = link.served = 0
-        before, started = scheduler_times(pid(world)), time.perf_counter()
-        await offer(link.ask, rate, SECONDS, rng)
-        after, took = scheduler_times(pid(world)), time.perf_counter() - started
-        await link.close()
-        return SchedulerTimes((after.cpu_ms - before.cpu_ms) / took, (after.waited_ms - before.waited_ms) / took), link
+        standins = await start_node(stack)
+        connection = NodeConnection(*await asyncio.open_connection("127.0.0.1", standins.port))
+        await send_at_rate(connection.send, rate, 1.0, rng)  # warm-up
+        connection.latencies_ms.clear()
+        connection.sent_count = connection.served = 0
+        before, started = scheduler_times(pid(standins)), time.perf_counter()
+        await send_at_rate(connection.send, rate, SECONDS, rng)
+        after, took = scheduler_times(pid(standins)), time.perf_counter() - started
+        await connection.close()
+        return SchedulerTimes(
+            (after.cpu_ms - before.cpu_ms) / took, (after.waited_ms - before.waited_ms) / took
+        ), connection
 
 
 async def measure_rates() -> Measurement:
@@ -174,8 +176,8 @@
         rng = random.Random(SEED + round_number)
         for rate in RATES:
             direct = await measure_direct(rate, rng)
-            used, link = await measure_through_node(rate, rng)
-            direct_p99, node_p99 = quantile(direct, 0.99), quantile(link.latencies_ms, 0.99)
+            used, connection = await measure_through_node(rate, rng)
+            direct_p99, node_p99 = quantile(direct, 0.99), quantile(connection.latencies_ms, 0.99)
             table.add(
                 rate,
                 cpu_ms_per_s=used.cpu_ms,
@@ -183,7 +185,7 @@
                 direct_p99_ms=direct_p99,
                 node_p99_ms=node_p99,
                 added_p99_ms=node_p99 - direct_p99,
-                not_served=100 * (1 - link.served / link.asked),
+                not_served=100 * (1 - connection.served / connection.sent_count),
             )
     return Measurement(
         table.series(),
--- a/benchmarks/capacity/measure/start.py
+++ b/benchmarks/capacity/measure/start.py
@@ -27,14 +27,14 @@
 from .tools import Measurement, Table
 
 MEMBERS = (100, 300, 900, 2_300)
-FACTS = (32, 64, 128, 256)  # the state machine accepts up to 256 names
+NAME_COUNTS = (32, 64, 128, 256)  # the state machine accepts up to 256 names
 ROUNDS = 3
 REPEAT_FACTOR = 5  # executions per timing
 SEED = 1
 REMEMBER_S = 86_400.0
 VALUE = msgpack.packb(["bernard-lodge", 0.5, 2.7, "status-read"])  # a tenant: name, share, quota, class
 MEMBER_UNITS = {"state_bytes": "bytes", "take_in_cpu_ms": "ms of a core"}
-FACT_UNITS = {"log_state_bytes": "bytes", "log_take_in_cpu_ms": "ms of a core"}
+NAME_UNITS = {"log_state_bytes": "bytes", "log_take_in_cpu_ms": "ms of a core"}
 
 
 def record(number: int) -> Record:
@@ -68,29 +68,29 @@
     table.add(members, state_bytes=len(data), take_in_cpu_ms=_timed(load_state))
 
 
-def _log(table: Table, facts: int, rng: random.Random) -> None:
+def _log(table: Table, names: int, rng: random.Random) -> None:
     replica = ReplicatedState(KeyValueMachine())
-    for number in range(facts):
+    for number in range(names):
         data = pack_assignment(f"tenant-{number:06d}", VALUE)
         proposal = Proposal(new_proposal_id(number, rng.getrandbits(64)), 1, data)
         replica.apply([Entry(number + 1, 1, EntryKind.PROPOSAL, pack_proposal(proposal))])
     state = replica.snapshot()
 
     def load_state() -> None:
-        ReplicatedState(KeyValueMachine()).restore(Snapshot(facts, 1, Membership(("a",)), state))
+        ReplicatedState(KeyValueMachine()).restore(Snapshot(names, 1, Membership(("a",)), state))
 
-    table.add(facts, log_state_bytes=len(replica.machine.snapshot()), log_take_in_cpu_ms=_timed(load_state))
+    table.add(names, log_state_bytes=len(replica.machine.snapshot()), log_take_in_cpu_ms=_timed(load_state))
 
 
 def run() -> Measurement:
     """Measure the part and return its series."""
     rng = random.Random(SEED)
-    membership, log = Table("members", MEMBER_UNITS), Table("names", FACT_UNITS)
+    membership, log = Table("members", MEMBER_UNITS), Table("names", NAME_UNITS)
     for _ in range(ROUNDS):
         for members in MEMBERS:
             _membership(membership, members)
-        for facts in FACTS:
-            _log(log, facts, rng)
+        for names in NAME_COUNTS:
+            _log(log, names, rng)
     return Measurement(
         membership.series() + log.series(),
         (SEED,),
--- a/benchmarks/capacity/measure/tools.py
+++ b/benchmarks/capacity/measure/tools.py
@@ -93,18 +93,18 @@
     stack: AsyncExitStack, changes: Mapping[str, Any] | None = None, *, sockets: int = 1024
 ) -> Standins:
     """Start the program with `-O` between simulated services, with the example settings updated by `changes`."""
-    world = Standins(_merged(EXAMPLE["settings"], changes or {}))
-    world.sockets = sockets
-    world.calling = False
-    await world.start(stack, environ=RELEASE)
+    standins = Standins(_merged(EXAMPLE["settings"], changes or {}))
+    standins.sockets = sockets
+    standins.calling = False
+    await standins.start(stack, environ=RELEASE)
     await asyncio.sleep(SETTLE_S)
-    return world
+    return standins
 
 
-def pid(world: Standins) -> int:
+def pid(standins: Standins) -> int:
     """Return the process id of the program."""
-    assert world.process is not None
-    return world.process.pid
+    assert standins.process is not None
+    return standins.process.pid
 
 
 def _merged(settings: Mapping[str, Any], changes: Mapping[str, Any]) -> dict[str, Any]:
--- a/benchmarks/capacity/results.py
+++ b/benchmarks/capacity/results.py
@@ -12,7 +12,7 @@
 
 
 class ResultError(ValueError):
-    """A kept file cannot be read as a result; the message names the file."""
+    """An error for a kept file that cannot be read as a result; the message names the file."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
 
     name: str
     size: str  # the varied quantity, with its unit
-    unit: str  # of the values
+    unit: str  # unit of the values
     points: tuple[Point, ...]
 
     @property
--- a/benchmarks/capacity/slopes.py
+++ b/benchmarks/capacity/slopes.py
@@ -14,7 +14,7 @@
 
 
 class TooFewSizesError(ValueError):
-    """A series has too few sizes, or sizes too close together, for a fit; the message gives the reason."""
+    """An error for a series with too few sizes, or sizes too close together; the message gives the reason."""
 
 
 class Model(Enum):
@@ -46,7 +46,7 @@
     sizes: tuple[float, ...]
     residual: float  # standard deviation of the points about the line
     _count: int
-    _mean: float  # of the scaled sizes
+    _mean: float  # mean of the scaled sizes
     _spread: float  # sum of squares of the scaled sizes about their mean
 
     def at(self, size: float) -> Estimate:
--- a/benchmarks/equality.py
+++ b/benchmarks/equality.py
@@ -80,19 +80,19 @@
     )
     history = simulator.run()
     requests = [
-        f"{one.member} {one.key} {one.value} {one.began!r} {one.ended!r} "
-        f"{one.at_index} {one.up_to_index} {one.times_set}"
-        for one in history.requests
+        f"{request.member} {request.key} {request.value} {request.began!r} {request.ended!r} "
+        f"{request.at_index} {request.up_to_index} {request.times_set}"
+        for request in history.requests
     ]
     observations = [
-        f"{one.at!r} {one.member} {one.incarnation} {one.term} {one.applied_index} {one.log_digest}"
-        for one in history.observations
+        f"{seen.at!r} {seen.member} {seen.incarnation} {seen.term} {seen.applied_index} {seen.log_digest}"
+        for seen in history.observations
     ]
     return {
         "messages": simulator.messages,
         "writes": simulator.writes,
         "asked": len(requests),
-        "outcome_counts": sorted(Counter(one.outcome for one in history.requests).values()),
+        "outcome_counts": sorted(Counter(request.outcome for request in history.requests).values()),
         "asked_sha256": digest(requests),
         "showed": len(observations),
         "showed_sha256": digest(observations),
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -16,11 +16,11 @@
 async def idle_memory_kib(*options: str) -> int:
     """Start a node and return its resident memory in KiB."""
     async with AsyncExitStack() as stack:
-        world = Standins(EXAMPLE["settings"])
-        await world.start(stack, *options, environ={"PYTHONOPTIMIZE": "1"})
+        standins = Standins(EXAMPLE["settings"])
+        await standins.start(stack, *options, environ={"PYTHONOPTIMIZE": "1"})
         await asyncio.sleep(1.0)
-        assert world.process is not None
-        status = Path(f"/proc/{world.process.pid}/status").read_text()
+        assert standins.process is not None
+        status = Path(f"/proc/{standins.process.pid}/status").read_text()
         return int(status.split("VmRSS:")[1].split()[0])
 
 
--- a/benchmarks/operation.py
+++ b/benchmarks/operation.py
@@ -33,47 +33,47 @@
 RELEASE = {"PYTHONOPTIMIZE": "1"}
 
 
-async def call_operator(world: Standins, line: bytes) -> tuple[float, str]:
+async def call_operator(standins: Standins, line: bytes) -> tuple[float, str]:
     """Send one operator command and return its latency in seconds and the answer."""
     started = time.perf_counter()
-    reader, writer = await asyncio.open_connection("127.0.0.1", world.ops_port)
+    reader, writer = await asyncio.open_connection("127.0.0.1", standins.ops_port)
     writer.write(line)
     answer = (await reader.read()).decode()
     writer.close()
     return time.perf_counter() - started, answer
 
 
-async def wait_ready(world: Standins) -> None:
+async def wait_ready(standins: Standins) -> None:
     """Wait until the process reports that it is ready. Raises TimeoutError after 30 s."""
     async with asyncio.timeout_at(asyncio.get_running_loop().time() + 30):
         while True:
             try:
-                if (await call_operator(world, b"ready\n"))[1].startswith("SUCCESS"):
+                if (await call_operator(standins, b"ready\n"))[1].startswith("SUCCESS"):
                     return
             except OSError:
                 pass
             await asyncio.sleep(0.01)
 
 
-def cpu(world: Standins) -> float:
+def cpu(standins: Standins) -> float:
     """Return the CPU time of the program in seconds."""
-    assert world.process is not None
-    fields = Path(f"/proc/{world.process.pid}/stat").read_text().rpartition(")")[2].split()
+    assert standins.process is not None
+    fields = Path(f"/proc/{standins.process.pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def resident_kib(world: Standins) -> int:
+def resident_kib(standins: Standins) -> int:
     """Return the resident memory of the program in KiB."""
-    assert world.process is not None
-    return int(Path(f"/proc/{world.process.pid}/status").read_text().split("VmRSS:")[1].split()[0])
+    assert standins.process is not None
+    return int(Path(f"/proc/{standins.process.pid}/status").read_text().split("VmRSS:")[1].split()[0])
 
 
-async def print_latencies(world: Standins, name: str) -> None:
+async def print_latencies(standins: Standins, name: str) -> None:
     """Print the latencies of the commands `ready` and `show-stat`."""
     for line in (b"ready\n", b"show-stat\n"):
         times_ms = []
         for _ in range(CALLS_PER_ROW):
-            seconds, answer = await call_operator(world, line)
+            seconds, answer = await call_operator(standins, line)
             assert answer.startswith("SUCCESS"), answer
             times_ms.append(1000 * seconds)
             await asyncio.sleep(0.005)
@@ -87,30 +87,30 @@
 
 async def measure_answers(stack: AsyncExitStack) -> None:
     """Measure operator commands when idle, under load and during a flood."""
-    world = Standins(EXAMPLE["settings"])
-    await world.start(stack, ops=True, environ=RELEASE)
-    await wait_ready(world)
-    await print_latencies(world, "rest")
-    before = cpu(world)
+    standins = Standins(EXAMPLE["settings"])
+    await standins.start(stack, ops=True, environ=RELEASE)
+    await wait_ready(standins)
+    await print_latencies(standins, "rest")
+    before = cpu(standins)
     for _ in range(1000):
-        await call_operator(world, b"show-stat\n")
-    print(f"CPU of one scrape: {cpu(world) - before:.3f} ms", flush=True)
-    load = [asyncio.ensure_future(KnownClient(world.port, requests_per_s=60).run(30)) for _ in range(8)]
+        await call_operator(standins, b"show-stat\n")
+    print(f"CPU of one scrape: {cpu(standins) - before:.3f} ms", flush=True)
+    load = [asyncio.ensure_future(KnownClient(standins.port, requests_per_s=60).run(30)) for _ in range(8)]
     await asyncio.sleep(1)
-    started, before = time.monotonic(), cpu(world)
-    await print_latencies(world, "load")
-    print(f"(load: {(cpu(world) - before) / (time.monotonic() - started):.2f} of a core)")
+    started, before = time.monotonic(), cpu(standins)
+    await print_latencies(standins, "load")
+    print(f"(load: {(cpu(standins) - before) / (time.monotonic() - started):.2f} of a core)")
     flood = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "chutepin.testbench.standins.flood",
         "storm",
-        str(world.port),
+        str(standins.port),
         "8",
         stdout=asyncio.subprocess.DEVNULL,
     )
     await asyncio.sleep(1)
-    await print_latencies(world, "flood")
+    await print_latencies(standins, "flood")
     await flood.wait()
     for task in load:
         task.cancel()
@@ -200,14 +200,14 @@
 
     Return the request outcomes, the keys run twice, the seconds until `ready` and the log of the last process."""
     directory = stack.enter_context(tempfile.TemporaryDirectory())
-    worlds, ready_s = [Standins(EXAMPLE["settings"])], []
-    worlds[0].environ = {"TMPDIR": directory, **RELEASE}
-    await worlds[0].start(stack, ops=True)
-    await wait_ready(worlds[0])
-    traffic = [Traffic(worlds[0].port, rng) for _ in range(12)]
+    generations, ready_s = [Standins(EXAMPLE["settings"])], []
+    generations[0].environ = {"TMPDIR": directory, **RELEASE}
+    await generations[0].start(stack, ops=True)
+    await wait_ready(generations[0])
+    traffic = [Traffic(generations[0].port, rng) for _ in range(12)]
     tasks = [asyncio.ensure_future(t.run()) for t in traffic]
     for _ in range(upgrades):
-        old, new = worlds[-1], Standins(EXAMPLE["settings"])
+        old, new = generations[-1], Standins(EXAMPLE["settings"])
         new.environ, new.listen_port = old.environ, old.port
         started = time.monotonic()
         starts = asyncio.ensure_future(new.start(stack, ops=True))
@@ -218,13 +218,13 @@
         assert old.process is not None
         send_signal(old.process, signal.SIGTERM)
         await old.process.wait()
-        worlds.append(new)
+        generations.append(new)
         await asyncio.sleep(0.3)
     for client in traffic:
         client.running = False
     await asyncio.gather(*tasks)
-    executions = Counter(body for world in worlds for _, cls, body in world.runs if cls == "work-order")
-    log = await worlds[-1].leave()
+    executions = Counter(body for standins in generations for _, cls, body in standins.runs if cls == "work-order")
+    log = await generations[-1].leave()
     return (
         sum((client.outcomes for client in traffic), Counter()),
         sum(n - 1 for n in executions.values()),
--- a/tests/data/make_platform_bytes.py
+++ b/tests/data/make_platform_bytes.py
@@ -162,7 +162,7 @@
             try:
                 return await asyncio.open_connection("127.0.0.1", port)
             except OSError:
-                assert time.monotonic() < end, f"no listener on port {port} within the time-out"
+                assert time.monotonic() < end, "no listener on the port within the time-out"
                 await asyncio.sleep(0.02)
 
     async def ask(self, line: str) -> str:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -20,7 +20,7 @@
 from benchmarks.capacity.bounds import max_members
 from benchmarks.capacity.drawing import CHARTS, draw, drawable
 from benchmarks.capacity.measure import PARTS, member
-from benchmarks.capacity.measure.request import BODY, Direct, ThroughNode
+from benchmarks.capacity.measure.request import BODY, DirectConnection, NodeConnection
 from benchmarks.capacity.measure.tenants import settings
 from benchmarks.capacity.measure.tools import scheduler_times
 from benchmarks.capacity.model import Aspect, Bound, Condition, Demand, Limit, Load, Role
@@ -298,8 +298,8 @@
     async def exchange() -> None:
         server = await asyncio.start_server(lambda _reader, _writer: None, "127.0.0.1", 0)
         address = server.sockets[0].getsockname()
-        direct = Direct(*await asyncio.open_connection(*address))
-        through = ThroughNode(*await asyncio.open_connection(*address))
+        direct = DirectConnection(*await asyncio.open_connection(*address))
+        through = NodeConnection(*await asyncio.open_connection(*address))
         assert BODY in direct.request("7") and BODY in through.request("7")
         assert direct.answers(line("EXIT", 1, "7", "complete", 200, body=b"done")) == [("7", True)]
         assert through.answers(array(b"7", b"BUSY", b"v=1.0", b"")) == [("7", False)]
