--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -32,10 +32,10 @@
     charts: bool  # draw the charts again
 
 
-def parse(words: list[str]) -> Arguments:
+def parse(command_line: list[str]) -> Arguments:
     """Parse the command-line arguments. Raises UsageError."""
-    options = {word for word in words if word.startswith("-")}
-    parts = tuple(word for word in words if not word.startswith("-"))
+    options = {argument for argument in command_line if argument.startswith("-")}
+    parts = tuple(argument for argument in command_line if not argument.startswith("-"))
     if unknown := sorted(options - set(OPTIONS)):
         raise UsageError(f"unknown option {unknown[0]}; valid options: {', '.join(OPTIONS)}")
     if unknown := [part for part in parts if part not in PARTS]:
@@ -46,10 +46,10 @@
     return Arguments(parts, check, "--alone" in options, "--charts" in options)
 
 
-def main(words: list[str]) -> int:
+def main(command_line: list[str]) -> int:
     """Measure the named parts, then write or check the page. Return the exit code."""
     try:
-        arguments = parse(words)
+        arguments = parse(command_line)
         for part in arguments.parts:
             print(part, flush=True)
             save(measure(part, shared=not arguments.alone))
--- a/benchmarks/capacity/measure/request.py
+++ b/benchmarks/capacity/measure/request.py
@@ -103,7 +103,7 @@
     """A direct connection to the simulated executor that uses the protocol of a node."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self._parser = LineParser(lambda words: words[0] in ("EXIT", "CALLOUT"), READ_BYTES)
+        self._parser = LineParser(lambda fields: fields[0] in ("EXIT", "CALLOUT"), READ_BYTES)
         super().__init__(reader, writer)
         writer.write(line("JOIN", 0))
 
@@ -116,9 +116,9 @@
         self._parser.feed(data)
         answered = []
         while (message := self._parser.next()) is not None:
-            words, _ = message
-            if words[0] == "EXIT":
-                answered.append((words[2], words[3] == "complete"))
+            fields, _ = message
+            if fields[0] == "EXIT":
+                answered.append((fields[2], fields[3] == "complete"))
         return answered
 
 
@@ -162,10 +162,10 @@
         connection.sent_count = connection.served = 0
         before, started = scheduler_times(pid(standins)), time.perf_counter()
         await send_at_rate(connection.send, rate, SECONDS, rng)
-        after, took = scheduler_times(pid(standins)), time.perf_counter() - started
+        after, elapsed_s = scheduler_times(pid(standins)), time.perf_counter() - started
         await connection.close()
         return SchedulerTimes(
-            (after.cpu_ms - before.cpu_ms) / took, (after.waited_ms - before.waited_ms) / took
+            (after.cpu_ms - before.cpu_ms) / elapsed_s, (after.waited_ms - before.waited_ms) / elapsed_s
         ), connection
 
 
--- a/benchmarks/capacity/measure/tenants.py
+++ b/benchmarks/capacity/measure/tenants.py
@@ -25,17 +25,17 @@
 
 def settings(kind: str, count: int) -> dict[str, Any]:
     """Return the example settings with `count` tenants or classes."""
-    made: dict[str, Any] = json.loads(json.dumps(EXAMPLE["settings"]))
+    generated: dict[str, Any] = json.loads(json.dumps(EXAMPLE["settings"]))
     if kind == "tenants":
-        made["tenants"] = [
+        generated["tenants"] = [
             {"name": f"tenant-{number:06d}", "share": 1 / count, "quotaPerS": 2.7} for number in range(count)
         ]
     else:
-        first = made["categories"][0]
-        made["categories"] = [{**first, "name": f"class-{number:05d}"} for number in range(count)]
-        info = made["familyInfo"]
+        first = generated["categories"][0]
+        generated["categories"] = [{**first, "name": f"class-{number:05d}"} for number in range(count)]
+        info = generated["familyInfo"]
         info["classCalls"], info["degradedWorth"] = [False] * count, [0.0] * count
-    return made
+    return generated
 
 
 def measure_in_processes(kind: str, sizes: tuple[int, ...]) -> Measurement:
--- a/benchmarks/capacity/results.py
+++ b/benchmarks/capacity/results.py
@@ -79,8 +79,8 @@
     result = results.get(part)
     if result is None:
         return None
-    found = next((series for series in result.series if series.name == series_name), None)
-    return None if found is None else (result, found)
+    matching = next((series for series in result.series if series.name == series_name), None)
+    return None if matching is None else (result, matching)
 
 
 def _read(path: Path) -> Result:
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -28,12 +28,12 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("parts", nargs="*", metavar="PART", help=", ".join(parts))
     parser.add_argument("--charts", type=Path)
-    asked = parser.parse_args()
-    for part in asked.parts or [part for part in parts if part != long]:
-        begun = time.monotonic()
+    options = parser.parse_args()
+    for part in options.parts or [part for part in parts if part != long]:
+        started = time.monotonic()
         rows = parts[part]()
         for row in rows:
             print(json.dumps({"part": part, **row}), flush=True)
-        print(json.dumps({"part": part, "took_s": round(time.monotonic() - begun)}), flush=True)
-        if asked.charts is not None:
-            draw_charts(asked.charts, part, rows)
+        print(json.dumps({"part": part, "took_s": round(time.monotonic() - started)}), flush=True)
+        if options.charts is not None:
+            draw_charts(options.charts, part, rows)
--- a/tests/data/make_platform_bytes.py
+++ b/tests/data/make_platform_bytes.py
@@ -102,15 +102,15 @@
         self.settings: dict[str, Any] = json.loads(json.dumps(SETTINGS))
         self.name = "n3"
         self.arguments: tuple[str, ...] = ()
-        self.welcomes = True
-        self.holds_meters = False  # leaves METERs unanswered, so that messages from the node stay unconfirmed
+        self.sends_welcome = True
+        self.withholds_meters = False  # leaves METERs unanswered, so that messages from the node stay unconfirmed
         self.executor: list[str] = []  # messages, without METERs
         self.meters: list[str] = []
         self.notices = 0
         self.records: list[str] = []
         self.records_reply: list[bytes] = []  # replies to the next calls, instead of DONE
-        self.refuses = False  # the records service answers every call with WAIT
-        self.silent: set[str] = set()  # runs that send no EXIT after KILL
+        self.refuses_records = False  # the records service answers every call with WAIT
+        self.silent_runs: set[str] = set()  # runs that send no EXIT after KILL
         self.control: list[str] = []
         self.links: list[asyncio.StreamWriter] = []
         self.port = self.ops_port = 0
@@ -174,52 +174,54 @@
         writer.close()
         return answer.decode()
 
-    def notify(self, word: str, *rest: str | int, body: bytes) -> None:
+    def notify(self, verb: str, *rest: str | int, body: bytes) -> None:
         """Send a numbered notice from the executor to the node."""
         self.notices += 1
-        head = " ".join(map(str, (word, self.notices, *rest, len(body))))
+        head = " ".join(map(str, (verb, self.notices, *rest, len(body))))
         self.links[-1].write(head.encode() + b"\r\n" + body + b"\r\n")
 
     def cut_unconfirmed(self) -> None:
         """Abort the executor link while its last commands are unconfirmed. The next link answers METERs again."""
         self.links[-1].transport.abort()
-        self.holds_meters = False
+        self.withholds_meters = False
 
-    async def got(self, message: str) -> None:
+    async def wait_for_message(self, message: str) -> None:
         """Wait until the executor has received the message."""
         await until(lambda: message in self.executor)
 
     async def _executor_side(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(asyncio.IncompleteReadError, OSError):
             while line := (await reader.readuntil(b"\r\n")).decode():
-                words = line.split()
-                if words[0] in ("EXEC", "RETURN"):
-                    line += (await reader.readexactly(int(words[-1]) + 2)).decode("latin-1")
-                if words[0] == "METER":
+                fields = line.split()
+                if fields[0] in ("EXEC", "RETURN"):
+                    line += (await reader.readexactly(int(fields[-1]) + 2)).decode("latin-1")
+                if fields[0] == "METER":
                     self.meters.append(line)
-                    if self.holds_meters:
+                    if self.withholds_meters:
                         continue
-                    writer.write(f"METERS {words[1]} 0.1 1\r\n".encode())
+                    writer.write(f"METERS {fields[1]} 0.1 1\r\n".encode())
                     continue
-                if words[0] == "JOIN":
+                if fields[0] == "JOIN":
                     self.links.append(writer)
-                    if self.welcomes:
+                    if self.sends_welcome:
                         writer.write(b"WELCOME hot 5\r\n")
                 self.executor.append(line)
-                if words[0] == "KILL" and words[1] not in self.silent:  # answered before any later METER
-                    self.notify("EXIT", words[1], "cancelled", 10, body=b"")
+                if fields[0] == "KILL" and fields[1] not in self.silent_runs:  # answered before any later METER
+                    self.notify("EXIT", fields[1], "cancelled", 10, body=b"")
 
     async def _records_side(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(asyncio.IncompleteReadError, OSError):
             while line := (await reader.readuntil(b"\r\n")).decode():
-                words = line.split()
-                body = await reader.readexactly(int(words[-1]) + 2) if words[0] == "OP" else b""
-                wait = int(words[2]) if words[0] == "OP" else 1
+                fields = line.split()
+                body = await reader.readexactly(int(fields[-1]) + 2) if fields[0] == "OP" else b""
+                wait = int(fields[2]) if fields[0] == "OP" else 1
                 assert 0 < wait <= 20_000
                 self.records.append(re.sub(r"^(OP \S+) \d+ ", r"\1 # ", line) + body.decode("latin-1"))
-                word = self.records_reply.pop(0) if self.records_reply else b"WAIT" if self.refuses else b"DONE"
-                reply = b" 5\r\na row\r\n" if word == b"DONE" else b"\r\n"
-                writer.write(words[1].encode() + b" " + word + reply)
+                status = (
+                    self.records_reply.pop(0) if self.records_reply else b"WAIT" if self.refuses_records else b"DONE"
+                )
+                reply = b" 5\r\na row\r\n" if status == b"DONE" else b"\r\n"
+                writer.write(fields[1].encode() + b" " + status + reply)
 
     async def _control_side(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(asyncio.IncompleteReadError, OSError):
@@ -241,10 +243,10 @@
         raise
 
 
-async def _collect_messages(found: dict[str, Any]) -> None:
+async def _collect_messages(collected: dict[str, Any]) -> None:
     """Collect the answers, commands, record calls, reports and health checks of one node."""
     world = World()
-    world.name, world.welcomes = "n 3/\u00e9", False
+    world.name, world.sends_welcome = "n 3/\u00e9", False
     answers: dict[str, list[str]] = {}
     async with world.running(), _print_state_on_failure(world, answers):
         balancer = await world.connect()
@@ -253,7 +255,7 @@
         answers["health before the executor's welcome"] = await balancer.next()
         balancer.call(20, "position-push", b"too early")
         answers["refused before the executor's welcome"] = await balancer.next()
-        world.welcomes = True
+        world.sends_welcome = True
         world.links[-1].write(b"WELCOME hot 5\r\n")
         await until(lambda: world.meters)
 
@@ -282,7 +284,7 @@
         id = balancer.call(6, "position-push", b"cancelled")
         await until(lambda: any(m.startswith(f"EXEC {id}") for m in world.executor))
         balancer.writer.write(array(b"RPC.CANCEL", b"6"))
-        await world.got(f"KILL {id}\r\n")
+        await world.wait_for_message(f"KILL {id}\r\n")
 
         id = balancer.call(23, "position-push", b"ends in an error")
         await until(lambda: any(m.startswith(f"EXEC {id}") for m in world.executor))
@@ -291,26 +293,27 @@
 
         id = balancer.call(24, "status-read", b"goes on without the call")
         await until(lambda: any(m.startswith(f"EXEC {id}") for m in world.executor))
-        world.refuses = True
+        world.refuses_records = True
         world.notify("CALLOUT", id, body=b"refused")
         await until(lambda: any(m.startswith(f"BYPASS {id}") for m in world.executor))
-        world.refuses = False
+        world.refuses_records = False
         world.notify("EXIT", id, "complete", 10, body=b"part of it")
         answers["served without the call"] = await balancer.next()
 
-        world.holds_meters = True  # otherwise a METERS can confirm the EXEC before a slow machine drops the link
+        world.withholds_meters = True  # otherwise a METERS can confirm the EXEC before a slow machine drops the link
         id = balancer.call(7, "work-order", b"in doubt", f",d=14000,k={KEY[::-1]}")
         await until(lambda: any(m.startswith(f"EXEC {id}") for m in world.executor))
         world.cut_unconfirmed()
-        await world.got(f"KILL {id}\r\n")  # asks whether the run has started; the executor answers that it has
-        await world.got(f"WAKE {id}\r\n")
+        # KILL asks whether the run has started; the executor confirms the start.
+        await world.wait_for_message(f"KILL {id}\r\n")
+        await world.wait_for_message(f"WAKE {id}\r\n")
         world.notify("EXIT", id, "complete", 10, body=b"woken")
         answers["served over a lost link"] = await balancer.next()
 
-        world.holds_meters = True
+        world.withholds_meters = True
         id = balancer.call(25, "work-order", b"not read", f",d=14000,k={KEY[1:]}0")
         await until(lambda: any(m.startswith(f"EXEC {id}") for m in world.executor))
-        world.silent.add(id)
+        world.silent_runs.add(id)
         world.cut_unconfirmed()
         await until(lambda: sum(m.startswith(f"EXEC {id}") for m in world.executor) == 2)
         world.notify("EXIT", id, "complete", 10, body=b"begun again")
@@ -327,7 +330,7 @@
         answers["health while drained"] = await balancer.next()
 
         await until(lambda: any('"NotReady"' in report for report in world.control))
-        found["reports"] = list(dict.fromkeys(world.control))
+        collected["reports"] = list(dict.fromkeys(world.control))
         malformed = await world.connect()
         malformed.call(10, "position-push", b"open while it breaks off")
         await until(lambda: any("open while it breaks off" in m for m in world.executor))
@@ -341,15 +344,15 @@
         answers["leaving"] = await balancer.next()
         balancer.writer.close()
         assert await world.process.wait() == 0
-    found["answers"] = answers
+    collected["answers"] = answers
     assert world.meters[:3] == ["METER 1\r\n", "METER 2\r\n", "METER 3\r\n"]
-    found["executor"] = world.executor
-    found["records"] = list(dict.fromkeys(world.records))  # refused calls are retried a varying number of times
+    collected["executor"] = world.executor
+    collected["records"] = list(dict.fromkeys(world.records))  # refused calls are retried a varying number of times
 
 
-def _encoded() -> dict[str, str]:
+def _encoded_answers() -> dict[str, str]:
     """Return encoded answers: each verdict with and without a value, advice, the flag `last` and a body."""
-    found = {}
+    collected = {}
     for verdict, wait, last, value, body in itertools.product(
         ("served", "refused", "failed"),
         (0.0, 0.0001, 0.25),
@@ -358,8 +361,8 @@
         (b"", b"a\r\n"),
     ):
         answer = Answer(Verdict(verdict), body, wait, last, value)
-        found[f"{verdict} {wait} {last} {value} {body!r}"] = format_answer(b"17", answer).decode()
-    return found
+        collected[f"{verdict} {wait} {last} {value} {body!r}"] = format_answer(b"17", answer).decode()
+    return collected
 
 
 def _invalid_configs() -> dict[str, str | None]:
@@ -402,19 +405,19 @@
         results = await asyncio.gather(
             *(run_with_config(index, source) for index, source in enumerate(configs.values()))
         )
-    found = dict(zip(configs, results, strict=True))
-    found["not set"] = list(await run_program({"LB_CONFIG": ""}))
-    return found
+    collected = dict(zip(configs, results, strict=True))
+    collected["not set"] = list(await run_program({"LB_CONFIG": ""}))
+    return collected
 
 
 def wire() -> dict[str, Any]:
     """Return the messages on all connections, and encoded answers."""
 
     async def run() -> dict[str, Any]:
-        found: dict[str, Any] = {}
-        await _collect_messages(found)
-        found["encoded answers"] = _encoded()
-        return found
+        collected: dict[str, Any] = {}
+        await _collect_messages(collected)
+        collected["encoded answers"] = _encoded_answers()
+        return collected
 
     return asyncio.run(run())
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -75,10 +75,10 @@
 
 
 @pytest.mark.parametrize(
-    "words", [["nothing"], ["--fast"], ["--check", "--charts"], ["--check", "start"], ["start", "nothing"]]
+    "command_line", [["nothing"], ["--fast"], ["--check", "--charts"], ["--check", "start"], ["start", "nothing"]]
 )
-def test_invalid_arguments_print_one_line(words: list[str], capsys: pytest.CaptureFixture[str]) -> None:
-    assert command.main(words) == command.MISUSED
+def test_invalid_arguments_print_one_line(command_line: list[str], capsys: pytest.CaptureFixture[str]) -> None:
+    assert command.main(command_line) == command.MISUSED
     captured = capsys.readouterr()
     assert captured.err.startswith("capacity: ") and captured.err.count("\n") == 1
     assert captured.out == ""
