--- a/benchmarks/capacity/measure/__init__.py
+++ b/benchmarks/capacity/measure/__init__.py
@@ -1,4 +1,4 @@
-"""One module for each part that can be measured. Each gives a `Measured`; the parts are listed in `PARTS`."""
+"""The measured parts, one module each. `PARTS` lists the modules; the `run` of each returns a `Measurement`."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from importlib import import_module
 
 from ..results import ROOT, Result, Run
-from .tools import Measured
+from .tools import Measurement
 
 PARTS = (
     "request",
@@ -27,9 +27,9 @@
 
 
 def measure(part: str, *, shared: bool) -> Result:
-    """Run a part. `shared`: other work runs on the machine."""
+    """Measure a part. `shared` states whether other work runs on the machine."""
     module = import_module(f".{part}", __package__)
-    run: Callable[[], Measured] = module.run
+    run: Callable[[], Measurement] = module.run
     measured = run()
     commit = subprocess.run(
         ["git", "rev-parse", "--short", "HEAD"], cwd=ROOT, capture_output=True, text=True, check=True
