--- a/chutepin/testbench/charts.py
+++ b/chutepin/testbench/charts.py
@@ -1,4 +1,4 @@
-"""Charts as SVG files, on pygal. Loaded only where charts are asked for."""
+"""Charts as SVG files, drawn with pygal, which is imported only when a chart is drawn."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     *,
     logarithmic: bool = False,
 ) -> None:
-    """Write a chart of points joined by lines."""
+    """Write a line chart."""
     import pygal
 
     chart = pygal.XY(title=title, x_title=x, y_title=y, logarithmic=logarithmic, **STYLE)
@@ -44,7 +44,7 @@
     *,
     logarithmic: bool = False,
 ) -> None:
-    """Write a chart of bars in groups."""
+    """Write a grouped bar chart."""
     import pygal
 
     chart = pygal.Bar(title=title, y_title=y, logarithmic=logarithmic, **STYLE)
@@ -55,9 +55,9 @@
 
 
 def alive(path: Path, history: History) -> None:
-    """How many members each one shows alive, over time."""
+    """Write a line chart of the number of members that each member shows alive over time."""
     series: dict[str, list[tuple[float, float]]] = {}
     for shown in history.shown:
         count = sum(state == "alive" for _, state, _ in shown.states)
         series.setdefault(shown.member, []).append((round(shown.at, 2), count))
-    lines(path, "members shown alive, by who shows them", "seconds", "members", series)
+    lines(path, "members shown alive, by observing member", "seconds", "members", series)
--- a/chutepin/testbench/faults/__init__.py
+++ b/chutepin/testbench/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Schedules of faults, and the rigs that play them on real processes."""
+"""Schedules of faults, and the rigs that inject them into real processes."""
--- a/chutepin/testbench/faults/fleet.py
+++ b/chutepin/testbench/faults/fleet.py
@@ -1,7 +1,7 @@
-"""The fault rig: many real processes of the program on loopback, each directed link between them through a relay.
+"""The fault rig: many real processes of the program on loopback, with a relay for each directed link between them.
 
-A schedule of faults is played on them, and observed is what each process shows to operators. Everything is bounded in
-time, and only processes that were started here are ended, by id."""
+The rig plays a schedule of faults and records what the processes report on their operators' sockets. All waits are
+bounded, and the rig signals only processes that it started, by process id."""
 
 from __future__ import annotations
 
@@ -25,37 +25,37 @@
 from chutepin.testbench.standins.platform import EXAMPLE, Standins, free_port
 
 OBSERVE_INTERVAL_S = 0.25
-CALL_TIMEOUT_S = 5.0  # of an operator's call
-JOIN_TIMEOUT_S = 60.0  # in which all must have joined before the schedule begins
-SLOW_CYCLE_S = 1.0  # a slow process is stopped for its share of each cycle
+CALL_TIMEOUT_S = 5.0  # for the answer to an operator's call
+JOIN_TIMEOUT_S = 60.0  # for all members to join before the schedule starts
+SLOW_CYCLE_S = 1.0  # a slow process is stopped for a share of each cycle
 CLOCK = Path(__file__).with_name("setclock")
 
 
 class Process:
-    """One member: the real program between its own stand-ins."""
+    """One member: a process of the program with its own stand-ins."""
 
     def __init__(self, name: str, address: str, ops: int, label: str = "") -> None:
-        """`label`: what its files are called, where two processes have one name."""
+        """`label` is the stem of the names of its files, for when two processes have one member name."""
         self.name, self.address, self.ops, self.label = name, address, ops, label or name
         self.world = Standins(EXAMPLE["settings"])
         self.world.name = name
-        self.number = 0  # of the last change that was seen
+        self.number = 0  # of the last recorded change
         self.clock: Path | None = None
         self.refusals = 0
 
     @property
     def running(self) -> bool:
-        """It was started and has not ended."""
+        """Return whether the process was started and has not ended."""
         return self.world.process is not None and self.world.process.returncode is None
 
     def signal(self, number: int) -> None:
-        """Send a signal to this very process."""
+        """Send a signal to the process if it runs."""
         if self.running:
             assert self.world.process is not None
             send_signal(self.world.process, number)
 
     async def ask(self, call: str) -> list[str]:
-        """The lines of an operator's call; none where it does not answer in time."""
+        """Return the lines of the answer to an operator's call; empty if the call fails or times out."""
         try:
             async with asyncio.timeout_at(asyncio.get_running_loop().time() + CALL_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.ops)
@@ -67,13 +67,13 @@
         return lines
 
     def set_clock(self, offset: float) -> None:
-        """Set the system's clock as this process sees it."""
+        """Set the offset in seconds of the system clock of this process."""
         assert self.clock is not None
         self.clock.write_bytes(struct.pack("d", offset))
 
 
 class Fleet:
-    """A number of processes, and a schedule that is played on them."""
+    """A set of processes and the schedule of faults that is played on them."""
 
     def __init__(
         self,
@@ -85,26 +85,26 @@
         environ: dict[str, str] | None = None,
         note: Callable[[str], None] = lambda _: None,
     ) -> None:
-        """`seeds`: how many of the first members the others join by. `note` takes a line for each thing done."""
-        self.schedule, self._seed, self._seeds, self._every, self._note = schedule, seed, seeds, look, note
+        """The first `seeds` members are the seeds for joining. `note` receives a line for each injected fault."""
+        self.schedule, self._seed, self._seeds, self._interval_s, self._log_line = schedule, seed, seeds, look, note
         self._environ = environ or {}
         self.truth, self.history = Truth(schedule), History(schedule)
         self.processes: dict[str, Process] = {}
         self.relays: dict[tuple[str, str], Relay] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._began = 0.0
-        self._leaving: set[str] = set()  # signalled; they may take a moment yet
-        self.extra = ""  # further lines of every block
-        self.voters: list[str] = []  # of a log in common; none: there is no such log
-        self.late: list[str] = []  # those that are started by a `restart` of the schedule only
+        self._started_at = 0.0
+        self._leaving: set[str] = set()  # members that received SIGTERM and may still be running
+        self.extra = ""  # further lines of each `cluster` block
+        self.voters: list[str] = []  # of the replicated log; empty: no replicated log
+        self.late: list[str] = []  # members that are started only by a `restart` of the schedule
 
     @property
     def now(self) -> float:
-        """Seconds since the schedule began."""
-        return time.monotonic() - self._began
+        """Return the seconds since the schedule started."""
+        return time.monotonic() - self._started_at
 
     async def open(self, stack: AsyncExitStack) -> None:
-        """Relays and files of all, and the processes but for the late ones."""
+        """Open the relays, write the files and start all processes except the late ones."""
         self._directory = Path(stack.enter_context(tempfile.TemporaryDirectory()))
         stack.push_async_callback(self._close)
         rng = random.Random(self._seed)
@@ -118,12 +118,12 @@
                     await relay.open()
                     self.relays[source, target] = relay
         for process in self.processes.values():
-            await self._prepare(stack, process)
+            await self._write_files(stack, process)
         await asyncio.gather(
             *(self._start(stack, self.processes[name]) for name in self.processes if name not in self.late)
         )
 
-    async def _prepare(self, stack: AsyncExitStack, process: Process) -> None:
+    async def _write_files(self, stack: AsyncExitStack, process: Process) -> None:
         process.clock = self._directory / f"{process.label}.clock"
         process.set_clock(0.0)
         self.setup(process).write_text(self.block(process))
@@ -137,15 +137,15 @@
         }
 
     def setup(self, process: Process) -> Path:
-        """The operator's file of a process."""
+        """Return the path of the setup file of a process."""
         return self._directory / f"{process.label}.kdl"
 
     def log(self, name: str) -> str:
-        """What a process has logged."""
+        """Return the log of a process so far."""
         return (self._directory / f"{name}.log").read_text(errors="replace")
 
     def block(self, process: Process) -> str:
-        """Its block `cluster`."""
+        """Return the content of the setup file of a process: the `cluster` block and the blocks for consensus."""
         seeds = list(self.processes)[: self._seeds]
         reach = " ".join(
             f'"{target}=127.0.0.1:{relay.port}"'
@@ -169,37 +169,37 @@
         )
 
     def store(self, process: Process) -> Path:
-        """Where a process keeps what must outlive it."""
+        """Return the directory of the persistent store of a process."""
         return self._directory / f"{process.label}.store"
 
     async def _start(self, stack: AsyncExitStack, process: Process) -> None:
         await process.world.start(stack, "--setup", str(self.setup(process)))
 
     async def beside(self, stack: AsyncExitStack, name: str, address: str = "", port: int = 0) -> Process:
-        """Start a further process under a member's name.
+        """Start another process under the name of a member.
 
-        It is the member's successor, with its address and its clients' `port`, or a stranger at an address of its
-        own."""
+        With the address and client `port` of the member, the process is its successor; otherwise it claims the name at
+        another address."""
         process = Process(name, address or f"127.0.0.1:{await free_port()}", await free_port(), f"{name}b")
         process.world.listen_port = port
-        await self._prepare(stack, process)
+        await self._write_files(stack, process)
         await self._start(stack, process)
         stack.callback(process.signal, signal.SIGKILL)
         return process
 
     async def joined(self, names: list[str] | None = None) -> None:
-        """Wait until all that run show each other alive. Raises AssertionError after a minute."""
-        until = time.monotonic() + JOIN_TIMEOUT_S
+        """Wait until all running members show each other alive. Raises AssertionError after JOIN_TIMEOUT_S."""
+        deadline = time.monotonic() + JOIN_TIMEOUT_S
         names = names or [name for name, process in self.processes.items() if process.running]
         while True:
             shown = await asyncio.gather(*(self.members(name) for name in names))
             if all(sorted(name for name, state, _ in states if state == "alive") == sorted(names) for states in shown):
                 return
-            assert time.monotonic() < until, f"they have not found each other: {shown}"
+            assert time.monotonic() < deadline, f"members have not joined: {shown}"
             await asyncio.sleep(OBSERVE_INTERVAL_S)
 
     async def run(self, stack: AsyncExitStack, joined: bool = True) -> History:
-        """Play the schedule and watch; the history."""
+        """Start the members, play the schedule and return the history. `joined`: wait for all members to join first."""
         await self.open(stack)
         if joined:
             await self.joined()
@@ -207,20 +207,20 @@
         return self.history
 
     async def play(self, stack: AsyncExitStack) -> None:
-        """Begin the schedule now, and watch to its end."""
+        """Play the schedule and record observations until its end."""
         for process in self.processes.values():
-            await self._changes(process, keep=False)  # what happened before
+            await self._record_changes(process, keep=False)  # skips the changes before the schedule
         before = {link: (relay.packets, relay.bytes) for link, relay in self.relays.items()}
-        self._began = time.monotonic()
-        watchers = [self._spawn(self._watch(process)) for process in self.processes.values()]
+        self._started_at = time.monotonic()
+        observers = [self._spawn(self._observe(process)) for process in self.processes.values()]
         for fault in sorted(self.schedule.faults, key=lambda fault: fault.at):
             await asyncio.sleep(max(0.0, fault.at - self.now))
-            self._note(f"{self.now:7.2f} {fault.what} {' '.join(fault.members)} {fault.value or ''}".rstrip())
-            await self._do(stack, fault)
+            self._log_line(f"{self.now:7.2f} {fault.what} {' '.join(fault.members)} {fault.value or ''}".rstrip())
+            await self._inject(stack, fault)
         await asyncio.sleep(max(0.0, self.schedule.seconds - self.now))
-        for watcher in watchers:
-            watcher.cancel()
-        await asyncio.gather(*watchers, return_exceptions=True)
+        for observer in observers:
+            observer.cancel()
+        await asyncio.gather(*observers, return_exceptions=True)
         for link, relay in self.relays.items():
             self.history.packets += relay.packets - before[link][0]
             self.history.bytes += relay.bytes - before[link][1]
@@ -243,12 +243,12 @@
             process.signal(signal.SIGCONT)
             await process.world.kill()
 
-    async def _do(self, stack: AsyncExitStack, fault: Fault) -> None:
+    async def _inject(self, stack: AsyncExitStack, fault: Fault) -> None:
         for name in fault.members:
             await self._to_process(stack, self.processes[name], fault)
-        done = Fault(self.now, fault.what, fault.members, fault.value, fault.groups)
-        self.truth.do(done)
-        self.history.done.append(done)
+        injected = Fault(self.now, fault.what, fault.members, fault.value, fault.groups)
+        self.truth.do(injected)
+        self.history.done.append(injected)
 
     async def _to_process(self, stack: AsyncExitStack, process: Process, fault: Fault) -> None:
         match fault.what:
@@ -269,7 +269,7 @@
             case "wake":
                 process.signal(signal.SIGCONT)
             case "slow" if fault.value:
-                self._spawn(self._starve(process, fault.value))
+                self._spawn(self._slow_down(process, fault.value))
             case "restart" if not process.running or process.name in self._leaving:
                 self._leaving.discard(process.name)
                 await self.restart(stack, process.name)
@@ -279,7 +279,7 @@
                 pass
 
     async def restart(self, stack: AsyncExitStack, name: str) -> None:
-        """Start a process that has ended, or never ran."""
+        """Start a process that has never run, or start it again once it has ended."""
         process = self.processes[name]
         process.number = 0
         if process.world.process is None:
@@ -288,8 +288,8 @@
             await process.world.process.wait()
             await process.world.spawn()
 
-    async def _starve(self, process: Process, share: float) -> None:
-        """Let a process run for a part of each second only, until the schedule says otherwise."""
+    async def _slow_down(self, process: Process, share: float) -> None:
+        """Stop a process for a share of each SLOW_CYCLE_S until the schedule ends the fault."""
         await asyncio.sleep(0)
         try:
             while process.running and (self.truth.slow.get(process.name) or self.now < 0.5):
@@ -300,13 +300,13 @@
         finally:
             process.signal(signal.SIGCONT)
 
-    async def _watch(self, process: Process) -> None:
+    async def _observe(self, process: Process) -> None:
         while True:
             if process.running and process.name not in self.truth.stopped:
-                asked = self.now
+                asked_at = self.now
                 states = await self.members(process.name)
                 links = await process.ask("links")
-                if states and links and self.now < asked + 1.0:  # a slow answer shows no single moment
+                if states and links and self.now < asked_at + 1.0:  # a slow answer does not describe one moment
                     self.history.shown.append(
                         Shown(
                             self.now,
@@ -315,11 +315,11 @@
                             tuple((line.split()[0], line.split()[1]) for line in links[1:-1]),
                         )
                     )
-                await self._changes(process)
-            await asyncio.sleep(self._every)
+                await self._record_changes(process)
+            await asyncio.sleep(self._interval_s)
 
     async def members(self, name: str) -> list[tuple[str, str, int]]:
-        """Name, state and incarnation of all, as a process shows them; none where it shows nothing."""
+        """Return (name, state, incarnation) of each member as a process shows them; empty if it does not answer."""
         process = self.processes[name]
         lines = await process.ask("members")
         if not lines or not lines[0].startswith("SUCCESS"):
@@ -328,7 +328,7 @@
         rows = [line.split() for line in lines[1:-1]]
         return sorted((row[0], row[1], int(row[2])) for row in rows)
 
-    async def _changes(self, process: Process, keep: bool = True) -> None:
+    async def _record_changes(self, process: Process, keep: bool = True) -> None:
         lines = await process.ask("changes")
         now = self.now
         for line in lines[1:-1]:
@@ -348,7 +348,7 @@
     note: Callable[[str], None] = lambda _: None,
     look: float = OBSERVE_INTERVAL_S,
 ) -> History:
-    """Run a schedule on real processes; release builds."""
+    """Play a schedule on real processes and return the history. The processes inherit PYTHONOPTIMIZE."""
     async with AsyncExitStack() as stack:
         fleet = Fleet(
             schedule,
--- a/chutepin/testbench/faults/schedule.py
+++ b/chutepin/testbench/faults/schedule.py
@@ -1,7 +1,7 @@
-"""Faults as data: a schedule is a list of things done to members at times. Simulator and real processes play the same.
+"""Fault schedules as data: a list of faults with times and members, for the simulator and for real processes alike.
 
-A schedule is drawn from a seed or read from a JSON file; what it says can be written back, so that a failing run can be
-kept, shortened and sent on."""
+A schedule is drawn from a seed or read from a JSON file. It can be written as JSON, so that a failing run can be
+stored, minimized and shared."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One thing that is done. Members are named n1, n2, …; `at` is seconds from the start of the schedule.
+    """One fault or its end. Members are named n1, n2, …; `at` is in seconds from the start of the schedule.
 
     | what | members | value |
     | --- | --- | --- |
-    | `crash`, `restart`, `leave` | whom | |
-    | `wipe` | whom | a crash, and its store is lost |
-    | `stop`, `wake` | whom | |
-    | `slow` | whom | share of the time that it gets no CPU (0: well again) |
-    | `loss` | of all links | share of datagrams lost |
-    | `delay` | of all links | seconds at the most, drawn for each datagram |
-    | `duplicate` | of all links | share of datagrams that come twice |
-    | `cut`, `mend` | from the first to each of the others, that direction | |
-    | `split` | | groups of members; links between groups are cut both ways |
-    | `heal` | all cuts end | |
-    | `tear` | of all links | share of TCP connections that are cut in the middle of a frame |
-    | `clock` | whom | seconds by which the system's clock is set (for its next start) |
+    | `crash`, `restart`, `leave` | targets | |
+    | `wipe` | targets | a crash with loss of the store |
+    | `stop`, `wake` | targets | |
+    | `slow` | targets | share of time without CPU (0 ends the fault) |
+    | `loss` | none: all links | share of datagrams lost |
+    | `delay` | none: all links | maximum in seconds, drawn for each datagram |
+    | `duplicate` | none: all links | share of datagrams delivered twice |
+    | `cut`, `mend` | directed links from the first to each of the others | |
+    | `split` | | in `groups`: groups of members; links between groups are cut both ways |
+    | `heal` | none: ends all cuts | |
+    | `tear` | none: all links | share of TCP connections aborted within a frame |
+    | `clock` | targets | offset of the system clock in seconds (for its next start) |
     """
 
     at: float
@@ -64,40 +64,42 @@
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """What is done to how many members, and for how long they are watched."""
+    """The faults, the number and placement of members, and the length of the observation."""
 
     members: int
     seconds: float
     faults: tuple[Fault, ...] = ()
-    together: bool = True  # all start at once; else one after the other
+    together: bool = True  # true: all members start at once; false: one after another
     zones: int = 3
     regions: int = 1
     notes: str = field(default="", compare=False)
 
     def names(self) -> list[str]:
-        """All members."""
+        """Return the names of all members."""
         return [f"n{number}" for number in range(1, self.members + 1)]
 
     def zone(self, name: str) -> str:
-        """Members are dealt out over the zones."""
+        """Return the zone of a member; members are assigned to zones round-robin."""
         return ZONES[(int(name[1:]) - 1) % self.zones]
 
     def region(self, name: str) -> str:
-        """Zones are dealt out over the regions."""
+        """Return the region of a member; zones are assigned to regions round-robin."""
         return f"r{1 + ZONES.index(self.zone(name)) % self.regions}"
 
     def as_json(self) -> str:
-        """The schedule as a file's text."""
+        """Return the schedule as JSON text."""
         return json.dumps(asdict(self), indent=1)
 
 
 def load_schedule(text: str) -> Schedule:
-    """The schedule of a file's text. Raises ValueError naming what is wrong."""
-    raw: dict[str, Any] = json.loads(text)
-    zones = Schedule(int(raw["members"]), 0.0, zones=int(raw.get("zones", 3)), regions=int(raw.get("regions", 1)))
-
-    def named(words: Iterable[str]) -> tuple[str, ...]:
-        """`zone:a` stands for all members of that zone, `region:r1` for those of that region."""
+    """Parse a schedule from JSON text. Raises ValueError for unknown kinds of faults and unknown members."""
+    fields: dict[str, Any] = json.loads(text)
+    zones = Schedule(
+        int(fields["members"]), 0.0, zones=int(fields.get("zones", 3)), regions=int(fields.get("regions", 1))
+    )
+
+    def expand_members(words: Iterable[str]) -> tuple[str, ...]:
+        """Return member names, with `zone:a` and `region:r1` expanded to the members of the zone or region."""
         places = {"zone": zones.zone, "region": zones.region}
         return tuple(
             name
@@ -109,46 +111,46 @@
         )
 
     faults = []
-    for number, fault in enumerate(raw.pop("faults", [])):
-        made = Fault(
+    for number, fault in enumerate(fields.pop("faults", [])):
+        parsed = Fault(
             float(fault["at"]),
             str(fault["what"]),
-            named(fault.get("members", ())),
+            expand_members(fault.get("members", ())),
             float(fault.get("value", 0.0)),
-            tuple(map(named, fault.get("groups", ()))),
+            tuple(map(expand_members, fault.get("groups", ()))),
         )
-        if made.what not in KINDS:
-            raise ValueError(f"faults[{number}].what: {made.what} is not one of {', '.join(sorted(KINDS))}")
-        faults.append(made)
-    schedule = Schedule(**raw, faults=tuple(sorted(faults, key=lambda fault: fault.at)))
-    strangers = {name for fault in faults for name in (*fault.members, *sum(fault.groups, ()))} - set(schedule.names())
-    if strangers:
-        raise ValueError(f"faults: no such members: {', '.join(sorted(strangers))}")
+        if parsed.what not in KINDS:
+            raise ValueError(f"faults[{number}].what: {parsed.what} is not one of {', '.join(sorted(KINDS))}")
+        faults.append(parsed)
+    schedule = Schedule(**fields, faults=tuple(sorted(faults, key=lambda fault: fault.at)))
+    unknown = {name for fault in faults for name in (*fault.members, *sum(fault.groups, ()))} - set(schedule.names())
+    if unknown:
+        raise ValueError(f"faults: no such members: {', '.join(sorted(unknown))}")
     return schedule
 
 
 def split(at: float, groups: Iterable[Iterable[str]]) -> Fault:
-    """A partition."""
+    """Return a fault that partitions the members into groups."""
     return Fault(at, "split", groups=tuple(tuple(group) for group in groups))
 
 
 def smallest(schedule: Schedule, fails: Callable[[Schedule], bool]) -> Schedule:
-    """A schedule that still fails with as few faults as leaving one out after the other finds.
-
-    `fails` must give the same verdict each time, as a run of the simulator does."""
-    rest = schedule
-    tried = 0
-    while tried < len(rest.faults):
-        fewer = replace(rest, faults=rest.faults[:tried] + rest.faults[tried + 1 :])
-        if fails(fewer):
-            rest = fewer
+    """Return a schedule that still fails after faults were removed greedily, one at a time.
+
+    `fails` must be deterministic, as a run of the simulator is."""
+    remaining = schedule
+    kept = 0
+    while kept < len(remaining.faults):
+        candidate = replace(remaining, faults=remaining.faults[:kept] + remaining.faults[kept + 1 :])
+        if fails(candidate):
+            remaining = candidate
         else:
-            tried += 1
-    return rest
+            kept += 1
+    return remaining
 
 
 def draw(seed: int, members: int, seconds: float) -> Schedule:
-    """A random schedule: a few troubles one after the other, all over by the last third."""
+    """Return a random schedule of successive faults, all of which end before the last third of `seconds`."""
     rng = random.Random(seed)
     names = [f"n{number}" for number in range(1, members + 1)]
     faults: list[Fault] = []
@@ -158,26 +160,26 @@
         faults.append(Fault(0.0, "duplicate", value=0.2))
     at, end = 8.0, seconds * 2 / 3
     while at < end:
-        some = rng.sample(names, rng.choice([1, 1, 2, max(1, members // 3)]))
-        lasts = rng.choice([1.0, 3.0, 10.0])
-        until = min(at + lasts, end)
+        targets = rng.sample(names, rng.choice([1, 1, 2, max(1, members // 3)]))
+        duration_s = rng.choice([1.0, 3.0, 10.0])
+        end_at = min(at + duration_s, end)
         match rng.choice(["crash", "stop", "cut", "split", "slow", "leave"]):
             case "crash":
-                faults += [Fault(at, "crash", tuple(some)), Fault(until, "restart", tuple(some))]
+                faults += [Fault(at, "crash", tuple(targets)), Fault(end_at, "restart", tuple(targets))]
             case "leave":
-                faults += [Fault(at, "leave", tuple(some)), Fault(until, "restart", tuple(some))]
+                faults += [Fault(at, "leave", tuple(targets)), Fault(end_at, "restart", tuple(targets))]
             case "stop":
-                faults += [Fault(at, "stop", tuple(some)), Fault(until, "wake", tuple(some))]
+                faults += [Fault(at, "stop", tuple(targets)), Fault(end_at, "wake", tuple(targets))]
             case "slow":
-                faults += [Fault(at, "slow", tuple(some), 0.9), Fault(until, "slow", tuple(some), 0.0)]
+                faults += [Fault(at, "slow", tuple(targets), 0.9), Fault(end_at, "slow", tuple(targets), 0.0)]
             case "cut":
-                one, *others = rng.sample(names, min(members, rng.choice([2, members])))
-                faults += [Fault(at, "cut", (one, *others)), Fault(until, "heal")]
+                source, *others = rng.sample(names, min(members, rng.choice([2, members])))
+                faults += [Fault(at, "cut", (source, *others)), Fault(end_at, "heal")]
             case _:
-                border = rng.randrange(1, members)
-                mixed = rng.sample(names, members)
-                faults += [split(at, (mixed[:border], mixed[border:])), Fault(until, "heal")]
-        at = until + rng.choice([0.5, 5.0, 15.0])
+                boundary = rng.randrange(1, members)
+                shuffled = rng.sample(names, members)
+                faults += [split(at, (shuffled[:boundary], shuffled[boundary:])), Fault(end_at, "heal")]
+        at = end_at + rng.choice([0.5, 5.0, 15.0])
     faults += [Fault(end, "loss", value=0.0), Fault(end, "duplicate", value=0.0), Fault(end, "heal")]
     faults.sort(key=lambda fault: fault.at)
     return Schedule(members, seconds, tuple(faults), notes=f"drawn from seed {seed}")
--- a/chutepin/testbench/signals.py
+++ b/chutepin/testbench/signals.py
@@ -1,7 +1,7 @@
 """Signals to child processes of asyncio, without taking their exit code from asyncio.
 
-`asyncio.subprocess.Process.send_signal`, `terminate` and `kill` poll the process first, which collects the exit code of
-one that has just ended. The thread in which asyncio waits for that process then finds none and reports 255."""
+`asyncio.subprocess.Process.send_signal`, `terminate` and `kill` poll the process first. If it has just ended, the poll
+collects its exit code, and the thread in which asyncio waits for the process finds none and reports 255."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def send_signal(process: asyncio.subprocess.Process, number: int) -> bool:
-    """Send a signal to a child process; return whether it still ran. One that has ended keeps its exit code."""
+    """Send a signal to a child process; return whether it was still running. Collects no exit code."""
     if process.returncode is not None or has_ended(process.pid):
         return False
     try:
@@ -22,12 +22,12 @@
 
 
 def kill(process: asyncio.subprocess.Process) -> bool:
-    """Send SIGKILL; return whether the process still ran."""
+    """Send SIGKILL; return whether the process was still running."""
     return send_signal(process, signal.SIGKILL)
 
 
 def has_ended(pid: int) -> bool:
-    """Return whether a child process has ended; it isn't waited for, and its exit code stays to be collected."""
+    """Return whether a child process has ended; its exit code is not collected."""
     try:
         return os.waitid(os.P_PID, pid, os.WEXITED | os.WNOHANG | os.WNOWAIT) is not None
     except ChildProcessError:
--- a/chutepin/testbench/soak/__init__.py
+++ b/chutepin/testbench/soak/__init__.py
@@ -1,12 +1,22 @@
-"""A seeded soak: real node processes on loopback through a life of restarts, upgrades, reloads and outages.
+"""A seeded soak: node processes on loopback under restarts, upgrades, reloads and outages.
 
-`schedule` draws what happens from a seed, `books` keeps what was seen from outside, `checks` says what must hold of the
-books, `report` tells of it; these are pure. `standins`, `client` and `play` are the I/O around them."""
+`schedule` draws the events from a seed, `books` holds the observations, `checks` defines the invariants on them and
+`report` formats the violations; these do no I/O of the soak. `standins`, `client` and `play` do the I/O."""
 
-from .books import Books
+from .books import Observations
 from .checks import Violation, violations
 from .play import play
 from .report import Report, make_report, write_report
 from .schedule import Schedule, draw
 
-__all__ = ["Books", "Report", "Schedule", "Violation", "draw", "make_report", "play", "violations", "write_report"]
+__all__ = [
+    "Observations",
+    "Report",
+    "Schedule",
+    "Violation",
+    "draw",
+    "make_report",
+    "play",
+    "violations",
+    "write_report",
+]
--- a/chutepin/testbench/soak/books.py
+++ b/chutepin/testbench/soak/books.py
@@ -1,4 +1,4 @@
-"""What was seen of a soak from outside: requests and answers, runs, connections, processes. Plain data."""
+"""The external observations of a soak: requests and answers, runs, connections, processes. Plain data."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 
 
 class CloseCause(Enum):
-    """Who ended a connection; a process that is killed ends its connections."""
+    """The side that closed a connection. Connections of a killed process count as closed by the node."""
 
     NODE = "node"
     CLIENT = "client"
 
 
 @dataclass(slots=True)
-class AnswerSeen:
-    """One answer as a client read it."""
+class ObservedAnswer:
+    """An answer as read by a client. Times are in seconds since the epoch."""
 
     at: float
-    word: str
+    verdict: str
     body: bytes
 
 
 @dataclass(slots=True)
-class ConnectionSeen:
-    """One connection of a client."""
+class ObservedConnection:
+    """A connection of a client; a time of infinity means that the event has not happened."""
 
     number: int
     opened_at: float
@@ -35,23 +35,23 @@
 
 
 @dataclass(slots=True)
-class RequestSeen:
-    """One request of a client."""
+class ObservedRequest:
+    """A request of a client and its answers."""
 
     id: str
     cls: str
     body: bytes
     key: str | None
-    connection: ConnectionSeen
+    connection: ObservedConnection
     written_at: float
-    due_at: float
-    is_withdrawn: bool = False
-    answers: list[AnswerSeen] = field(default_factory=list)
+    deadline_at: float
+    is_cancelled: bool = False
+    answers: list[ObservedAnswer] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class RunSeen:
-    """One run that the executor of a process began."""
+class ObservedRun:
+    """A run that the executor of a process started."""
 
     id: str
     body: bytes
@@ -60,62 +60,62 @@
 
 
 @dataclass(slots=True)
-class ProcessSeen:
-    """One process of the node. Processes that handed over to one another form a chain."""
+class ObservedProcess:
+    """A process of the node. Processes that handed over to one another have the same `chain`."""
 
     name: str
     chain: int
     spawned_at: float
     ready_at: float = math.inf
-    notice_at: float = math.inf
+    sigterm_at: float = math.inf
     killed_at: float = math.inf
     ended_at: float = math.inf
     exit_code: int | None = None
     log: str = ""
-    descriptors_when_quiet: tuple[int, int] | None = None  # at the start, and once all clients had gone
-    memory_kb_when_quiet: tuple[int, int] | None = None
-    current_when_quiet: int | None = None  # requests in progress, as the operators' socket tells
+    idle_descriptors: tuple[int, int] | None = None  # at the start and after all clients have closed
+    idle_memory_kb: tuple[int, int] | None = None  # at the start and after all clients have closed
+    idle_requests_in_progress: int | None = None  # requests in progress after all clients have closed, from `show-stat`
 
 
 @dataclass(slots=True)
 class Event:
-    """A step of the schedule as it was carried out."""
+    """A step of the schedule with the time at which it was played."""
 
     at: float
-    what: str
+    description: str
 
 
 @dataclass(slots=True)
-class LagSeen:
-    """A turn of the rig's own event loop that came late: what arrived meanwhile was read late."""
+class ObservedLag:
+    """A delay of the event loop of the soak itself, which delays the recorded times of answers."""
 
     at: float
     lag_s: float
 
 
 @dataclass(slots=True)
-class Books:
-    """Everything that was seen in one soak."""
+class Observations:
+    """All observations of one soak."""
 
-    requests: list[RequestSeen] = field(default_factory=list)
-    runs: list[RunSeen] = field(default_factory=list)
-    processes: list[ProcessSeen] = field(default_factory=list)
+    requests: list[ObservedRequest] = field(default_factory=list)
+    runs: list[ObservedRun] = field(default_factory=list)
+    processes: list[ObservedProcess] = field(default_factory=list)
     events: list[Event] = field(default_factory=list)
-    lags: list[LagSeen] = field(default_factory=list)
-    unasked_answers: int = 0  # to a tag that was never used, or was answered before
+    lags: list[ObservedLag] = field(default_factory=list)
+    unexpected_answers: int = 0  # answers to a tag that was never used or is already answered
 
-    def rig_lag_s(self, since: float, until: float) -> float:
-        """Return for how long the rig itself could read nothing between two times."""
+    def event_loop_lag_s(self, since: float, until: float) -> float:
+        """Return the sum of the event loop delays of the soak itself between two times, in seconds."""
         return sum(lag.lag_s for lag in self.lags if since <= lag.at <= until + lag.lag_s)
 
     def counts(self) -> dict[str, int]:
-        """How much was played, for a report."""
-        words = [request.answers[0].word for request in self.requests if request.answers]
+        """Return the counts of requests by outcome, of runs and of processes, for a report."""
+        verdicts = [request.answers[0].verdict for request in self.requests if request.answers]
         return {
             "requests": len(self.requests),
-            "served": words.count("OK"),
-            "rejected": words.count("BUSY"),
-            "failed": words.count("FAILED"),
+            "served": verdicts.count("OK"),
+            "rejected": verdicts.count("BUSY"),
+            "failed": verdicts.count("FAILED"),
             "unanswered": sum(not request.answers for request in self.requests),
             "runs": len(self.runs),
             "processes": len(self.processes),
--- a/chutepin/testbench/soak/checks.py
+++ b/chutepin/testbench/soak/checks.py
@@ -1,4 +1,4 @@
-"""What must hold of a soak's books. Pure: each check is a function of the books."""
+"""The invariants of a soak. Each check is a pure function of the observations and yields violations."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from .books import Books, CloseCause, ProcessSeen, RequestSeen, RunSeen
+from .books import CloseCause, Observations, ObservedProcess, ObservedRequest, ObservedRun
 
 READY_TIMEOUT_S = 10.0
-ANSWER_SLACK_S = 0.15  # after the due time: the settings' slack, and what the protocol adds on sockets
-CROSSING_S = 1.0  # a request written longer before the end of its connection was read
-KEY_KNOWN_S = 0.2  # after a run began, by when every process of the node knows of it
-EARLY_EXIT_SLACK_S = 0.05  # between the clocks of client and process
+ANSWER_SLACK_S = 0.15  # after the deadline: the slack of the settings, and delays of the protocol on sockets
+MAX_UNREAD_AGE_S = 1.0  # a request written longer than this before its connection closed was read by the node
+KEY_PROPAGATION_TIMEOUT_S = 0.2  # after the start of a run, within which all processes of the node know its key
+CLOCK_SLACK_S = 0.05  # between the clocks of the client and the process
 MAX_MORE_DESCRIPTORS = 4
 MAX_MEMORY_FACTOR = 1.5
 MAX_MORE_MEMORY_KB = 12 * 1024
@@ -21,52 +21,61 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One thing that must not be."""
+    """A violated invariant, with the name of its check."""
 
     check: str
     at: float
-    what: str
+    description: str
 
 
-def violations(books: Books) -> list[Violation]:
-    """Return everything that does not hold, in the order of time."""
-    found = [violation for check in CHECKS for violation in check(books)]
+def violations(observations: Observations) -> list[Violation]:
+    """Return all violations, sorted by time."""
+    found = [violation for check in CHECKS for violation in check(observations)]
     return sorted(found, key=lambda violation: violation.at)
 
 
-def check_one_answer_each(books: Books) -> Iterator[Violation]:
-    """No request is answered twice, and nothing is answered that was not asked."""
-    for request in books.requests:
+def check_one_answer_each(observations: Observations) -> Iterator[Violation]:
+    """Check that each request has at most one answer and that each answer belongs to a request."""
+    for request in observations.requests:
         if len(request.answers) > 1:
-            words = ", ".join(answer.word for answer in request.answers)
-            yield Violation("one answer each", request.answers[1].at, f"{request.id} was answered with {words}")
-    if books.unasked_answers:
-        yield Violation("one answer each", 0.0, f"{books.unasked_answers} answers to tags that nobody used")
-
-
-def check_none_lost(books: Books) -> Iterator[Violation]:
-    """What was read is answered in time; what is dropped with its connection never ran and had hardly been written."""
-    runs = _first_run_by_id(books)
-    last_at = max((event.at for event in books.events), default=math.inf)
-    for request in books.requests:
-        if request.is_withdrawn:
+            verdicts = ", ".join(answer.verdict for answer in request.answers)
+            yield Violation("one answer each", request.answers[1].at, f"{request.id} was answered with {verdicts}")
+    if observations.unexpected_answers:
+        yield Violation(
+            "one answer each", 0.0, f"{observations.unexpected_answers} answers to tags without an open request"
+        )
+
+
+def check_no_request_lost(observations: Observations) -> Iterator[Violation]:
+    """Check that requests are answered in time.
+
+    A request may go unanswered when the node closes its connection, if it never ran and was written too late to be
+    read."""
+    runs = _first_run_by_id(observations)
+    last_event_at = max((event.at for event in observations.events), default=math.inf)
+    for request in observations.requests:
+        if request.is_cancelled:
             continue
-        limit = request.due_at + ANSWER_SLACK_S
+        answer_deadline = request.deadline_at + ANSWER_SLACK_S
         connection = request.connection
         if request.answers:
             answered_at = request.answers[0].at
-            if answered_at > limit + books.rig_lag_s(request.due_at, answered_at):
-                late_s = answered_at - request.due_at
-                yield Violation("none lost", limit, f"{request.id} was answered {late_s:.2f} s after its due time")
-        elif connection.closed_at > limit + books.rig_lag_s(request.due_at, connection.closed_at):
-            if limit < last_at:
-                yield Violation("none lost", limit, f"{request.id} has no answer on an open connection")
+            if answered_at > answer_deadline + observations.event_loop_lag_s(request.deadline_at, answered_at):
+                late_s = answered_at - request.deadline_at
+                yield Violation(
+                    "none lost", answer_deadline, f"{request.id} was answered {late_s:.2f} s after its deadline"
+                )
+        elif connection.closed_at > answer_deadline + observations.event_loop_lag_s(
+            request.deadline_at, connection.closed_at
+        ):
+            if answer_deadline < last_event_at:
+                yield Violation("none lost", answer_deadline, f"{request.id} has no answer on an open connection")
         elif connection.closed_by is not CloseCause.CLIENT:
-            yield from _dropped(request, runs.get(request.id))
+            yield from _check_dropped_request(request, runs.get(request.id))
 
 
-def _dropped(request: RequestSeen, run: RunSeen | None) -> Iterator[Violation]:
-    """Judge a request whose connection ended without its answer."""
+def _check_dropped_request(request: ObservedRequest, run: ObservedRun | None) -> Iterator[Violation]:
+    """Check a request whose connection the node closed without an answer."""
     connection = request.connection
     age_s = connection.closed_at - request.written_at
     if run is not None:
@@ -77,7 +86,7 @@
             f"{connection.closed_by}, without its answer, {age_s:.3f} s after it was written and "
             f"{connection.closed_at - connection.bye_at:.3f} s after BYE",
         )
-    elif age_s > CROSSING_S:
+    elif age_s > MAX_UNREAD_AGE_S:
         yield Violation(
             "none lost",
             connection.closed_at,
@@ -86,112 +95,120 @@
         )
 
 
-def check_keys_run_once(books: Books) -> Iterator[Violation]:
-    """A keyed request runs at most once in its window, also across the processes of an upgrade."""
-    requests = {request.id: request for request in books.requests}
-    chains = {process.name: process.chain for process in books.processes}
-    by_key: dict[tuple[int, str], list[RunSeen]] = defaultdict(list)
-    for run in books.runs:
+def check_keys_run_once(observations: Observations) -> Iterator[Violation]:
+    """Check that a keyed request runs at most once in its window, also across the processes of an upgrade."""
+    requests = {request.id: request for request in observations.requests}
+    chains = {process.name: process.chain for process in observations.processes}
+    by_key: dict[tuple[int, str], list[ObservedRun]] = defaultdict(list)
+    for run in observations.runs:
         request = requests.get(run.id)
         if request is not None and request.key is not None:
             by_key[chains[run.process], request.key].append(run)
     for (_, key), runs in by_key.items():
         ids = dict.fromkeys(run.id for run in runs)
         if len(ids) > 1:
-            places = ", ".join(f"{run.id} at {run.process}" for run in runs)
-            yield Violation("keys run once", runs[1].at, f"key {key} ran as {places}")
+            executions = ", ".join(f"{run.id} at {run.process}" for run in runs)
+            yield Violation("keys run once", runs[1].at, f"key {key} ran as {executions}")
 
 
-def check_rejected_never_ran(books: Books) -> Iterator[Violation]:
-    """`BUSY` is said only of what never ran."""
-    runs = _first_run_by_id(books)
-    for request in books.requests:
-        if request.answers and request.answers[0].word == "BUSY" and request.id in runs:
+def check_rejected_never_ran(observations: Observations) -> Iterator[Violation]:
+    """Check that no request that ran was answered with `BUSY`."""
+    runs = _first_run_by_id(observations)
+    for request in observations.requests:
+        if request.answers and request.answers[0].verdict == "BUSY" and request.id in runs:
             yield Violation("rejected never ran", request.answers[0].at, f"{request.id} ran and was rejected")
 
 
-def check_keys_not_rejected_after_run(books: Books) -> Iterator[Violation]:
-    """A try of a key that has run is served or failed, never rejected: that would say that no try had its effect."""
-    requests = {request.id: request for request in books.requests}
+def check_keys_not_rejected_after_run(observations: Observations) -> Iterator[Violation]:
+    """Check that an attempt under a key that has run is not rejected: `BUSY` states that no attempt has run."""
+    requests = {request.id: request for request in observations.requests}
     first_run_at: dict[str, float] = {}
-    for run in books.runs:
+    for run in observations.runs:
         request = requests.get(run.id)
         if request is not None and request.key is not None:
             first_run_at.setdefault(request.key, run.at)
-    for request in books.requests:
-        if request.key not in first_run_at or not request.answers or request.answers[0].word != "BUSY":
+    for request in observations.requests:
+        if request.key not in first_run_at or not request.answers or request.answers[0].verdict != "BUSY":
             continue
         age_s = request.written_at - first_run_at[request.key]
-        if age_s > KEY_KNOWN_S and not _is_chain_broken(books, first_run_at[request.key], request.written_at):
+        if age_s > KEY_PROPAGATION_TIMEOUT_S and not _has_several_chains(
+            observations, first_run_at[request.key], request.written_at
+        ):
             at = request.answers[0].at
             yield Violation("keys not rejected", at, f"{request.id} was rejected {age_s:.2f} s after its key had run")
 
 
-def _is_chain_broken(books: Books, since: float, until: float) -> bool:
-    """Whether a process that knows nothing of earlier keys served, or was about to, in this time."""
-    chains = {process.chain for process in books.processes if process.spawned_at < until and process.ended_at > since}
+def _has_several_chains(observations: Observations, since: float, until: float) -> bool:
+    """Return whether processes of several chains existed in this period; a new chain does not know earlier keys."""
+    chains = {
+        process.chain for process in observations.processes if process.spawned_at < until and process.ended_at > since
+    }
     return len(chains) > 1
 
 
-def check_results(books: Books) -> Iterator[Violation]:
-    """What is served is the result that a run made for this request."""
-    for request in books.requests:
+def check_results(observations: Observations) -> Iterator[Violation]:
+    """Check that each served answer has the result of a run of its own request."""
+    for request in observations.requests:
         for answer in request.answers:
-            if answer.word == "OK" and not answer.body.startswith(b"done " + request.body):
+            if answer.verdict == "OK" and not answer.body.startswith(b"done " + request.body):
                 yield Violation("results", answer.at, f"{request.id} was served with {answer.body[:40]!r}")
 
 
-def check_processes(books: Books) -> Iterator[Violation]:
-    """Each process is ready in time, never crashes, hears its notice, and ends with 0 unless it is killed."""
-    for process in books.processes:
+def check_processes(observations: Observations) -> Iterator[Violation]:
+    """Check that each process is ready in time, does not crash, reacts to SIGTERM, and exits with 0 unless killed."""
+    for process in observations.processes:
         if process.ready_at - process.spawned_at > READY_TIMEOUT_S:
             yield Violation("ready", process.spawned_at, f"{process.name} was not ready in {READY_TIMEOUT_S} s")
         if process.exit_code is None:
             continue
         if process.killed_at == math.inf and process.exit_code != 0:
             yield Violation("exit code", process.ended_at, f"{process.name} ended with {process.exit_code}")
-        if process.ended_at + EARLY_EXIT_SLACK_S < process.notice_at:
-            yield Violation("crash", process.ended_at, f"{process.name} ended before it was told to leave")
-        if process.notice_at < math.inf and "leaving" not in process.log:
-            yield Violation("notice", process.notice_at, f"{process.name} did not hear its notice to leave")
-        for word in ("invariant.", "errors=", "Traceback"):
-            if word in process.log:
-                yield Violation("log", process.ended_at, f"{process.name} logged {word}")
-
-
-def check_resources(books: Books) -> Iterator[Violation]:
-    """Descriptors and memory are back to where they were once all clients have gone, and nothing is in progress."""
-    for process in books.processes:
-        at = min(process.notice_at, process.ended_at)
-        yield from _grown_descriptors(process, at)
-        if process.memory_kb_when_quiet is not None:
-            before, after = process.memory_kb_when_quiet
+        if process.ended_at + CLOCK_SLACK_S < process.sigterm_at:
+            yield Violation("crash", process.ended_at, f"{process.name} ended before SIGTERM")
+        if process.sigterm_at < math.inf and "leaving" not in process.log:
+            yield Violation(
+                "notice", process.sigterm_at, f"{process.name} did not log that it is leaving after SIGTERM"
+            )
+        for marker in ("invariant.", "errors=", "Traceback"):
+            if marker in process.log:
+                yield Violation("log", process.ended_at, f"{process.name} logged {marker}")
+
+
+def check_resources(observations: Observations) -> Iterator[Violation]:
+    """Check that descriptors, memory and requests in progress return to idle levels after all clients have closed."""
+    for process in observations.processes:
+        at = min(process.sigterm_at, process.ended_at)
+        yield from _check_descriptors(process, at)
+        if process.idle_memory_kb is not None:
+            before, after = process.idle_memory_kb
             if after > MAX_MEMORY_FACTOR * before + MAX_MORE_MEMORY_KB:
                 yield Violation("memory", at, f"{process.name} grew from {before} to {after} KB")
-        if process.current_when_quiet:
+        if process.idle_requests_in_progress:
             yield Violation(
-                "in progress", at, f"{process.name} has {process.current_when_quiet} requests though nobody asks"
+                "in progress",
+                at,
+                f"{process.name} has {process.idle_requests_in_progress} requests in progress without clients",
             )
 
 
-def _grown_descriptors(process: ProcessSeen, at: float) -> Iterator[Violation]:
-    if process.descriptors_when_quiet is None:
+def _check_descriptors(process: ObservedProcess, at: float) -> Iterator[Violation]:
+    if process.idle_descriptors is None:
         return
-    before, after = process.descriptors_when_quiet
+    before, after = process.idle_descriptors
     if after > before + MAX_MORE_DESCRIPTORS:
         yield Violation("descriptors", at, f"{process.name} holds {after} descriptors, {before} at its start")
 
 
-def _first_run_by_id(books: Books) -> dict[str, RunSeen]:
-    first: dict[str, RunSeen] = {}
-    for run in books.runs:
+def _first_run_by_id(observations: Observations) -> dict[str, ObservedRun]:
+    first: dict[str, ObservedRun] = {}
+    for run in observations.runs:
         first.setdefault(run.id, run)
     return first
 
 
-CHECKS: tuple[Callable[[Books], Iterator[Violation]], ...] = (
+CHECKS: tuple[Callable[[Observations], Iterator[Violation]], ...] = (
     check_one_answer_each,
-    check_none_lost,
+    check_no_request_lost,
     check_keys_run_once,
     check_rejected_never_ran,
     check_keys_not_rejected_after_run,
--- a/chutepin/testbench/soak/schedule.py
+++ b/chutepin/testbench/soak/schedule.py
@@ -1,4 +1,4 @@
-"""What happens in a soak, drawn from a seed. Pure: one seed gives one schedule."""
+"""Schedules of soaks, drawn from a seed. No I/O: a seed, a length and the crowd setting determine the schedule."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MIN_LIFE_S = 1.5  # of a process, from its readiness to its notice to leave
+MIN_LIFE_S = 1.5  # of a process, from readiness to SIGTERM
 MAX_LIFE_S = 4.0
 MIN_STOP_MS = 1000
 MAX_STOP_MS = 2500
-MAX_GAP_S = 0.012  # between two signals of a series
-MAX_START_SIGNAL_S = 0.6  # after the spawn; an interpreter's start takes a part of it
+MAX_GAP_S = 0.012  # between two signals in quick succession
+MAX_START_SIGNAL_S = 0.6  # after the spawn; the start of the interpreter takes part of this time
 CROWD_DESCRIPTORS = 96
 CROWD_CONNECTIONS = 220
-UPGRADE_SHARE = 0.4  # of the lives, those that end in an upgrade
+UPGRADE_SHARE = 0.4  # share of process lifetimes that end in an upgrade
 SIGTERM, SIGHUP, SIGUSR1 = "SIGTERM", "SIGHUP", "SIGUSR1"
 
 
 class Fault(Enum):
-    """What goes wrong while a process serves."""
+    """The faults and signals injected while a process serves."""
 
     CONTROL_REFUSED = "control plane refuses connections"
     CONTROL_SILENT = "control plane answers nothing"
@@ -32,7 +32,7 @@
 
 
 class Ending(Enum):
-    """How a life ends."""
+    """The ways in which the lifetime of a process ends."""
 
     RESTART = "the process leaves, and a new one starts from nothing"
     UPGRADE = "a successor starts beside it and takes over, then the process leaves"
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimedFault:
-    """A fault at a time after the process was ready, and for how long it lasts."""
+    """A fault, `at_s` after the process became ready, that lasts `lasts_s`."""
 
     at_s: float
     fault: Fault
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimedSignal:
-    """A signal and the time since the one before it, or since the spawn."""
+    """A signal, sent `after_s` after the previous one or after the spawn."""
 
     after_s: float
     name: str
@@ -57,19 +57,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Life:
-    """One process of the node."""
+    """The lifetime of one process of the node."""
 
     serves_s: float
     start_signals: tuple[TimedSignal, ...]
     faults: tuple[TimedFault, ...]
-    stop_signals: tuple[TimedSignal, ...]  # one SIGTERM or more, others around them
+    stop_signals: tuple[TimedSignal, ...]  # at least one SIGTERM, with other signals around it
     ending: Ending
-    handover_signals: tuple[TimedSignal, ...]  # to the process that leaves, from its successor's spawn on
+    handover_signals: tuple[TimedSignal, ...]  # to the leaving process, starting at the spawn of its successor
 
 
 @dataclass(frozen=True, slots=True)
 class ClientPlan:
-    """One client: how often it asks, and whether it goes on using a connection that the node has asked it to leave."""
+    """The plan of one client: its mean request interval, and whether it leaves a connection on BYE."""
 
     seed: int
     interval_s: float
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """One soak."""
+    """The schedule of one soak."""
 
     seed: int
     stop_ms: int
@@ -88,56 +88,58 @@
 
     @property
     def descriptors(self) -> int:
-        """The limit of each process; 0 for the system's."""
+        """Return the limit of descriptors for each process; 0 leaves the inherited limit."""
         return CROWD_DESCRIPTORS if self.has_crowd else 0
 
 
 def draw(seed: int, seconds: float, crowd: bool) -> Schedule:
-    """Draw the schedule of a seed; the lives together serve for about `seconds`."""
-    chance = random.Random(f"soak {seed} {crowd}")
-    clients = tuple(_client(chance, index) for index in range(chance.randint(4, 7)))
+    """Draw the schedule of a seed; the processes serve for about `seconds` in total."""
+    rng = random.Random(f"soak {seed} {crowd}")
+    clients = tuple(_draw_client(rng, index) for index in range(rng.randint(4, 7)))
     lives = []
     left_s = seconds
     while left_s > 0:
-        life = _life(chance)
+        life = _draw_life(rng)
         left_s -= life.serves_s
         lives.append(life)
-    return Schedule(seed, chance.randint(MIN_STOP_MS, MAX_STOP_MS), crowd, clients, tuple(lives))
+    return Schedule(seed, rng.randint(MIN_STOP_MS, MAX_STOP_MS), crowd, clients, tuple(lives))
 
 
-def _client(chance: random.Random, index: int) -> ClientPlan:
-    heeds_bye = index > 1 and chance.random() < 0.5  # two at least keep using their connections
-    return ClientPlan(chance.getrandbits(32), chance.uniform(0.01, 0.06), heeds_bye)
+def _draw_client(rng: random.Random, index: int) -> ClientPlan:
+    heeds_bye = index > 1 and rng.random() < 0.5  # at least two clients ignore BYE
+    return ClientPlan(rng.getrandbits(32), rng.uniform(0.01, 0.06), heeds_bye)
 
 
-def _life(chance: random.Random) -> Life:
-    serves_s = chance.uniform(MIN_LIFE_S, MAX_LIFE_S)
-    faults = sorted((_fault(chance, serves_s) for _ in range(chance.randint(0, 4))), key=lambda fault: fault.at_s)
-    ending = Ending.UPGRADE if chance.random() < UPGRADE_SHARE else Ending.RESTART
-    return Life(serves_s, _start_signals(chance), tuple(faults), _stop_signals(chance), ending, _start_signals(chance))
+def _draw_life(rng: random.Random) -> Life:
+    serves_s = rng.uniform(MIN_LIFE_S, MAX_LIFE_S)
+    faults = sorted((_draw_fault(rng, serves_s) for _ in range(rng.randint(0, 4))), key=lambda fault: fault.at_s)
+    ending = Ending.UPGRADE if rng.random() < UPGRADE_SHARE else Ending.RESTART
+    return Life(
+        serves_s, _draw_start_signals(rng), tuple(faults), _draw_stop_signals(rng), ending, _draw_start_signals(rng)
+    )
 
 
-def _fault(chance: random.Random, serves_s: float) -> TimedFault:
-    return TimedFault(chance.uniform(0.0, serves_s), chance.choice(list(Fault)), chance.uniform(0.2, 1.5))
+def _draw_fault(rng: random.Random, serves_s: float) -> TimedFault:
+    return TimedFault(rng.uniform(0.0, serves_s), rng.choice(list(Fault)), rng.uniform(0.2, 1.5))
 
 
-def _start_signals(chance: random.Random) -> tuple[TimedSignal, ...]:
-    if chance.random() < 0.5:
+def _draw_start_signals(rng: random.Random) -> tuple[TimedSignal, ...]:
+    if rng.random() < 0.5:
         return ()
-    names = [chance.choice([SIGHUP, SIGHUP, SIGUSR1]) for _ in range(chance.randint(1, 4))]
-    return tuple(TimedSignal(chance.uniform(0.0, MAX_START_SIGNAL_S / len(names)), name) for name in names)
+    names = [rng.choice([SIGHUP, SIGHUP, SIGUSR1]) for _ in range(rng.randint(1, 4))]
+    return tuple(TimedSignal(rng.uniform(0.0, MAX_START_SIGNAL_S / len(names)), name) for name in names)
 
 
-def _stop_signals(chance: random.Random) -> tuple[TimedSignal, ...]:
-    before = [chance.choice([SIGHUP, SIGUSR1]) for _ in range(chance.randint(0, 2))]
-    after = [chance.choice([SIGTERM, SIGHUP, SIGUSR1]) for _ in range(chance.randint(0, 3))]
+def _draw_stop_signals(rng: random.Random) -> tuple[TimedSignal, ...]:
+    before = [rng.choice([SIGHUP, SIGUSR1]) for _ in range(rng.randint(0, 2))]
+    after = [rng.choice([SIGTERM, SIGHUP, SIGUSR1]) for _ in range(rng.randint(0, 3))]
     names = [*before, SIGTERM, *after]
-    return tuple(TimedSignal(_gap(chance), name) for name in names)
+    return tuple(TimedSignal(_draw_gap_s(rng), name) for name in names)
 
 
-def _gap(chance: random.Random) -> float:
-    """Nothing, a few milliseconds, or so long that the signal meets a drain or the exit."""
-    kind = chance.random()
-    if kind < 0.4:
+def _draw_gap_s(rng: random.Random) -> float:
+    """Return 0, a few milliseconds, or up to 0.9 s, long enough for the signal to arrive during a drain or exit."""
+    selector = rng.random()
+    if selector < 0.4:
         return 0.0
-    return chance.uniform(0.0, MAX_GAP_S) if kind < 0.8 else chance.uniform(0.0, 0.9)
+    return rng.uniform(0.0, MAX_GAP_S) if selector < 0.8 else rng.uniform(0.0, 0.9)
--- a/chutepin/testbench/standins/__init__.py
+++ b/chutepin/testbench/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform's parties, written from their published protocols, and what makes load between them."""
+"""Stand-ins for the peers of a node, written from the published protocols, and generators of load on a node."""
--- a/chutepin/testbench/standins/amqp_broker.py
+++ b/chutepin/testbench/standins/amqp_broker.py
@@ -14,12 +14,14 @@
 
 Properties = commands.Basic.Properties
 READ_BYTES = 65536
-DEAF_POLL_S = 0.01  # between looks at whether it reads again
+DEAF_POLL_INTERVAL_S = 0.01  # between checks of `deaf`
 
 
 @dataclass
 class Message:
-    """A message of the stand-in: ready, out for delivery, or settled with the word that settled it."""
+    """A message in a queue: ready, delivered and unsettled, or settled.
+
+    `settled` is "ack", "reject" or empty."""
 
     queue: str
     properties: Properties
@@ -31,28 +33,31 @@
 
 
 class LinkTransport(Protocol):
-    """As much of a transport as the stand-in needs."""
+    """The part of `asyncio.Transport` that the stand-in uses."""
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection without flushing."""
 
     def is_closing(self) -> bool:
-        """Whether it is closed or being closed."""
+        """Return whether the transport is closed or closing."""
 
 
 class LinkWriter(Protocol):
-    """As much of a stream's writer as the stand-in needs."""
+    """The part of `asyncio.StreamWriter` that the stand-in uses."""
 
     @property
     def transport(self) -> LinkTransport:
-        """Return the transport below."""
+        """Return the underlying transport."""
 
     def write(self, data: bytes) -> None:
-        """Send bytes."""
+        """Queue bytes for sending."""
 
 
 class StandinBroker:
-    """Enough of a broker: queues, prefetch, acknowledgements that it may lose, links that it may cut."""
+    """An AMQP broker with one link at a time, queues and prefetch.
+
+    `cuts` and `lost_acks` are the probabilities that the link is cut after a settlement and that a settlement is lost
+    together with the link."""
 
     def __init__(self, seed: int = 1, cuts: float = 0.0, lost_acks: float = 0.0, heartbeat: int = 60) -> None:
         self.random, self.cuts, self.lost_acks = random.Random(seed), cuts, lost_acks
@@ -61,50 +66,50 @@
         self.links = self.settlements = self.beats = 0
         self._heartbeat = heartbeat
         self.cancelled: list[str] = []
-        self.deaf = False  # reads nothing more
+        self.deaf = False  # true: received data is not processed
         self.port = 0
         self.out: dict[int, Message] = {}
-        self._queues: dict[str, str] = {}  # queue: consumer tag
+        self._consumer_tags: dict[str, str] = {}  # queue: consumer tag
         self._writer: LinkWriter | None = None
-        self._content: commands.Basic.Publish | None = None  # that a reply is being received for
-        self._tag, self._window = 0, 0
+        self._publish: commands.Basic.Publish | None = None  # the publish whose content is being received
+        self._tag, self._prefetch_count = 0, 0
 
     async def start(self, stack: AsyncExitStack) -> None:
-        """Listen until the stack ends."""
-        server = await asyncio.start_server(self._link, "127.0.0.1", 0)
+        """Listen on a loopback port until the stack is closed."""
+        server = await asyncio.start_server(self._serve_link, "127.0.0.1", 0)
         stack.callback(server.close)
         self.port = int(server.sockets[0].getsockname()[1])
 
     def put(self, queue: str, data: bytes, **properties: object) -> Message:
-        """Put a message into a queue."""
+        """Add a message to a queue and deliver what the prefetch allows."""
         message = Message(queue, Properties(**properties), data)  # type: ignore[arg-type]
         self.messages.append(message)
         self.pump()
         return message
 
     def cut(self) -> None:
-        """Lose the link: all that is out is delivered again."""
+        """Abort the link; unsettled messages become ready for redelivery."""
         if self._writer is not None:
             self._writer.transport.abort()
         self._writer = None
         for message in self.out.values():
             message.redelivered = True
-        self.out, self._queues = {}, {}
+        self.out, self._consumer_tags = {}, {}
 
     def pump(self) -> None:
-        """Deliver what is ready, as far as the prefetch allows."""
+        """Deliver ready messages up to the prefetch limit."""
         out = [id(message) for message in self.out.values()]
         for message in self.messages:
             if (
-                message.queue in self._queues
+                message.queue in self._consumer_tags
                 and not message.settled
                 and id(message) not in out
-                and len(self.out) < self._window
+                and len(self.out) < self._prefetch_count
             ):
                 self.deliver(message)
 
     def deliver(self, message: Message) -> None:
-        """Deliver a message now, whatever the prefetch is."""
+        """Deliver a message now, even beyond the prefetch limit."""
         assert self._writer is not None
         self._tag += 1
         self.out[self._tag] = message
@@ -113,7 +118,7 @@
         self._writer.write(
             frame.marshal(
                 commands.Basic.Deliver(
-                    self._queues.get(message.queue, "q0"), self._tag, message.redelivered, "", message.queue
+                    self._consumer_tags.get(message.queue, "q0"), self._tag, message.redelivered, "", message.queue
                 ),
                 1,
             )
@@ -124,47 +129,47 @@
 
     @property
     def lost(self) -> bool:
-        """Whether no link stands."""
+        """Return whether there is no open link."""
         return self._writer is None or self._writer.transport.is_closing()
 
-    async def _link(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_link(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         assert await reader.readexactly(8) == PROTOCOL_HEADER
         self.begin(writer)
         parser = FrameParser()
         while data := await self._read(reader):
             while self.deaf:
-                await asyncio.sleep(DEAF_POLL_S)
+                await asyncio.sleep(DEAF_POLL_INTERVAL_S)
             parser.feed(data)
             self.receive(parser, writer)
 
     def begin(self, writer: LinkWriter) -> None:
-        """Serve a new link in place of the old one."""
+        """Cut the old link and start the handshake on a new one."""
         self.cut()
-        self._writer, self._tag, self._content = writer, 0, None
+        self._writer, self._tag, self._publish = writer, 0, None
         self.links += 1
         writer.write(frame.marshal(commands.Connection.Start(mechanisms="PLAIN AMQPLAIN"), 0))
 
     def receive(self, parser: FrameParser, writer: LinkWriter) -> None:
-        """Take in the frames that a parser has, for as long as its link is the present one."""
-        while self._writer is writer and (got := parser.next()) is not None:
-            value = decode(got[2])
-            self.beats += got[0] == 8
+        """Process the frames that a parser holds while `writer` is the current link."""
+        while self._writer is writer and (received := parser.next()) is not None:
+            value = decode(received[2])
+            self.beats += received[0] == 8
             if isinstance(value, commands.Basic.Publish):
-                self._content = value
-            elif isinstance(value, header.ContentHeader) and self._content is not None:
-                self.replies.append((str(self._content.routing_key), value.properties or Properties(), b""))
+                self._publish = value
+            elif isinstance(value, header.ContentHeader) and self._publish is not None:
+                self.replies.append((str(self._publish.routing_key), value.properties or Properties(), b""))
             elif isinstance(value, body.ContentBody):
-                queue, properties, got_so_far = self.replies.pop()
-                self.replies.append((queue, properties, got_so_far + (value.value or b"")))
+                queue, properties, received_body = self.replies.pop()
+                self.replies.append((queue, properties, received_body + (value.value or b"")))
             elif isinstance(value, base.Frame):
-                self._method(writer, value)
+                self._handle_method(writer, value)
 
     def describe(self) -> str:
-        """What a failure needs to be understood."""
+        """Return the state of the broker, for the message of a failed test."""
         unsettled = [message for message in self.messages if not message.settled]
         return (
-            f"stand-in broker: link {self.links}, lost {self.lost}, deaf {self.deaf}, window {self._window}, "
-            f"consumers {self._queues}, cancelled {len(self.cancelled)}, settlements {self.settlements}, "
+            f"stand-in broker: link {self.links}, lost {self.lost}, deaf {self.deaf}, window {self._prefetch_count}, "
+            f"consumers {self._consumer_tags}, cancelled {len(self.cancelled)}, settlements {self.settlements}, "
             f"last tag {self._tag}, open tags {sorted(self.out)[:20]} of {len(self.out)}, "
             f"not settled {len(unsettled)} of {len(self.messages)}, delivered {[m.deliveries for m in unsettled[:20]]}"
         )
@@ -175,7 +180,7 @@
         except OSError:
             return b""
 
-    def _method(self, writer: LinkWriter, method: base.Frame) -> None:
+    def _handle_method(self, writer: LinkWriter, method: base.Frame) -> None:
         def answer(value: base.Frame, channel: int) -> None:
             writer.write(frame.marshal(value, channel))
 
@@ -188,13 +193,13 @@
             case commands.Channel.Open():
                 answer(commands.Channel.OpenOk(), 1)
             case commands.Basic.Qos():
-                self._window = method.prefetch_count or 0
+                self._prefetch_count = method.prefetch_count or 0
                 answer(commands.Basic.QosOk(), 1)
             case commands.Basic.Consume():
-                self._queues[str(method.queue)] = str(method.consumer_tag)
+                self._consumer_tags[str(method.queue)] = str(method.consumer_tag)
             case commands.Basic.Cancel():
                 self.cancelled.append(str(method.consumer_tag))
-                self._queues = {q: tag for q, tag in self._queues.items() if tag != method.consumer_tag}
+                self._consumer_tags = {q: tag for q, tag in self._consumer_tags.items() if tag != method.consumer_tag}
             case commands.Basic.Ack() | commands.Basic.Nack() | commands.Basic.Reject():
                 self._settle(method)
         self.pump()
@@ -202,9 +207,9 @@
     def _settle(self, method: commands.Basic.Ack | commands.Basic.Nack | commands.Basic.Reject) -> None:
         self.settlements += 1
         if self.random.random() < self.lost_acks:
-            self.cut()  # the client believes it settled; the broker does not know
+            self.cut()  # the settlement is lost: the message stays unsettled at the broker
             return
-        message = self.out.pop(int(method.delivery_tag or 0))  # a second outcome would be a KeyError
+        message = self.out.pop(int(method.delivery_tag or 0))  # a second settlement raises KeyError
         if isinstance(method, commands.Basic.Ack):
             message.settled = "ack"
         elif method.requeue:
--- a/chutepin/testbench/standins/demo.py
+++ b/chutepin/testbench/standins/demo.py
@@ -1,4 +1,4 @@
-"""The demo: the real program between stand-ins, under a mix of classes and teams, with every outcome counted."""
+"""The demo: a node process between stand-ins under a mix of classes and tenants, with a count of every outcome."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 
 from chutepin.testbench.standins.platform import EXAMPLE, Balancer, Standins
 
-CALLERS = 4  # connections of balancers
-RATE = 60.0  # requests a second, all callers together
+CALLERS = 4  # number of balancer connections
+RATE = 60.0  # requests per second over all connections
 MIX = {"status-read": 0.5, "position-push": 0.35, "work-order": 0.15}
-REPEATS = 0.2  # part of work orders that are asked twice under one key
+REPEATS = 0.2  # share of work orders that are sent twice under one key
 OUTCOMES = ("served", "refused", "failed")
-_WORDS = {b"OK": "served", b"BUSY": "refused"}
+_OUTCOME_BY_VERDICT = {b"OK": "served", b"BUSY": "refused"}
 
 
 @dataclass(slots=True)
 class Tally:
-    """What came of the requests: counts by class, team and outcome, and times of answers in seconds."""
+    """The results of a demo: counts by class, team and outcome, and answer times in seconds by class."""
 
     sent: Counter[str] = field(default_factory=Counter)
     teams: Counter[str] = field(default_factory=Counter)
     outcomes: Counter[tuple[str, str]] = field(default_factory=Counter)
     times: dict[str, list[float]] = field(default_factory=dict)
-    unanswered: int = 0  # requests without a final answer when their time was up
-    twice: int = 0  # requests with more than one
+    unanswered: int = 0  # requests without a final answer at their deadline
+    twice: int = 0  # requests with more than one final answer
     run_twice: int = 0  # work orders that the executor ran more than once
 
     @property
     def sound(self) -> bool:
-        """Every request has its one final answer, and no work order ran twice."""
+        """Return whether each request has exactly one final answer and no work order ran twice."""
         return bool(self.sent) and not (self.unanswered or self.twice or self.run_twice)
 
     def as_dict(self) -> dict[str, object]:
-        """The tally for `--json`; times are medians and 99th parts in milliseconds."""
+        """Return the tally for `--json`; times are medians and 99th percentiles in milliseconds."""
         classes = {
             cls: {
                 "sent": count,
@@ -57,67 +57,67 @@
             "sound": self.sound,
         }
 
-    def time(self, cls: str, part: float) -> float | None:
-        """The time within which this part of a class was answered, in milliseconds."""
+    def time(self, cls: str, quantile: float) -> float | None:
+        """Return a quantile of the answer times of a class in milliseconds; None if no request was answered."""
         times = sorted(self.times.get(cls, ()))
-        return round(1000 * times[min(len(times) - 1, int(part * len(times)))], 2) if times else None
+        return round(1000 * times[min(len(times) - 1, int(quantile * len(times)))], 2) if times else None
 
 
 class Demo:
-    """One run. `seconds` is how long requests are sent; `show` is called ten times a second."""
+    """One demo. Requests are sent for `seconds`; `show` is called ten times a second with the tally so far."""
 
     def __init__(self, seconds: float, seed: int, show: Callable[[Tally], None]) -> None:
         self._seconds, self._show = seconds, show
         self._random = random.Random(seed)
-        self._shares = {team["name"]: team["share"] for team in EXAMPLE["settings"]["tenants"]}
+        self._share_by_team = {team["name"]: team["share"] for team in EXAMPLE["settings"]["tenants"]}
         self.tally = Tally()
 
     async def run(self) -> Tally:
-        """Start all, send, wait for the answers, stop all."""
+        """Start the node and its stand-ins, send requests, await the answers, stop the node; return the tally."""
         async with AsyncExitStack() as stack:
-            world = Standins(EXAMPLE["settings"])
-            await world.start(stack)
-            callers = [await world.connect() for _ in range(CALLERS)]
-            asked = [call async for call in self._send(callers)]
-            await asyncio.gather(*asked)
-            orders = Counter(body for _, cls, body in world.runs if cls == "work-order")
+            standins = Standins(EXAMPLE["settings"])
+            await standins.start(stack)
+            callers = [await standins.connect() for _ in range(CALLERS)]
+            requests = [call async for call in self._send_requests(callers)]
+            await asyncio.gather(*requests)
+            orders = Counter(body for _, cls, body in standins.runs if cls == "work-order")
             self.tally.run_twice = sum(count > 1 for count in orders.values())
             self.tally.twice = sum(
                 len(answers) > 1 for caller in callers for tag, answers in caller.answers.items() if tag
             )
-            await world.leave()
+            await standins.leave()
             for caller in callers:
                 await caller.close()
         self._show(self.tally)
         return self.tally
 
-    async def _send(self, callers: list[Balancer]) -> AsyncIterator[asyncio.Future[None]]:
-        end = time.monotonic() + self._seconds
-        shown = 0.0
-        while (now := time.monotonic()) < end:
+    async def _send_requests(self, callers: list[Balancer]) -> AsyncIterator[asyncio.Future[None]]:
+        end_at = time.monotonic() + self._seconds
+        shown_at = 0.0
+        while (now := time.monotonic()) < end_at:
             cls = self._random.choices(list(MIX), list(MIX.values()))[0]
-            team = self._random.choices(list(self._shares), list(self._shares.values()))[0]
+            team = self._random.choices(list(self._share_by_team), list(self._share_by_team.values()))[0]
             body = self._random.randbytes(16).hex().encode()
             key = self._random.randbytes(16).hex() if cls == "work-order" else None
             caller = self._random.choice(callers)
-            yield asyncio.ensure_future(self._ask(caller, cls, team, body, key))
+            yield asyncio.ensure_future(self._send_request(caller, cls, team, body, key))
             if key is not None and self._random.random() < REPEATS:
-                yield asyncio.ensure_future(self._ask(self._random.choice(callers), cls, team, body, key))
-            if now - shown > 0.1:
+                yield asyncio.ensure_future(self._send_request(self._random.choice(callers), cls, team, body, key))
+            if now - shown_at > 0.1:
                 self._show(self.tally)
-                shown = now
+                shown_at = now
             await asyncio.sleep(self._random.expovariate(RATE))
 
-    async def _ask(self, caller: Balancer, cls: str, team: str, body: bytes, key: str | None) -> None:
-        wait = next(c["deadline"] for c in EXAMPLE["settings"]["categories"] if c["name"] == cls)
-        begun = time.monotonic()
-        tag = caller.call(cls, body, key, int(wait * 1000), team)
+    async def _send_request(self, caller: Balancer, cls: str, team: str, body: bytes, key: str | None) -> None:
+        timeout_s = next(c["deadline"] for c in EXAMPLE["settings"]["categories"] if c["name"] == cls)
+        sent_at = time.monotonic()
+        tag = caller.call(cls, body, key, int(timeout_s * 1000), team)
         self.tally.sent[cls] += 1
         self.tally.teams[team] += 1
-        while tag not in caller.answers and not caller.ended and time.monotonic() < begun + wait + 1:
+        while tag not in caller.answers and not caller.ended and time.monotonic() < sent_at + timeout_s + 1:
             await asyncio.sleep(0.005)
         if tag not in caller.answers:
             self.tally.unanswered += 1
             return
-        self.tally.outcomes[cls, _WORDS.get(caller.answers[tag][0][0], "failed")] += 1
-        self.tally.times.setdefault(cls, []).append(time.monotonic() - begun)
+        self.tally.outcomes[cls, _OUTCOME_BY_VERDICT.get(caller.answers[tag][0][0], "failed")] += 1
+        self.tally.times.setdefault(cls, []).append(time.monotonic() - sent_at)
--- a/chutepin/testbench/standins/dependency.py
+++ b/chutepin/testbench/standins/dependency.py
@@ -1,7 +1,7 @@
-"""Stand-ins for what several nodes call together, cold at first.
+"""Stand-ins for dependencies that several nodes call and that start cold.
 
-They count what they bear as the rule on overload does: a dependency that all share, and a node of the next tier with
-its executor, behind a proxy that forwards calls."""
+`ColdDependency` is a dependency that all nodes share; `ColdServer` is a node of the next tier with its executor, called
+through `RecordsProxy`. Both measure their load as the overload rule does: as a mean over a window."""
 
 from __future__ import annotations
 
@@ -18,43 +18,43 @@
 
 MAX_BODY_BYTES = 65536
 READ_BYTES = 65536
-WORK_STEP_S = 0.005  # between looks at what the cores have done
-ANSWER_POLL_S = 0.02  # between looks at whether a forwarded call is answered
+WORK_STEP_S = 0.005  # between updates of the work done by the cores
+ANSWER_POLL_S = 0.02  # between checks for the answer to a forwarded call
 _REPLY_BY_ANSWER = {b"OK": "DONE", b"BUSY": "WAIT"}
 
 
 class OpenCalls:
-    """How many calls, or runs, were open over time, and the mean of that over any window. Pure."""
+    """The number of open calls (or runs) over time, and its mean over any window. No I/O."""
 
     def __init__(self) -> None:
-        self.count = 0  # open now
-        self.started = 0  # in all
+        self.count = 0  # of calls open now
+        self.started = 0  # total of calls started
         self._changed_at: list[float] = []
-        self._call_seconds: list[float] = []  # until each change
-        self._counts: list[int] = []  # from each change on
+        self._integrals: list[float] = []  # integral of the open calls up to each change
+        self._counts: list[int] = []  # open calls after each change
 
     def start(self, now: float) -> None:
-        """Note that one was opened."""
+        """Count a call that starts."""
         self.started += 1
         self._change(now, 1)
 
     def end(self, now: float) -> None:
-        """Note that one is over."""
+        """Count a call that ends."""
         self._change(now, -1)
 
-    def _change(self, now: float, difference: int) -> None:
-        call_seconds = self._integral(now)
-        self.count += difference
+    def _change(self, now: float, delta: int) -> None:
+        integral = self._integral(now)
+        self.count += delta
         self._changed_at.append(now)
-        self._call_seconds.append(call_seconds)
+        self._integrals.append(integral)
         self._counts.append(self.count)
 
     def _integral(self, at: float) -> float:
-        """Return the call seconds until a time."""
+        """Return the integral of the open calls up to a time, in call seconds."""
         index = bisect_left(self._changed_at, at) - 1
         if index < 0:
             return 0.0
-        return self._call_seconds[index] + self._counts[index] * (at - self._changed_at[index])
+        return self._integrals[index] + self._counts[index] * (at - self._changed_at[index])
 
     def window_means(self, window_s: float) -> list[tuple[float, float]]:
         """Return the end and the mean of each window of this length that begins or ends with a change."""
@@ -65,15 +65,15 @@
         return [(end, (self._integral(end) - self._integral(end - window_s)) / window_s) for end in ends]
 
     def highest_mean(self, window_s: float) -> float:
-        """Return the greatest mean over a window of this length; 0 where nothing was opened."""
+        """Return the greatest mean over a window of this length; 0 if no call was started."""
         return max((mean for _, mean in self.window_means(window_s)), default=0.0)
 
 
 @dataclass(frozen=True, slots=True)
 class WarmUp:
-    """How a cold server or dependency gains speed: evenly from a share of it to the whole."""
+    """The warm-up of a server or dependency: its speed grows linearly from `cold_share` to the full speed."""
 
-    cold_share: float  # of the full speed, at first
+    cold_share: float  # share of the full speed at age 0
     duration_s: float
 
     def speed(self, age_s: float) -> float:
@@ -82,9 +82,9 @@
 
 
 class ColdDependency:
-    """Answers every call with DONE, after `call_time_s` once it is warm. It warms up from the first call on.
+    """A dependency that answers every call with DONE, after `call_time_s` at full speed.
 
-    An abandoned call stays open for `abandoned_call_s`."""
+    Its warm-up starts at the first call. An abandoned call stays open for `abandoned_call_s`."""
 
     def __init__(self, call_time_s: float, warm_up: WarmUp, abandoned_call_s: float) -> None:
         self._call_time_s = call_time_s
@@ -144,9 +144,9 @@
 
 
 class ColdServer(Standins):
-    """A node of the next tier whose executor has just come up.
+    """A node of the next tier whose executor has just started.
 
-    Its cores are shared evenly by all runs, each of which has `work_s` seconds for one warm core."""
+    All runs share its cores evenly; each run takes `work_s` seconds of one warm core."""
 
     def __init__(self, env: dict[str, Any], work_s: float) -> None:
         super().__init__(env)
@@ -158,28 +158,28 @@
         self._warm_up = WarmUp(safety["coldFrom"], safety["warmAfter"])
         self._work_s = work_s
         self._started_at = 0.0
-        self._running: dict[str, _Run] = {}
-        self.load = OpenCalls()  # of runs on the cores
+        self._active_runs: dict[str, _Run] = {}
+        self.load = OpenCalls()  # open runs on the cores
         self.served = 0
 
     async def run(self) -> None:
-        """Do the work until cancelled."""
-        last_look_at = time.monotonic()
+        """Advance the runs on the cores until cancelled."""
+        last_update_at = time.monotonic()
         while True:
             await asyncio.sleep(WORK_STEP_S)
             now = time.monotonic()
-            speed = min(1.0, self._cores / max(1, len(self._running))) * self._warm_up.speed(now - self._started_at)
-            done_s = (now - last_look_at) * speed
-            last_look_at = now
-            for id, run in list(self._running.items()):
+            speed = min(1.0, self._cores / max(1, len(self._active_runs))) * self._warm_up.speed(now - self._started_at)
+            done_s = (now - last_update_at) * speed
+            last_update_at = now
+            for id, run in list(self._active_runs.items()):
                 run.work_left_s -= done_s
                 if run.work_left_s <= 0:
-                    self._end(id)
+                    self._end_run(id)
                     self.served += 1
                     self.finish(id, b"done " + run.body)
 
-    def _end(self, id: str) -> None:
-        if self._running.pop(id, None) is not None:
+    def _end_run(self, id: str) -> None:
+        if self._active_runs.pop(id, None) is not None:
             self.load.end(time.monotonic())
 
     def _command(self, writer: asyncio.StreamWriter, words: list[str], body: bytes) -> None:
@@ -188,27 +188,27 @@
                 self._started_at = self._started_at or time.monotonic()
                 super()._command(writer, words, body)
             case "EXEC":
-                self._running[words[1]] = _Run(self._work_s, body)
+                self._active_runs[words[1]] = _Run(self._work_s, body)
                 self.load.start(time.monotonic())
             case "METER":
-                core_use = min(1.0, len(self._running) / self._cores)
-                writer.write(line("METERS", words[1], f"{core_use:.3f}", len(self._running)))
+                core_use = min(1.0, len(self._active_runs) / self._cores)
+                writer.write(line("METERS", words[1], f"{core_use:.3f}", len(self._active_runs)))
             case _:
-                self._end(words[1])
+                self._end_run(words[1])
                 super()._command(writer, words, body)
 
     def budget(self, at: float) -> float:
-        """Return the runs on the cores that the settings allow it at a time, as a mean."""
+        """Return the mean number of runs on the cores that the settings allow at a time."""
         return (1 + (self._fall_multiple - 1) * self._warm_up.speed(at - self._started_at)) * self._cores
 
     def highest_budget_share(self) -> float:
-        """Return the greatest mean of runs on the cores, as a share of what was allowed at the end of its window."""
+        """Return the greatest mean of runs on the cores, as a share of the budget at the end of its window."""
         means = self.load.window_means(self._overload_window_s)
         return max((mean / self.budget(end) for end, mean in means), default=0.0)
 
 
 class RecordsProxy:
-    """The local proxy of the records service: forwards each call to one node of the next tier, and heeds no advice."""
+    """The local proxy of the records service: forwards each call to one node and ignores back-off advice."""
 
     def __init__(self, server: Standins, cls: str) -> None:
         self._server, self._cls = server, cls
@@ -244,8 +244,8 @@
     async def _forward(self, writer: asyncio.StreamWriter, upstream: Balancer, words: list[str], body: bytes) -> None:
         id, wait_ms = words[1], int(words[2])
         tag = upstream.call(self._cls, body, wait=wait_ms)
-        gives_up_at = time.monotonic() + wait_ms / 1000
-        while tag not in upstream.answers and not upstream.ended and time.monotonic() < gives_up_at:
+        deadline = time.monotonic() + wait_ms / 1000
+        while tag not in upstream.answers and not upstream.ended and time.monotonic() < deadline:
             await asyncio.sleep(ANSWER_POLL_S)
         answer = upstream.answers.get(tag, [[b"", b"", b""]])[0]
         verdict = _REPLY_BY_ANSWER.get(answer[0], "ERROR")
--- a/chutepin/testbench/standins/flood.py
+++ b/chutepin/testbench/standins/flood.py
@@ -1,9 +1,9 @@
-"""A stand-in flood: peers on loopback addresses that take connections and give nothing, for a bounded time.
+"""A connection flood from loopback addresses, for a bounded time: peers that hold connections or open them in a storm.
 
     python -m chutepin.testbench.standins.flood KIND PORT SECONDS
 
-It prints what became of its connections as JSON, at its end or at SIGTERM. Addresses are of 127.0.0.0/8 alone.
-`FloodProcess` runs it beside a test, so that the flood takes no turns of the test's event loop."""
+The program prints the counts of its connections as JSON, at its end or at SIGTERM. All addresses are in 127.0.0.0/8.
+`FloodProcess` runs the flood in its own process, so that it does not delay the event loop of a test."""
 
 from __future__ import annotations
 
@@ -26,30 +26,30 @@
 
 HELD_CONNECTIONS = 600
 STORM_CONNECTIONS_PER_S = 2000
-MAX_STORM_ATTEMPTS = 2000  # at the same time
-STORM_TURN_S = 0.002
-SOURCES = 200  # addresses, or blocks of addresses, by turns
+MAX_STORM_ATTEMPTS = 2000  # connection attempts in progress at once
+STORM_INTERVAL_S = 0.002
+SOURCES = 200  # addresses, or blocks of addresses, used in rotation
 HOLD_CONNECT_TIMEOUT_S = 3.0
 STORM_CONNECT_TIMEOUT_S = 2.0
-RETRY_DELAY_S = 0.05  # after a connection that could not be made
-RENEW_DELAY_S = 0.02  # after one that was closed
-REFUSED_WITHIN_S = 0.45  # who is closed later was let in, and made room later
+RETRY_DELAY_S = 0.05  # after a failed connection attempt
+RENEW_DELAY_S = 0.02  # after a connection was closed
+REFUSED_WITHIN_S = 0.45  # a connection closed later was admitted first and closed to make room
 READ_BYTES = 4096
 FLOODING_LINE = "flooding"  # the first line that the program prints
 
 
 class FloodKind(StrEnum):
-    """What a flood does."""
+    """The kinds of floods."""
 
     ONE = "one"  # holds connections from one address
     BLOCK = "block"  # holds connections from addresses of one block
-    SPREAD = "spread"  # holds connections from addresses of as many blocks
-    SOUND = "sound"  # the same, with one sound request on each
+    SPREAD = "spread"  # holds connections from addresses that are each in another block
+    SOUND = "sound"  # as SPREAD, with one valid request on each connection
     STORM = "storm"  # connects from one address and closes at once
 
 
 def source_address(kind: FloodKind, number: int) -> str:
-    """Return the address that a flood takes at its turn of this number."""
+    """Return the source address with this number in the rotation of a flood."""
     match kind:
         case FloodKind.ONE | FloodKind.STORM:
             return "127.0.9.9"
@@ -60,22 +60,22 @@
 
 
 def source_addresses(kind: FloodKind) -> Iterator[str]:
-    """Yield a flood's addresses by turns, for ever."""
+    """Yield the source addresses of a flood in rotation, without end."""
     while True:
         for number in range(SOURCES):
             yield source_address(kind, number)
 
 
-def sound_request() -> bytes:
-    """Return one request that a node serves."""
+def valid_request() -> bytes:
+    """Return the bytes of one valid request."""
     fields = f"i={os.urandom(8).hex()},s={int(time.time() * 1000)},f=1,t=bernard-lodge,d=1000,m=10"
     return array(b"RPC.CALL", b"1", b"position-push", fields.encode(), b"x")
 
 
 class Flood:
-    """One run against a port of this machine.
+    """One flood of a port on 127.0.0.1.
 
-    `on_flooding` is called once, when the first `announce_after` connections were made."""
+    `on_flooding` is called once, after the first `announce_after` connections."""
 
     def __init__(
         self,
@@ -96,22 +96,22 @@
         self._sources = source_addresses(kind)
         self._counts: Counter[str] = Counter()
         self._refused_after_s: list[float] = []
-        self._holding: list[asyncio.Task[None]] = []
+        self._peer_tasks: list[asyncio.Task[None]] = []
 
     def stop(self) -> None:
-        """End the flood now, before its time."""
+        """End the flood before its scheduled end."""
         self._ends_at = min(self._ends_at, time.monotonic())
-        for task in self._holding:
+        for task in self._peer_tasks:
             task.cancel()
 
     async def run(self) -> dict[str, object]:
-        """Flood until the end; return what became of the connections."""
+        """Flood until the scheduled end; return the counts of connections and the times to refusal in milliseconds."""
         self._announce_if_flooding()
         if self._kind is FloodKind.STORM:
             await self._storm()
         else:
-            self._holding = [asyncio.create_task(self._hold_connections()) for _ in range(self._held)]
-            await asyncio.gather(*self._holding, return_exceptions=True)
+            self._peer_tasks = [asyncio.create_task(self._hold_connections()) for _ in range(self._held)]
+            await asyncio.gather(*self._peer_tasks, return_exceptions=True)
         times = sorted(self._refused_after_s)
         return {
             **self._counts,
@@ -121,7 +121,7 @@
         }
 
     async def _hold_connections(self) -> None:
-        """One peer: connect, wait until closed, again."""
+        """Act as one peer: connect, wait until the connection is closed, connect again."""
         while time.monotonic() < self._ends_at:
             streams = await self._connect(HOLD_CONNECT_TIMEOUT_S)
             if streams is None:
@@ -130,7 +130,7 @@
             reader, writer = streams
             connected_at = time.monotonic()
             if self._kind is FloodKind.SOUND:
-                writer.write(sound_request())
+                writer.write(valid_request())
             try:
                 await self._read_until_closed(reader, connected_at)
             finally:
@@ -152,26 +152,26 @@
     async def _read_until_closed(self, reader: asyncio.StreamReader, connected_at: float) -> None:
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(max(0.01, self._ends_at - connected_at)):
-                with contextlib.suppress(OSError):  # a reset ends it as well
+                with contextlib.suppress(OSError):  # a reset ends the connection as well
                     while await reader.read(READ_BYTES):
                         pass
-                stood_s = time.monotonic() - connected_at
-                if stood_s < REFUSED_WITHIN_S:
-                    self._refused_after_s.append(stood_s)
+                open_s = time.monotonic() - connected_at
+                if open_s < REFUSED_WITHIN_S:
+                    self._refused_after_s.append(open_s)
 
     async def _storm(self) -> None:
-        """Connect and close, at a rate of its own."""
-        begun_at = time.monotonic()
+        """Open and close connections at a fixed rate, with a bounded number of attempts in progress."""
+        started_at = time.monotonic()
         attempts = 0
         tasks: set[asyncio.Task[None]] = set()
         while time.monotonic() < self._ends_at:
-            due = (time.monotonic() - begun_at) * STORM_CONNECTIONS_PER_S
+            due = (time.monotonic() - started_at) * STORM_CONNECTIONS_PER_S
             while attempts < due and len(tasks) < MAX_STORM_ATTEMPTS:
                 attempts += 1
                 task = asyncio.ensure_future(self._connect_and_close())
                 tasks.add(task)
                 task.add_done_callback(tasks.discard)
-            await asyncio.sleep(STORM_TURN_S)
+            await asyncio.sleep(STORM_INTERVAL_S)
         await asyncio.gather(*tasks)
 
     async def _connect_and_close(self) -> None:
@@ -205,17 +205,17 @@
 
 
 class FloodProcess:
-    """A flood in a process of its own."""
+    """A flood in its own process."""
 
     def __init__(
         self, kind: FloodKind, port: int, seconds: float, held: int = HELD_CONNECTIONS, announce_after: int = 0
     ) -> None:
         self._arguments = (kind, str(port), str(seconds), "--held", str(held), "--announce-after", str(announce_after))
         self._process: asyncio.subprocess.Process | None = None
-        self.report: dict[str, object] = {}  # once it has ended
+        self.report: dict[str, object] = {}  # set after the process has ended
 
     async def start(self) -> None:
-        """Start it, and wait until it floods: until the first `announce_after` connections were made."""
+        """Start the process and wait until the first `announce_after` connections were made."""
         self._process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -229,11 +229,11 @@
 
     @property
     def has_ended(self) -> bool:
-        """Whether its time is over."""
+        """Return whether the process has ended."""
         return self._process is not None and self._process.returncode is not None
 
     async def stop(self) -> dict[str, object]:
-        """End it; return what became of its connections."""
+        """End the flood; return its report."""
         if self._process is None or self._process.stdout is None or self.report:
             return self.report
         send_signal(self._process, signal.SIGTERM)
--- a/chutepin/testbench/standins/platform.py
+++ b/chutepin/testbench/standins/platform.py
@@ -1,6 +1,7 @@
-"""Stand-ins for the parties of a node: executor, records service, control plane, balancer.
+"""Stand-ins for the peers of a node: executor, records service, control plane, balancer.
 
-They listen on loopback sockets. The tests and the demo use the same code; a test steers it, by itself it serves."""
+They use loopback sockets. Tests and the demo share them: without further calls they serve every request, and tests
+inject faults through their attributes and methods."""
 
 from __future__ import annotations
 
@@ -27,45 +28,46 @@
 ROOT = Path(__file__).parents[3]
 EXAMPLE: dict[str, Any] = json.loads((ROOT / "deploy" / "example.json").read_text())
 EVENTUALLY_TIMEOUT_S = 60.0
-STATE_WAIT_S = 0.5  # for the program to write its state to its log
+STATE_WAIT_S = 0.5  # from SIGUSR1 until the program has logged its state
 MAX_SHOWN_LOG = 8000  # characters
-PORTS = range(12_000, 30_000)  # that `free_port` gives; who runs rigs side by side gives each its own
-_given: set[int] = set()
+PORTS = range(12_000, 30_000)  # for `free_port`; rigs that run in parallel must each use their own range
+_issued_ports: set[int] = set()
 
 
 class Standins:
-    """The executor, the records service and the control plane on loopback sockets, steered by a test.
+    """The executor, the records service and the control plane of one node process, which the class also starts.
 
-    `work(id, cls, body)` yields what a run does: bytes to call with, then its result."""
+    Each run makes one call to the records service while `calling` is set, except for class `position-push`, and then
+    completes. The attributes record what the stand-ins received."""
 
     def __init__(self, env: dict[str, Any]) -> None:
-        self.runs: list[tuple[str, str, bytes]] = []  # (id, class, body) as executed
+        self.runs: list[tuple[str, str, bytes]] = []  # (id, class, body) in the order of EXEC
         self.killed: list[str] = []
         self.calls: list[tuple[str, bytes]] = []
         self.reports: list[bytes] = []
         self.joins: list[int] = []
         self.notices: list[bytes] = []
         self.calling = True
-        self.hold: set[bytes] = set()  # bodies whose run does not end by itself
+        self.hold: set[bytes] = set()  # bodies whose runs do not end until `finish` or KILL
         self.record_word = "DONE"
-        self.records_address = ""  # of a records service that several nodes share, in place of this one's own
-        self.warmth, self.age_ms = "hot", 5  # of the executor, as WELCOME tells it
-        self.welcomes = True  # false: the executor accepts the link and is not up yet
-        self.control_silent = False  # the control plane accepts, reads and answers nothing
+        self.records_address = ""  # of a shared records service; empty: this object's own
+        self.warmth, self.age_ms = "hot", 5  # of the executor, as sent in WELCOME
+        self.welcomes = True  # false: the executor accepts the link but does not send WELCOME
+        self.control_silent = False  # true: the control plane reads reports but does not answer
         self._control_writers: set[asyncio.StreamWriter] = set()
         self._control_address: socket.socket | None = None  # bound while the control plane refuses connections
         self._executor: asyncio.StreamWriter | None = None
         self._servers: list[asyncio.Server] = []
-        self._waiting: dict[str, tuple[str, bytes]] = {}
+        self._pending_calls: dict[str, tuple[str, bytes]] = {}
         self.env = json.loads(json.dumps(env))
         self.stop_ms, self.sockets = 1500, 1024
-        self.descriptors = 0  # the program's soft limit, if it is to have one
+        self.descriptors = 0  # limit for the program; 0: inherited
         self.environ: dict[str, str] = {}
-        self.program = ROOT  # whose program runs
+        self.program = ROOT  # working directory, from which the program is imported
         self.process: asyncio.subprocess.Process | None = None
         self.name = "n3"
-        self.log: IO[bytes] | None = None  # where the program's log goes, if not to the reader of `process.stderr`
-        self.shell_command = ""  # run by /bin/sh in place of the interpreter, as a deployment does
+        self.log: IO[bytes] | None = None  # receives the program's log; None: a pipe, `process.stderr`
+        self.shell_command = ""  # run by /bin/sh instead of the interpreter, as in a deployment
         self._arguments: tuple[str, ...] = ()
         self.port = self.listen_port = self.ops_port = 0
         self.errors = ""
@@ -73,7 +75,7 @@
     async def start(
         self, stack: AsyncExitStack, *arguments: str, environ: dict[str, str] | None = None, ops: bool = False
     ) -> None:
-        """Start the stand-ins and the real program, with an address for operators if asked for."""
+        """Start the stand-ins and the program, and wait for its JOIN. `ops` adds an operators' address."""
         self.port = self.listen_port or await free_port()
         self.ops_port = await free_port() if ops else 0
         self.path = Path(stack.enter_context(tempfile.TemporaryDirectory())) / "config.json"
@@ -81,33 +83,35 @@
         self.environ |= environ or {}
         self._arguments = arguments
         await self.spawn()
-        stack.push_async_exit(self._show_and_kill)
+        stack.push_async_exit(self._describe_and_kill)
         await eventually(lambda: self.joins)
 
-    async def _show_and_kill(self, _: object, error: BaseException | None, trace: object) -> None:
-        """End the program; where a test failed, show first what it and the stand-ins did."""
+    async def _describe_and_kill(self, _: object, error: BaseException | None, trace: object) -> None:
+        """Kill the program; after an error, print its log and what the stand-ins received first."""
         if error is not None:
             print(await self.describe())
         await self.kill()
 
     async def describe(self) -> str:
-        """End the program and return the last of its log, with its counters, and what came to the stand-ins."""
+        """Kill the program; return the counts of what the stand-ins received and the end of the program's log.
+
+        Before the kill, SIGUSR1 makes the program log its state."""
         process = self.process
-        seen = (
+        received = (
             f"runs={len(self.runs)} killed={len(self.killed)} calls={len(self.calls)} reports={len(self.reports)} "
             f"joins={self.joins} notices={len(self.notices)} exit={process.returncode if process else None}"
         )
         if process is None or process.stderr is None:
-            return f"stand-ins: {seen}"
+            return f"stand-ins: {received}"
         if process.returncode is None:
             send_signal(process, signal.SIGUSR1)
             await asyncio.sleep(STATE_WAIT_S)
         await self.kill()
         log = (await process.stderr.read()).decode(errors="replace")
-        return f"stand-ins: {seen}\nthe end of the program's log:\n{log[-MAX_SHOWN_LOG:]}"
+        return f"stand-ins: {received}\nthe end of the program's log:\n{log[-MAX_SHOWN_LOG:]}"
 
     async def spawn(self) -> None:
-        """Start the program, also once more after its end."""
+        """Start the program, also again after it has ended."""
         command = (sys.executable, "-m", "chutepin", *self._arguments)
         if self.shell_command:
             command = ("/bin/sh", "-c", self.shell_command)
@@ -115,15 +119,15 @@
             *command,
             cwd=self.program,
             stderr=self.log or asyncio.subprocess.PIPE,
-            preexec_fn=self._limit if self.descriptors else None,
+            preexec_fn=self._limit_descriptors if self.descriptors else None,
             env={**os.environ, **self.environ, "LB_CONFIG": str(self.path)},
         )
 
-    def _limit(self) -> None:
+    def _limit_descriptors(self) -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (self.descriptors, self.descriptors))
 
     async def configure(self, stack: AsyncExitStack) -> None:
-        """Write the configuration with stand-ins at new addresses; the old ones accept nothing new."""
+        """Move the stand-ins to new addresses and write the configuration; the old ones accept no new connections."""
         for server in self._servers:
             server.close()
         self._servers = [
@@ -152,18 +156,18 @@
         )
 
     def reload(self) -> None:
-        """Have the node read its configuration again."""
+        """Send SIGHUP: the node reloads its configuration."""
         assert self.process is not None
         send_signal(self.process, signal.SIGHUP)
 
     async def kill(self) -> None:
-        """End the program if it still runs."""
+        """Kill the program if it still runs."""
         if self.process is not None and self.process.returncode is None:
             kill(self.process)
             await self.process.wait()
 
     async def leave(self) -> str:
-        """Tell it to leave; its log."""
+        """Send SIGTERM and wait for the exit; return the log. Raises AssertionError unless the exit code is 0."""
         assert self.process is not None and self.process.stderr is not None
         send_signal(self.process, signal.SIGTERM)
         log = (await self.process.stderr.read()).decode()
@@ -171,18 +175,18 @@
         return log
 
     def notify(self, *words: str | int, body: bytes | None = None) -> None:
-        """Write a numbered notice now and keep it for a link that joins later."""
+        """Send a numbered notice to the executor's link and keep it for replay on a later JOIN."""
         data = line(words[0], len(self.notices) + 1, *words[1:], body=body)
         self.notices.append(data)
         if self._executor is not None:
             self._executor.write(data)
 
     def finish(self, id: str, result: bytes) -> None:
-        """End a run."""
+        """Complete a run with a result."""
         self.notify("EXIT", id, "complete", 200, body=result)
 
     def cut(self) -> None:
-        """Lose the executor's link."""
+        """Abort the executor's link."""
         assert self._executor is not None
         self._executor.transport.abort()
         self._executor = None
@@ -201,36 +205,36 @@
                 self.joins.append(int(words[1]))
                 self._executor = writer
                 if self.welcomes:
-                    self._welcome(int(words[1]))
+                    self._send_welcome(int(words[1]))
             case "EXEC":
                 self.runs.append((words[1], words[2], body))
                 if body in self.hold:
                     return
                 if self.calling and words[2] != "position-push":
-                    self._waiting[words[1]] = (words[2], body)
+                    self._pending_calls[words[1]] = (words[2], body)
                     self.notify("CALLOUT", words[1], body=b"call for " + body)
                 else:
                     self.finish(words[1], b"done " + body)
             case "RETURN":
-                _, asked = self._waiting.pop(words[1])
-                self.finish(words[1], b"done " + asked + b" with " + body)
+                _, run_body = self._pending_calls.pop(words[1])
+                self.finish(words[1], b"done " + run_body + b" with " + body)
             case "BYPASS":
-                _, asked = self._waiting.pop(words[1])
-                self.finish(words[1], b"done " + asked)
+                _, run_body = self._pending_calls.pop(words[1])
+                self.finish(words[1], b"done " + run_body)
             case "KILL":
                 self.killed.append(words[1])
                 self.notify("EXIT", words[1], "cancelled", 10, body=b"")
             case "METER":
                 writer.write(line("METERS", words[1], "0.1", 1))
 
-    def _welcome(self, last: int) -> None:
+    def _send_welcome(self, last_notice: int) -> None:
         assert self._executor is not None
-        self._executor.write(line("WELCOME", self.warmth, self.age_ms) + b"".join(self.notices[last:]))
+        self._executor.write(line("WELCOME", self.warmth, self.age_ms) + b"".join(self.notices[last_notice:]))
 
     def come_up(self) -> None:
-        """Send the WELCOME that was held back."""
+        """Send the withheld WELCOME and stop withholding."""
         self.welcomes = True
-        self._welcome(self.joins[-1])
+        self._send_welcome(self.joins[-1])
 
     async def _records_side(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         parser = LineParser(lambda words: words[0] == "OP", 65536)
@@ -260,7 +264,7 @@
             self._control_writers.discard(writer)
 
     def refuse_control(self) -> None:
-        """The control plane goes down: its connections break and new ones are refused. The port stays taken."""
+        """Abort the control plane's connections and refuse new ones. Its port stays bound."""
         host, port = self._servers[-1].sockets[0].getsockname()
         self._servers[-1].close()
         for writer in self._control_writers:
@@ -270,26 +274,26 @@
         self._control_address.bind((host, port))
 
     async def restore_control(self) -> None:
-        """The control plane is back, at the same address."""
+        """Let the control plane accept connections and answer again, at the same address."""
         self.control_silent = False
         if self._control_address is not None:
             self._servers[-1] = await asyncio.start_server(self._control_side, sock=self._control_address)
             self._control_address = None
 
     async def connect(self) -> Balancer:
-        """A balancer's connection to the node."""
+        """Return a new balancer connection to the node."""
         return Balancer(*await asyncio.open_connection("127.0.0.1", self.port))
 
 
 class Balancer:
-    """One balancer's connection: sends calls, collects answers by tag."""
+    """One connection of a balancer: sends requests and collects answers by tag."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
         self.tag = 0
         self.answers: dict[int, list[list[bytes]]] = {}
         self.ended = False
-        self._task = asyncio.ensure_future(self._read())
+        self._reader_task = asyncio.ensure_future(self._read())
 
     async def _read(self) -> None:
         parser = RespParser()
@@ -303,7 +307,7 @@
     def call(
         self, cls: str, body: bytes, key: str | None = None, wait: int | None = 5000, team: str = "bernard-lodge"
     ) -> int:
-        """Send a request; its tag. Without `wait` it does not say how long it waits."""
+        """Send a request; return its tag. `wait` is its deadline in milliseconds; None omits the field."""
         self.tag += 1
         fields = f"i={os.urandom(8).hex()},s={int(time.time() * 1000)},f=1,t={team},m=24.5,p=0.5"
         fields += (f",k={key}" if key else "") + (f",d={wait}" if wait is not None else "")
@@ -311,36 +315,36 @@
         return self.tag
 
     async def answer(self, tag: int) -> list[bytes]:
-        """The answer to a tag, once it is there."""
+        """Wait for the first answer to a tag and return it."""
         await eventually(lambda: self.answers.get(tag))
         return self.answers[tag][0]
 
     async def close(self) -> None:
-        """Close and wait for the reading to end."""
+        """Close the connection and wait for the reader task to end."""
         self.writer.close()
-        await self._task
+        await self._reader_task
 
 
-async def eventually(holds: Callable[[], Any]) -> None:
-    """Wait until something holds: far longer than needed, so that a busy machine changes no verdict."""
-    until = time.monotonic() + EVENTUALLY_TIMEOUT_S
-    while not holds():
-        assert time.monotonic() < until, "it never came to hold"
+async def eventually(condition: Callable[[], Any]) -> None:
+    """Wait until a condition holds. Raises AssertionError after a timeout long enough for a busy machine."""
+    deadline = time.monotonic() + EVENTUALLY_TIMEOUT_S
+    while not condition():
+        assert time.monotonic() < deadline, "condition not met in time"
         await asyncio.sleep(0.005)
 
 
 async def free_port() -> int:
-    """Return a port on which nothing listens, below those that the system gives to connections.
+    """Return a port on which nothing listens, below the system's range of ephemeral ports.
 
-    A flood of connections beside a test must not take it before the program listens. None is given twice, until all
-    were."""
+    The connections of a concurrent flood use ephemeral ports, so they cannot take the port before the program listens
+    on it. No port is returned twice until all have been returned."""
     while True:
-        if len(_given) >= len(PORTS):
-            _given.clear()
+        if len(_issued_ports) >= len(PORTS):
+            _issued_ports.clear()
         port = random.SystemRandom().choice(PORTS)
-        if port in _given:
+        if port in _issued_ports:
             continue
-        _given.add(port)
+        _issued_ports.add(port)
         with contextlib.suppress(OSError):
             server = await asyncio.start_server(lambda _r, _w: None, "127.0.0.1", port)
             server.close()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: its schedules, what its checks find in books made by hand, and a short play on real processes."""
+"""Tests of the soak: its schedules, its checks on hand-made observations, and short plays on real processes."""
 
 from __future__ import annotations
 
@@ -8,177 +8,177 @@
 
 import pytest
 
-from chutepin.testbench.soak import Books, draw, make_report, play, violations
+from chutepin.testbench.soak import Observations, draw, make_report, play, violations
 from chutepin.testbench.soak.books import (
-    AnswerSeen,
     CloseCause,
-    ConnectionSeen,
     Event,
-    LagSeen,
-    ProcessSeen,
-    RequestSeen,
-    RunSeen,
+    ObservedAnswer,
+    ObservedConnection,
+    ObservedLag,
+    ObservedProcess,
+    ObservedRequest,
+    ObservedRun,
 )
 from chutepin.testbench.soak.schedule import SIGTERM, Ending
 
-SHORT_S = 5.0
-PLAYED = [(1, False), (2, False), (3, False), (4, True)]  # seed, whether there is a crowd
+SOAK_S = 5.0
+SOAKS = [(1, False), (2, False), (3, False), (4, True)]  # (seed, crowd)
 
 
-def sound_books() -> Books:
-    """A process that served two keyed requests of one key on one connection, which it then closed."""
-    connection = ConnectionSeen(1, 100.0, bye_at=109.0, closed_at=110.0, closed_by=CloseCause.NODE)
-    books = Books(
+def valid_observations() -> Observations:
+    """Return observations without a violation: two served requests under one key on a connection closed by the node."""
+    connection = ObservedConnection(1, 100.0, bye_at=109.0, closed_at=110.0, closed_by=CloseCause.NODE)
+    observations = Observations(
         requests=[
-            RequestSeen("a", "work-order", b"order", "k", connection, 101.0, 104.0),
-            RequestSeen("b", "work-order", b"order", "k", connection, 102.0, 105.0),
+            ObservedRequest("a", "work-order", b"order", "k", connection, 101.0, 104.0),
+            ObservedRequest("b", "work-order", b"order", "k", connection, 102.0, 105.0),
         ],
-        runs=[RunSeen("a", b"order", 101.1, "process 1")],
+        runs=[ObservedRun("a", b"order", 101.1, "process 1")],
         processes=[
-            ProcessSeen("process 1", 0, 98.0, 98.5, notice_at=109.0, ended_at=110.0, exit_code=0, log="leaving"),
-            ProcessSeen("process 2", 0, 105.0, 105.5, notice_at=120.0, ended_at=121.0, exit_code=0, log="leaving"),
+            ObservedProcess("process 1", 0, 98.0, 98.5, sigterm_at=109.0, ended_at=110.0, exit_code=0, log="leaving"),
+            ObservedProcess("process 2", 0, 105.0, 105.5, sigterm_at=120.0, ended_at=121.0, exit_code=0, log="leaving"),
         ],
         events=[Event(121.0, "the end")],
     )
-    books.requests[0].answers.append(AnswerSeen(101.2, "OK", b"done order"))
-    books.requests[1].answers.append(AnswerSeen(102.1, "OK", b"done order"))
-    return books
+    observations.requests[0].answers.append(ObservedAnswer(101.2, "OK", b"done order"))
+    observations.requests[1].answers.append(ObservedAnswer(102.1, "OK", b"done order"))
+    return observations
 
 
-def answered_twice(books: Books) -> None:
-    books.requests[0].answers.append(AnswerSeen(101.3, "FAILED", b""))
+def answered_twice(observations: Observations) -> None:
+    observations.requests[0].answers.append(ObservedAnswer(101.3, "FAILED", b""))
 
 
-def answer_to_nothing(books: Books) -> None:
-    books.unasked_answers = 1
+def answer_without_request(observations: Observations) -> None:
+    observations.unexpected_answers = 1
 
 
-def never_answered_on_an_open_connection(books: Books) -> None:
-    books.requests[0].answers.clear()
+def no_answer_on_open_connection(observations: Observations) -> None:
+    observations.requests[0].answers.clear()
 
 
-def answered_too_late(books: Books) -> None:
-    books.requests[0].answers[0].at = 104.5
+def answered_after_deadline(observations: Observations) -> None:
+    observations.requests[0].answers[0].at = 104.5
 
 
-def ran_and_dropped_at_the_close(books: Books) -> None:
-    books.requests[0].answers.clear()
-    books.requests[0].written_at, books.requests[0].due_at = 109.9, 113.0
+def request_that_ran_dropped_at_close(observations: Observations) -> None:
+    observations.requests[0].answers.clear()
+    observations.requests[0].written_at, observations.requests[0].deadline_at = 109.9, 113.0
 
 
-def read_and_dropped_at_the_close(books: Books) -> None:
-    books.requests[1].answers.clear()
-    books.requests[1].written_at, books.requests[1].due_at = 108.5, 113.0
+def request_that_was_read_dropped_at_close(observations: Observations) -> None:
+    observations.requests[1].answers.clear()
+    observations.requests[1].written_at, observations.requests[1].deadline_at = 108.5, 113.0
 
 
-def key_ran_at_both_processes(books: Books) -> None:
-    books.runs.append(RunSeen("b", b"order", 102.1, "process 2"))
+def key_ran_in_two_processes(observations: Observations) -> None:
+    observations.runs.append(ObservedRun("b", b"order", 102.1, "process 2"))
 
 
-def rejected_after_its_run(books: Books) -> None:
-    books.requests[0].answers[0].word = "BUSY"
+def rejected_after_run(observations: Observations) -> None:
+    observations.requests[0].answers[0].verdict = "BUSY"
 
 
-def rejected_after_its_key_ran(books: Books) -> None:
-    books.requests[1].answers[0].word = "BUSY"
+def rejected_after_run_of_key(observations: Observations) -> None:
+    observations.requests[1].answers[0].verdict = "BUSY"
 
 
-def result_of_another_request(books: Books) -> None:
-    books.requests[0].answers[0].body = b"done other"
+def result_of_another_request(observations: Observations) -> None:
+    observations.requests[0].answers[0].body = b"done other"
 
 
-def slow_start(books: Books) -> None:
-    books.processes[0].ready_at = 109.0
+def slow_start(observations: Observations) -> None:
+    observations.processes[0].ready_at = 109.0
 
 
-def crash(books: Books) -> None:
-    books.processes[0].exit_code = -11
-    books.processes[0].ended_at = 105.0
+def crash(observations: Observations) -> None:
+    observations.processes[0].exit_code = -11
+    observations.processes[0].ended_at = 105.0
 
 
-def ended_by_a_signal(books: Books) -> None:
-    books.processes[0].exit_code = -15
+def killed_by_signal(observations: Observations) -> None:
+    observations.processes[0].exit_code = -15
 
 
-def notice_not_heard(books: Books) -> None:
-    books.processes[0].log = ""
-    books.processes[0].killed_at = 110.0
-    books.processes[0].exit_code = -9
+def sigterm_ignored(observations: Observations) -> None:
+    observations.processes[0].log = ""
+    observations.processes[0].killed_at = 110.0
+    observations.processes[0].exit_code = -9
 
 
-def broken_invariant(books: Books) -> None:
-    books.processes[0].log += " invariant.ledger=1"
+def invariant_violated_in_log(observations: Observations) -> None:
+    observations.processes[0].log += " invariant.ledger=1"
 
 
-def descriptors_left_open(books: Books) -> None:
-    books.processes[1].descriptors_when_quiet = 12, 40
+def descriptors_left_open(observations: Observations) -> None:
+    observations.processes[1].idle_descriptors = 12, 40
 
 
-def memory_left(books: Books) -> None:
-    books.processes[1].memory_kb_when_quiet = 30_000, 90_000
+def memory_not_freed(observations: Observations) -> None:
+    observations.processes[1].idle_memory_kb = 30_000, 90_000
 
 
-def requests_left(books: Books) -> None:
-    books.processes[1].current_when_quiet = 2
+def requests_left_in_progress(observations: Observations) -> None:
+    observations.processes[1].idle_requests_in_progress = 2
 
 
-PLANTED: dict[str, list[Callable[[Books], None]]] = {
-    "one answer each": [answered_twice, answer_to_nothing],
+VIOLATIONS_BY_CHECK: dict[str, list[Callable[[Observations], None]]] = {
+    "one answer each": [answered_twice, answer_without_request],
     "none lost": [
-        never_answered_on_an_open_connection,
-        answered_too_late,
-        ran_and_dropped_at_the_close,
-        read_and_dropped_at_the_close,
+        no_answer_on_open_connection,
+        answered_after_deadline,
+        request_that_ran_dropped_at_close,
+        request_that_was_read_dropped_at_close,
     ],
-    "keys run once": [key_ran_at_both_processes],
-    "rejected never ran": [rejected_after_its_run],
-    "keys not rejected": [rejected_after_its_key_ran],
+    "keys run once": [key_ran_in_two_processes],
+    "rejected never ran": [rejected_after_run],
+    "keys not rejected": [rejected_after_run_of_key],
     "results": [result_of_another_request],
     "ready": [slow_start],
     "crash": [crash],
-    "exit code": [ended_by_a_signal],
-    "notice": [notice_not_heard],
-    "log": [broken_invariant],
+    "exit code": [killed_by_signal],
+    "notice": [sigterm_ignored],
+    "log": [invariant_violated_in_log],
     "descriptors": [descriptors_left_open],
-    "memory": [memory_left],
-    "in progress": [requests_left],
+    "memory": [memory_not_freed],
+    "in progress": [requests_left_in_progress],
 }
 
 
-def test_sound_books_violate_nothing() -> None:
-    assert violations(sound_books()) == []
+def test_valid_observations_have_no_violations() -> None:
+    assert violations(valid_observations()) == []
 
 
 @pytest.mark.parametrize(
-    ("check", "plant"),
-    [(check, plant) for check, plants in PLANTED.items() for plant in plants],
+    ("check", "inject"),
+    [(check, inject) for check, injections in VIOLATIONS_BY_CHECK.items() for inject in injections],
     ids=lambda value: value if isinstance(value, str) else value.__name__,
 )
-def test_each_planted_fault_is_found_by_its_check(check: str, plant: Callable[[Books], None]) -> None:
-    books = sound_books()
-    plant(books)
-    assert check in {violation.check for violation in violations(books)}
+def test_each_violation_is_found_by_its_check(check: str, inject: Callable[[Observations], None]) -> None:
+    observations = valid_observations()
+    inject(observations)
+    assert check in {violation.check for violation in violations(observations)}
 
 
-def test_request_that_crosses_the_close_and_never_ran_is_not_lost() -> None:
-    books = sound_books()
-    books.requests[1].answers.clear()
-    books.requests[1].written_at, books.requests[1].due_at = 109.98, 113.0
-    assert violations(books) == []
+def test_request_written_just_before_close_that_never_ran_is_not_lost() -> None:
+    observations = valid_observations()
+    observations.requests[1].answers.clear()
+    observations.requests[1].written_at, observations.requests[1].deadline_at = 109.98, 113.0
+    assert violations(observations) == []
 
 
-def test_answer_that_the_rig_itself_read_late_is_not_late() -> None:
-    books = sound_books()
-    answered_too_late(books)
-    books.lags.append(LagSeen(104.5, 0.4))
-    assert violations(books) == []
+def test_event_loop_lag_of_the_soak_does_not_make_an_answer_late() -> None:
+    observations = valid_observations()
+    answered_after_deadline(observations)
+    observations.lags.append(ObservedLag(104.5, 0.4))
+    assert violations(observations) == []
 
 
-def test_one_seed_gives_one_schedule_and_another_seed_another() -> None:
+def test_schedule_is_determined_by_seed() -> None:
     assert draw(7, 20.0, False) == draw(7, 20.0, False) != draw(8, 20.0, False)
 
 
-def test_schedules_have_clients_that_keep_their_connections_and_signals_in_series() -> None:
+def test_schedules_cover_clients_ignoring_bye_signal_series_and_both_endings() -> None:
     schedules = [draw(seed, 20.0, False) for seed in range(50)]
     assert all(sum(not client.heeds_bye for client in schedule.clients) >= 2 for schedule in schedules)
     series = [[step.name for step in life.stop_signals] for schedule in schedules for life in schedule.lives]
@@ -190,12 +190,13 @@
     assert any(life.start_signals for schedule in schedules for life in schedule.lives)
 
 
-# Guards against what only shows over several lives of a node: answers lost at a close, keys run again, signals unheard.
-@pytest.mark.parametrize(("seed", "crowd"), PLAYED, ids=str)
-def test_short_soak_violates_nothing(seed: int, crowd: bool) -> None:
-    schedule = draw(seed, SHORT_S, crowd)
-    books = asyncio.run(play(schedule))
-    report = make_report(schedule, books)
+# Guards against failures that need several processes in succession: answers lost at a close, keys run again, signals
+# ignored.
+@pytest.mark.parametrize(("seed", "crowd"), SOAKS, ids=str)
+def test_short_soak_has_no_violations(seed: int, crowd: bool) -> None:
+    schedule = draw(seed, SOAK_S, crowd)
+    observations = asyncio.run(play(schedule))
+    report = make_report(schedule, observations)
     assert not report.has_failed, report.text
     assert report.counts["served"] > 50
-    assert all(process.ready_at < math.inf for process in books.processes)
+    assert all(process.ready_at < math.inf for process in observations.processes)
