--- a/chutepin/testbench/soak/play.py
+++ b/chutepin/testbench/soak/play.py
@@ -34,7 +34,7 @@
 from .standins import SoakStandins
 
 START_TIMEOUT_S = 12.0  # after which a process that is not ready is killed
-POLL_S = 0.01
+POLL_INTERVAL_S = 0.01
 MIN_LAG_S = 0.02  # shorter delays of the soak's own event loop are not recorded
 IDLE_S = 1.0  # without clients, before the resources of the last process are read
 UPGRADE_STOP_S = 3.7  # after SIGTERM: the longest deadline, taken as 3 s, plus 0.7 s
@@ -50,7 +50,7 @@
 
 
 class Process:
-    """One process of the node with its stand-ins."""
+    """A process of the node with its stand-ins."""
 
     def __init__(
         self, observed: ObservedProcess, standins: SoakStandins, stack: AsyncExitStack, log_path: Path
@@ -72,7 +72,7 @@
                 await self.send_signals(signals)
                 await start_task
                 while not (await self.call("ready")).startswith("SUCCESS"):
-                    await asyncio.sleep(POLL_S)
+                    await asyncio.sleep(POLL_INTERVAL_S)
         except TimeoutError:
             start_task.cancel()
             await asyncio.gather(start_task, return_exceptions=True)
@@ -204,8 +204,8 @@
         """Record delays of the event loop of this process."""
         loop = asyncio.get_running_loop()
         while True:
-            due_at = loop.time() + POLL_S
-            await asyncio.sleep(POLL_S)
+            due_at = loop.time() + POLL_INTERVAL_S
+            await asyncio.sleep(POLL_INTERVAL_S)
             if (lag_s := loop.time() - due_at) > MIN_LAG_S:
                 self.observations.lags.append(ObservedLag(time.time(), lag_s))
 
--- a/chutepin/testbench/soak/report.py
+++ b/chutepin/testbench/soak/report.py
@@ -14,7 +14,7 @@
 
 MAX_SHOWN_VIOLATIONS = 20
 MAX_SHOWN_EVENTS = 15
-MAX_SHOWN_LOG_LINES = 12  # of each process
+MAX_SHOWN_LOG_LINES = 12  # last lines of the log of each process
 
 
 @dataclass(frozen=True, slots=True)
--- a/chutepin/testbench/standins/amqp_broker.py
+++ b/chutepin/testbench/standins/amqp_broker.py
@@ -1,4 +1,4 @@
-"""A stand-in AMQP 0-9-1 broker: queues, prefetch, acknowledgements that it may lose and links that it may cut."""
+"""A stand-in AMQP 0-9-1 broker with queues, prefetch and injected faults: lost settlements and cut links."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
         self.links = self.settlements = self.beats = 0
         self._heartbeat = heartbeat
         self.cancelled: list[str] = []
-        self.deaf = False  # true: received data is not processed
+        self.deaf = False  # true: data on the link is neither processed nor read further
         self.port = 0
         self.out: dict[int, Message] = {}
         self._consumer_tags: dict[str, str] = {}  # queue: consumer tag
--- a/chutepin/testbench/standins/dependency.py
+++ b/chutepin/testbench/standins/dependency.py
@@ -18,8 +18,8 @@
 
 MAX_BODY_BYTES = 65536
 READ_BYTES = 65536
-WORK_STEP_S = 0.005  # between updates of the work done by the cores
-ANSWER_POLL_S = 0.02  # between checks for the answer to a forwarded call
+WORK_INTERVAL_S = 0.005  # between updates of the work done by the cores
+ANSWER_POLL_INTERVAL_S = 0.02  # between checks for the answer to a forwarded call
 _REPLY_BY_ANSWER = {b"OK": "DONE", b"BUSY": "WAIT"}
 
 
@@ -166,7 +166,7 @@
         """Advance the runs on the cores until cancelled."""
         last_update_at = time.monotonic()
         while True:
-            await asyncio.sleep(WORK_STEP_S)
+            await asyncio.sleep(WORK_INTERVAL_S)
             now = time.monotonic()
             speed = min(1.0, self._cores / max(1, len(self._active_runs))) * self._warm_up.speed(now - self._started_at)
             done_s = (now - last_update_at) * speed
@@ -246,7 +246,7 @@
         tag = upstream.call(self._cls, body, wait=wait_ms)
         deadline = time.monotonic() + wait_ms / 1000
         while tag not in upstream.answers and not upstream.ended and time.monotonic() < deadline:
-            await asyncio.sleep(ANSWER_POLL_S)
+            await asyncio.sleep(ANSWER_POLL_INTERVAL_S)
         answer = upstream.answers.get(tag, [[b"", b"", b""]])[0]
         verdict = _REPLY_BY_ANSWER.get(answer[0], "ERROR")
         writer.write(line(id, verdict, body=answer[2] if verdict == "DONE" else None))
--- a/chutepin/testbench/standins/known_client.py
+++ b/chutepin/testbench/standins/known_client.py
@@ -1,4 +1,4 @@
-"""A known client for flood tests: it sends requests at a fixed rate on one held connection, and as many on new ones."""
+"""A known client for flood tests: it sends requests at up to a given rate on one held connection and on new ones."""
 
 from __future__ import annotations
 
--- a/chutepin/testbench/standins/platform.py
+++ b/chutepin/testbench/standins/platform.py
@@ -29,7 +29,7 @@
 EXAMPLE: dict[str, Any] = json.loads((ROOT / "deploy" / "example.json").read_text())
 EVENTUALLY_TIMEOUT_S = 60.0
 STATE_WAIT_S = 0.5  # from SIGUSR1 until the program has logged its state
-MAX_SHOWN_LOG = 8000  # characters
+MAX_SHOWN_LOG = 8000  # characters of the program's log that a failed test prints
 PORTS = range(12_000, 30_000)  # for `free_port`; rigs that run in parallel must each use their own range
 _issued_ports: set[int] = set()
 
