--- a/benchmarks/capacity/measure/log.py
+++ b/benchmarks/capacity/measure/log.py
@@ -105,7 +105,7 @@
     schedule = Schedule(observers + VOTERS, SECONDS)
     simulator = Metered(schedule, seed, voters=VOTERS, every=SETS_IN_ASKS / rate, settings=settings)
     if values is not None:
-        simulator._values = values
+        simulator._value_numbers = values
     history = simulator.run()
     if problems := violations(history):
         raise RuntimeError(f"{observers} observers, seed {seed}: {sorted(problems)}")
--- a/benchmarks/capacity/roles.py
+++ b/benchmarks/capacity/roles.py
@@ -10,7 +10,7 @@
 from chutepin.cluster.frames import MAX_STREAM_FRAME_BYTES
 from chutepin.consensus.key_value import MAX_KEYS
 from chutepin.consensus.replicated_state import MAX_SNAPSHOT_BYTES
-from chutepin.testbench.scale.traffic import WINDOW
+from chutepin.testbench.scale.traffic import WINDOW_S
 
 from .bounds import most_members
 from .model import Aspect, Bound, Condition, Demand, Limit, Load, Role
@@ -93,7 +93,7 @@
 
 MEMBER_LOADS = {ORDINARY: Load(TARGET.nodes), PEAK: Load(TARGET.nodes)}
 BAD_HOUR_LOADS = {BAD: Load(TARGET.nodes)}
-WINDOWS = f"windows of {WINDOW:g} s"
+WINDOWS = f"windows of {WINDOW_S:g} s"
 SMALLER_MEMBERSHIP = "membership by zone, or more time for what a bad hour changes at once"
 
 
--- a/benchmarks/consensus.py
+++ b/benchmarks/consensus.py
@@ -200,8 +200,8 @@
                     pack_assignment("k", b"%d" % state["made"]),
                     simulator.now + 3.0,
                 )
-            simulator._pump(host)
-        simulator._at(simulator.now + 0.02, propose)
+            simulator._process_effects(host)
+        simulator._schedule_event(simulator.now + 0.02, propose)
 
     def look() -> None:
         host = simulator.hosts["n4"]
@@ -215,11 +215,11 @@
             and host.participant.state.applied_index >= max(others) - 5
         ):
             state["done"] = simulator.now
-        simulator._at(simulator.now + 0.005, look)
+        simulator._schedule_event(simulator.now + 0.005, look)
 
     simulator._send = counted  # type: ignore[method-assign]
-    simulator._at(3.0, propose)
-    simulator._at(45.0, look)
+    simulator._schedule_event(3.0, propose)
+    simulator._schedule_event(45.0, look)
     begun = time.process_time()
     simulator.run()
     return [
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -23,13 +23,13 @@
 from chutepin.testbench.checks.membership_invariants import broken
 from chutepin.testbench.faults.fleet import Fleet
 from chutepin.testbench.faults.schedule import Fault, Schedule, split
-from chutepin.testbench.simulators.heartbeat_baseline import Heartbeats
-from chutepin.testbench.simulators.membership import Make, Simulator
+from chutepin.testbench.simulators.heartbeat_baseline import HeartbeatDetector
+from chutepin.testbench.simulators.membership import DetectorFactory, Simulator
 
 from .parts import Part, Row, quantile, run_parts
 
 SEEDS = 20
-MAKES: dict[str, Make] = {"detector": Detector, "heartbeats": Heartbeats}
+MAKES: dict[str, DetectorFactory] = {"detector": Detector, "heartbeats": HeartbeatDetector}
 
 
 def over_cores(work: Callable[..., Row], jobs: Iterable[tuple[Any, ...]]) -> list[Row]:
--- a/chutepin/cli/lab.py
+++ b/chutepin/cli/lab.py
@@ -161,8 +161,8 @@
 
     found = explored(
         Scope(voters, elections, proposals, beats, crashes, twice, snapshots=snapshots),
-        most=10**9,
-        until=time.monotonic() + seconds,
+        max_states=10**9,
+        deadline=time.monotonic() + seconds,
     )
     fields = {
         "states": found.states,
--- a/chutepin/testbench/checks/__init__.py
+++ b/chutepin/testbench/checks/__init__.py
@@ -1,1 +1,1 @@
-"""What must hold of a run, as functions of what was seen from outside; and a model checker of consensus."""
+"""Histories of runs, invariants as functions of a history, and a model checker of consensus."""
--- a/chutepin/testbench/checks/consensus_history.py
+++ b/chutepin/testbench/checks/consensus_history.py
@@ -1,4 +1,4 @@
-"""What clients and watchers saw of a replicated log from outside: the history that invariants are checked on."""
+"""Histories of a replicated log: client requests and observed member states, input of the invariants."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A key was set or read at a member. Each value is set once, so it tells who set it.
+    """A client's set or read of a key at a member. Each value is set once, so a value identifies its set request.
 
-    `outcome`: committed, rejected or unknown (also: no answer). `at_index`: the entry that set the key, for a read the
-    one that set what it returned, 0 if the key was not set. Of a read, `up_to_index` is the index that it was valid
-    for, `times_set` how often the key was set by then."""
+    `outcome`: committed, rejected or unknown (also without an answer). `at_index`: index of the entry that set the
+    key; for a read, of the entry that set the returned value, 0 if the key was not set. `up_to_index` and `times_set`
+    exist for reads only: the applied index at the read, and how often the key was set up to that index."""
 
     operation: str  # set, get
     member: str
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    """What one incarnation of a member showed of itself."""
+    """The observed consensus state of one incarnation of a member."""
 
     at: float
     member: str
@@ -43,21 +43,21 @@
 
 @dataclass(slots=True)
 class ConsensusHistory:
-    """All requests and observations. After `settled_at` no fault was active any more."""
+    """All requests and observations of a run. No fault is active after `settled_at`."""
 
     requests: list[ClientRequest] = field(default_factory=list)
     observations: list[Observation] = field(default_factory=list)
     settled_at: float = NEVER
-    disturbances: list[float] = field(default_factory=list)  # when a fault began, ended or went on
+    disturbances: list[float] = field(default_factory=list)  # times at which a fault began, ended or was active
 
     def committed_sets(self) -> list[ClientRequest]:
-        """Return the sets that were committed."""
-        return [one for one in self.requests if one.operation == "set" and one.outcome == "committed"]
+        """Return the committed set requests."""
+        return [request for request in self.requests if request.operation == "set" and request.outcome == "committed"]
 
     def answered_reads(self) -> list[ClientRequest]:
-        """Return the reads that were answered."""
-        return [one for one in self.requests if one.operation == "get" and one.outcome == "committed"]
+        """Return the reads that returned a result."""
+        return [request for request in self.requests if request.operation == "get" and request.outcome == "committed"]
 
     def keys(self) -> list[str]:
         """Return all keys that were set or read, sorted."""
-        return sorted({one.key for one in self.requests})
+        return sorted({request.key for request in self.requests})
--- a/chutepin/testbench/checks/consensus_invariants.py
+++ b/chutepin/testbench/checks/consensus_invariants.py
@@ -1,4 +1,4 @@
-"""What must hold of a replicated log, as functions of its history; the same for the simulator and for real processes.
+"""Invariants of a replicated log, as functions of its history, for the simulator and for real processes alike.
 
 Each invariant yields one line for each violation."""
 
@@ -8,20 +8,20 @@
 
 from chutepin.testbench.checks.consensus_history import NEVER, ClientRequest, ConsensusHistory, Observation
 
-CAUSE_S = 10.0  # for so long a disturbance explains a change of leader
-MAX_REPORTED = 20  # violations of one invariant
+CAUSE_S = 10.0  # time after a disturbance in which a change of leader is expected
+MAX_REPORTED = 20  # maximum reported violations of one invariant
 
 
 def one_leader_per_term(history: ConsensusHistory) -> Iterator[str]:
-    """No two members lead in one term."""
+    """Yield each member that leads in a term in which another member leads."""
     leaders: dict[int, str] = {}
     for seen in history.observations:
         if seen.role == "leader" and leaders.setdefault(seen.term, seen.member) != seen.member:
-            yield f"{seen.at:.2f} {seen.member} leads in term {seen.term}, so does {leaders[seen.term]}"
+            yield f"{seen.at:.2f} {seen.member} leads in term {seen.term}, as does {leaders[seen.term]}"
 
 
 def equal_logs_up_to_equal_index(history: ConsensusHistory) -> Iterator[str]:
-    """Members that have applied all up to an index have applied the same entries in the same order."""
+    """Yield differences between the applied entries of members that have the same applied index."""
     known: dict[int, tuple[str, str]] = {}
     for seen in history.observations:
         digest, member = known.setdefault(seen.applied_index, (seen.log_digest, seen.member))
@@ -30,7 +30,7 @@
 
 
 def applied_index_and_term_never_decrease(history: ConsensusHistory) -> Iterator[str]:
-    """In one incarnation of a member the applied index and the term only rise."""
+    """Yield decreases of the applied index or the term within one incarnation of a member."""
     last: dict[tuple[str, int], Observation] = {}
     for seen in history.observations:
         before = last.get((seen.member, seen.incarnation))
@@ -40,7 +40,7 @@
 
 
 def one_proposal_per_index(history: ConsensusHistory) -> Iterator[str]:
-    """An index holds one proposal, and a proposal is committed at one index."""
+    """Yield indexes that hold two proposals, and proposals that are committed at two indexes."""
     by_index: dict[int, str] = {}
     by_value: dict[str, int] = {}
     for request in history.committed_sets():
@@ -52,7 +52,7 @@
 
 
 def requests_are_linearizable(history: ConsensusHistory) -> Iterator[str]:
-    """What ended before a request began stands before it in the log; the index is the witness."""
+    """Yield requests ordered in the log before a request that had ended when they began, by their indexes."""
     for key in history.keys():
         sets = [one for one in history.committed_sets() if one.key == key]
         reads = sorted((one for one in history.answered_reads() if one.key == key), key=lambda one: one.began)
@@ -79,21 +79,21 @@
 
 
 def reads_return_set_values(history: ConsensusHistory) -> Iterator[str]:
-    """What is read was set by a client, at the index that it was told, not rejected, and not in the future."""
+    """Yield reads whose value no client had set yet, or whose set was rejected or committed at another index."""
     sets = {one.value: one for one in history.requests if one.operation == "set"}
     for read in history.answered_reads():
         if not read.at_index:
             continue
         setter = sets.get(read.value)
-        where = f"{read.began:.3f} {read.member}"
+        prefix = f"{read.began:.3f} {read.member}"
         if setter is None or setter.key != read.key or setter.began > read.ended:
-            yield f"{where} reads {read.key} as {read.value}, which nobody had set"
+            yield f"{prefix} reads {read.key} as {read.value}, which no client had set"
         elif setter.outcome == "rejected" or (setter.outcome == "committed" and setter.at_index != read.at_index):
-            yield f"{where} reads {read.value} of {read.at_index}; it was {setter.outcome} {setter.at_index}"
+            yield f"{prefix} reads {read.value} of {read.at_index}; it was {setter.outcome} {setter.at_index}"
 
 
 def proposals_are_applied_once(history: ConsensusHistory) -> Iterator[str]:
-    """A key was set as often as sets of it were committed; unknown ones may count or not."""
+    """Yield reads whose `times_set` differs from the committed sets; sets of unknown outcome may count or not."""
     for key in history.keys():
         sets = [one for one in history.requests if one.operation == "set" and one.key == key]
         for read in history.answered_reads():
@@ -109,24 +109,24 @@
 
 
 def requests_succeed_after_faults(history: ConsensusHistory) -> Iterator[str]:
-    """Once no fault is active any more, requests are committed."""
+    """Yield requests after `settled_at` that were not committed."""
     late = [one for one in history.requests if one.began > history.settled_at]
     if history.settled_at < NEVER and not late:
-        yield "nothing was asked in the end"
+        yield "no request was issued after the faults ended"
     for request in late:
         if request.outcome != "committed":
             yield f"{request.began:.2f} {request.member} {request.operation} {request.key}: {request.outcome}"
 
 
 def leader_changes_have_a_cause(history: ConsensusHistory) -> Iterator[str]:
-    """No member becomes the leader without a disturbance in the last seconds."""
+    """Yield leaders that took over without a disturbance in the last `CAUSE_S` seconds."""
     first: dict[int, Observation] = {}
     for seen in history.observations:
         if seen.role == "leader":
             first.setdefault(seen.term, seen)
     for seen in first.values():
         if not any(0 <= seen.at - disturbance <= CAUSE_S for disturbance in (0.0, *history.disturbances)):
-            yield f"{seen.at:.2f} {seen.member} took over in term {seen.term}; nothing had happened"
+            yield f"{seen.at:.2f} {seen.member} became leader in term {seen.term} without a preceding disturbance"
 
 
 INVARIANTS: tuple[Callable[[ConsensusHistory], Iterator[str]], ...] = (
@@ -143,6 +143,6 @@
 
 
 def violations(history: ConsensusHistory) -> dict[str, list[str]]:
-    """Return the violations of each invariant that does not hold, by its name."""
+    """Return the violations of each violated invariant, by the name of the invariant."""
     found = {invariant.__name__: list(invariant(history)) for invariant in INVARIANTS}
     return {name: lines[:MAX_REPORTED] for name, lines in found.items() if lines}
--- a/chutepin/testbench/checks/history.py
+++ b/chutepin/testbench/checks/history.py
@@ -1,6 +1,6 @@
-"""Histories: what was observed of members from outside, with time and member, and which faults were injected.
+"""Histories of a run: timed external observations of the members, and the injected faults.
 
-The simulator and the fault rig write the same kinds of entries, so both are checked by the same invariants."""
+The simulator and the fault rig record the same kinds of entries, so the same invariants check both."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Seen:
-    """A membership event that a member logged, about another one or itself."""
+    """A membership event that a member logged about another member or about itself."""
 
     at: float
     member: str
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Shown:
-    """What a member showed to operators: state and incarnation of each member, and the bad links."""
+    """The view that a member showed to operators: state and incarnation of each member, and the bad links."""
 
     at: float
     member: str
@@ -33,13 +33,13 @@
     links: tuple[tuple[str, str], ...]
 
     def state(self, name: str) -> str:
-        """alive, suspect, dead, left, or unknown."""
+        """Return the state of a member in this view: alive, suspect, dead, left or unknown."""
         return next((state for other, state, _ in self.states if other == name), "unknown")
 
 
 @dataclass(frozen=True, slots=True)
 class Repair:
-    """An anti-entropy exchange that a member began, with the number of records in the answer."""
+    """An anti-entropy exchange that a member initiated, with the number of records in the answer."""
 
     at: float
     member: str
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class History:
-    """All faults and observations in order of time, and the traffic."""
+    """All faults and observations of a run in order of time, and its traffic statistics."""
 
     schedule: Schedule
     done: list[Fault] = field(default_factory=list)
@@ -56,17 +56,17 @@
     shown: list[Shown] = field(default_factory=list)
     packets: int = 0  # datagrams of all members
     bytes: int = 0
-    repeats: int = 0  # of one update by one member, at the most
-    longest: int = 0  # bytes of a datagram
+    repeats: int = 0  # maximum transmissions of one update by one member
+    longest: int = 0  # bytes of the longest datagram
     repairs: list[Repair] = field(default_factory=list)
-    peak: float = 0.0  # bytes a second that one member sent in ten seconds, at the most; 0 if not counted
+    peak: float = 0.0  # maximum bytes per second that one member sent over ten seconds; 0 if not measured
 
     def last(self, member: str) -> Shown | None:
-        """Return what a member showed last."""
+        """Return the latest view of a member, or None."""
         return next((shown for shown in reversed(self.shown) if shown.member == member), None)
 
     def lines(self) -> Iterator[str]:
-        """Yield one line of JSON for each entry."""
+        """Yield each entry as a line of JSON."""
         for fault in self.done:
             yield json.dumps(["done", round(fault.at, 4), fault.what, fault.members, fault.value, fault.groups])
         for seen in self.seen:
@@ -77,12 +77,12 @@
             yield json.dumps(["shown", round(shown.at, 4), shown.member, shown.states, shown.links])
 
     def text(self) -> str:
-        """Return the history as text; in the simulator one seed gives the same text, byte for byte."""
+        """Return the history as text; in the simulator, equal seeds give byte-identical texts."""
         return "\n".join(self.lines()) + "\n"
 
 
 class Truth:
-    """The true state by the injected faults: which members run, which links work."""
+    """The ground truth that follows from the injected faults: running members and working links."""
 
     def __init__(self, schedule: Schedule) -> None:
         self._names = schedule.names()
@@ -92,32 +92,32 @@
         self.cuts: set[tuple[str, str]] = set()
         self.loss = self.delay = self.duplicate = self.tear = 0.0
 
-    def do(self, fault: Fault) -> None:
+    def apply(self, fault: Fault) -> None:
         """Apply a fault."""
-        some = set(fault.members)
+        members = set(fault.members)
         match fault.what:
             case "crash" | "leave" | "wipe":
-                self.up -= some
-                self.stopped -= some
-                for name in some:
+                self.up -= members
+                self.stopped -= members
+                for name in members:
                     self.slow.pop(name, None)
             case "restart":
-                self.up |= some
+                self.up |= members
             case "stop":
-                self.stopped |= some & self.up
+                self.stopped |= members & self.up
             case "wake":
-                self.stopped -= some
+                self.stopped -= members
             case "slow":
-                for name in some:
+                for name in members:
                     self.slow.pop(name, None)
                     if fault.value:
                         self.slow[name] = fault.value
             case "loss" | "delay" | "duplicate" | "tear":
                 setattr(self, fault.what, fault.value)
             case _:
-                self._links(fault)
+                self._apply_link_fault(fault)
 
-    def _links(self, fault: Fault) -> None:
+    def _apply_link_fault(self, fault: Fault) -> None:
         match fault.what:
             case "cut":
                 self.cuts |= {(fault.members[0], other) for other in fault.members[1:]}
@@ -132,10 +132,10 @@
                 pass
 
     def round_trip(self, a: str, b: str) -> bool:
-        """Whether a and b run and can ping and ack each other directly."""
+        """Return whether members a and b run and can exchange a direct ping and ack."""
         return {a, b} <= self.up and not {a, b} & self.stopped and not {(a, b), (b, a)} & self.cuts
 
     def reaches(self, a: str) -> set[str]:
-        """Return the members that a can probe, directly or through one helper."""
+        """Return the members that member a can probe directly or through one helper."""
         direct = {b for b in self._names if b != a and self.round_trip(a, b)}
         return direct | {c for b in direct for c in self._names if c != a and self.round_trip(b, c)}
--- a/chutepin/testbench/faults/fleet.py
+++ b/chutepin/testbench/faults/fleet.py
@@ -247,7 +247,7 @@
         for name in fault.members:
             await self._to_process(stack, self.processes[name], fault)
         done = Fault(self.now, fault.what, fault.members, fault.value, fault.groups)
-        self.truth.do(done)
+        self.truth.apply(done)
         self.history.done.append(done)
 
     async def _to_process(self, stack: AsyncExitStack, process: Process, fault: Fault) -> None:
--- a/chutepin/testbench/scale/__init__.py
+++ b/chutepin/testbench/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Scale: what membership costs and how well it works among many members, in virtual time and in real time."""
+"""Scale runs: cost and quality of membership among many members, in virtual time and in real time."""
--- a/chutepin/testbench/scale/drawing.py
+++ b/chutepin/testbench/scale/drawing.py
@@ -1,4 +1,4 @@
-"""Charts of the results that a folder holds: bytes and CPU of a member by the number of members."""
+"""Charts of the results stored in a directory: bytes and CPU time per member by the number of members."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 )
 
 
-def results(directory: Path) -> list[dict[str, Any]]:
-    """All results that were kept in a folder."""
+def load_results(directory: Path) -> list[dict[str, Any]]:
+    """Return all results stored in a directory."""
     return [result for path in sorted(directory.glob("scale-*.json")) for result in json.loads(path.read_text())]
 
 
 def draw(directory: Path) -> None:
-    """Draw all charts again from all results."""
-    found = results(directory)
+    """Redraw all charts from all results in a directory."""
+    found = load_results(directory)
     for file, title, unit, figure in CHARTS:
-        charts.lines(directory / file, title, "members", unit, _points(found, figure))
+        charts.lines(directory / file, title, "members", unit, _chart_points(found, figure))
 
 
-def _points(found: list[dict[str, Any]], figure: str) -> Points:
-    """Mean and 99th percentile by members, a line for each mode, scenario and rate of restarts."""
+def _chart_points(found: list[dict[str, Any]], figure: str) -> Points:
+    """Return mean and 99th percentile by number of members, a line for each mode, scenario and restart rate."""
     points: defaultdict[str, list[tuple[float, float]]] = defaultdict(list)
     for result in found:
         kind = f"{result['mode']}, {result['scenario']}, {result['restarts_per_s']:g} restarts/s"
--- a/chutepin/testbench/scale/messages.py
+++ b/chutepin/testbench/scale/messages.py
@@ -1,4 +1,4 @@
-"""What the coordinator of a real run and its worker processes say to each other: one JSON object a line."""
+"""Messages between the coordinator of a real run and its worker processes: one JSON value per line."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Action(Enum):
-    """What a worker does with one of its members."""
+    """An action of a worker on one of its members."""
 
     START = "start"
     LEAVE = "leave"
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """The members of a worker, and the seconds after which it ends whatever happens."""
+    """The members of a worker, and the seconds after which the worker ends in any case."""
 
     places: tuple[Place, ...]
     seconds: float
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """One action."""
+    """An instruction to a worker: an action on one member."""
 
     action: Action
     member: str
@@ -37,46 +37,46 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """What a worker reports twice a second. `traffic`: bytes so far by member, in the order of `hollow.COUNTERS`."""
+    """A worker's report, sent twice a second. `traffic`: bytes by member, in the order of `TRAFFIC_COUNTERS`."""
 
     at: float
     cpu_ns: int
-    lag: float  # seconds by which its event loop was late for this
+    lag: float  # delay of the worker's event loop for this sample in seconds
     traffic: dict[str, list[int]]
-    views: tuple[ViewSummary, ...]  # that differ from each other, of the members that run
+    views: tuple[ViewSummary, ...]  # distinct views of the running members
     running: int
-    deaths: tuple[Death, ...]  # since the last report
+    deaths: tuple[Death, ...]  # recorded since the previous sample
 
 
-def job_line(job: Job) -> str:
-    """The text of a job."""
+def encode_job(job: Job) -> str:
+    """Return a job as a line of JSON."""
     return json.dumps({"places": [place.as_json() for place in job.places], "seconds": job.seconds}) + "\n"
 
 
-def read_job(line: str) -> Job:
-    """The job of a line."""
+def parse_job(line: str) -> Job:
+    """Parse a line that holds a job."""
     raw: dict[str, Any] = json.loads(line)
     return Job(tuple(Place(**place) for place in raw["places"]), raw["seconds"])
 
 
-def command_line(command: Command) -> str:
-    """The text of a command."""
+def encode_command(command: Command) -> str:
+    """Return a command as a line of JSON."""
     return json.dumps([command.action.value, command.member]) + "\n"
 
 
-def read_command(line: str) -> Command:
-    """The command of a line."""
+def parse_command(line: str) -> Command:
+    """Parse a line that holds a command."""
     action, member = json.loads(line)
     return Command(Action(action), member)
 
 
-def sample_line(sample: Sample) -> str:
-    """The text of a sample."""
+def encode_sample(sample: Sample) -> str:
+    """Return a sample as a line of JSON."""
     return json.dumps(asdict(sample)) + "\n"
 
 
-def read_sample(line: str) -> Sample:
-    """The sample of a line."""
+def parse_sample(line: str) -> Sample:
+    """Parse a line that holds a sample."""
     raw: dict[str, Any] = json.loads(line)
     raw["views"] = tuple(ViewSummary(**view) for view in raw["views"])
     raw["deaths"] = tuple(Death(**death) for death in raw["deaths"])
--- a/chutepin/testbench/scale/places.py
+++ b/chutepin/testbench/scale/places.py
@@ -1,4 +1,4 @@
-"""Where the members of a real run are: names, loopback addresses, and the operator's file of each."""
+"""Places of the members of a real run: names, loopback addresses and operator's files."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from chutepin.testbench.scale.workload import REGIONS
 
 CLUSTER = "scale"
-MOST_NAMES = 2048  # that the operator's file allows
+MAX_MEMBERS = 2048  # upper limit of the setting `members` in the operator's file
 
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """One member: its name and number, and what its operator's file says."""
+    """A member's name, number, address and operator's file."""
 
     name: str
     number: int
@@ -22,28 +22,28 @@
     setup: str  # the text of the operator's file
 
     def as_json(self) -> dict[str, Any]:
-        """For a worker process."""
+        """Return the place as JSON for a worker process."""
         return asdict(self)
 
 
-def places(schedule: Schedule, ports: list[int]) -> list[Place]:
-    """All members of a schedule, each on a port of its own."""
+def place_members(schedule: Schedule, ports: list[int]) -> list[Place]:
+    """Return the places of all members of a schedule, each on its own port."""
     names = schedule.names()
     addresses = {name: f"127.0.0.1:{port}" for name, port in zip(names, ports, strict=True)}
     seeds = " ".join(f'"{name}={addresses[name]}"' for name in names[:REGIONS])
-    room = min(MOST_NAMES, max(64, 2 * len(names)))
+    member_limit = min(MAX_MEMBERS, max(64, 2 * len(names)))
     return [
         Place(
             name,
             number,
             addresses[name],
             f'cluster {{\n name "{CLUSTER}"\n region "{schedule.region(name)}"\n zone "{schedule.zone(name)}"\n'
-            f' listen "{addresses[name]}"\n seeds {seeds}\n members (members){room}\n}}\n',
+            f' listen "{addresses[name]}"\n seeds {seeds}\n members (members){member_limit}\n}}\n',
         )
         for number, name in enumerate(names, 1)
     ]
 
 
-def spread(names: list[str], count: int) -> set[str]:
-    """So many of the names, evenly over the list."""
+def spread_evenly(names: list[str], count: int) -> set[str]:
+    """Return `count` of the names, distributed evenly over the list."""
     return {names[number * len(names) // count] for number in range(count)}
--- a/chutepin/testbench/scale/program.py
+++ b/chutepin/testbench/scale/program.py
@@ -1,4 +1,4 @@
-"""A real program in a real run: started as an operator starts it, and seen through what it shows to operators."""
+"""Real programs in a real run: started as by an operator, and observed through the operator's interface."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 
 from chutepin.testbench.faults.fleet import Process
 from chutepin.testbench.scale.guard import cpu_ns
-from chutepin.testbench.scale.hollow import COUNTERS, Death, ViewSummary, digest_shown
+from chutepin.testbench.scale.hollow import TRAFFIC_COUNTERS, Death, ViewSummary, parse_view_digest
 from chutepin.testbench.scale.places import Place
 from chutepin.testbench.signals import kill
 from chutepin.testbench.standins.platform import eventually, free_port
 
-END_BY = 5.0  # seconds after the notice to leave
+EXIT_TIMEOUT_S = 5.0  # time for a process to end after SIGTERM
 
 
 class Program:
-    """One member. Bytes are read from the counters in its log, which it writes on SIGUSR1 and at its end."""
+    """A member that is a process. Its bytes are read from the counters that it logs on SIGUSR1 and at its end."""
 
     def __init__(self, place: Place, directory: Path) -> None:
         self.place = place
         self._directory = directory
-        self._read_up_to = 0  # bytes of its log
-        self._ended = [0] * len(COUNTERS)  # bytes of earlier lives
-        self._present = [0] * len(COUNTERS)
+        self._read_up_to = 0  # offset in the log
+        self._earlier_bytes = [0] * len(TRAFFIC_COUNTERS)  # bytes of earlier processes
+        self._current_bytes = [0] * len(TRAFFIC_COUNTERS)
         self._changes_seen = 0
-        self._cpu_ended = 0
-        self._serves = False  # it has begun to work, so that signals find their handlers
+        self._earlier_cpu_ns = 0
+        self._is_serving = False  # the process has started and has installed its signal handlers
 
     async def start(self, stack: AsyncExitStack) -> None:
-        """Start the program and what it speaks to."""
+        """Start the program and the stand-ins that it connects to."""
         self._process = Process(self.place.name, self.place.address, await free_port())
         setup = self._directory / f"{self.place.name}.kdl"
         setup.write_text(self.place.setup)
@@ -45,7 +45,7 @@
             "PYTHONOPTIMIZE": "1",
         }
         await world.start(stack, "--setup", str(setup))
-        self._serves = True
+        self._is_serving = True
 
     @property
     def _log(self) -> Path:
@@ -53,83 +53,83 @@
 
     @property
     def pid(self) -> int:
-        """Of its process; 0 if it does not run."""
+        """Return the process id, or 0 if the process does not run."""
         process = self._process.world.process
         return process.pid if process is not None and process.returncode is None else 0
 
     @property
     def running(self) -> bool:
-        """It runs and was not told to leave."""
-        return bool(self.pid) and self._serves
+        """Return whether the process runs and was not ordered to end."""
+        return bool(self.pid) and self._is_serving
 
     @property
-    def ended_unasked(self) -> bool:
-        """It has ended, and nobody had told it to."""
-        return self._serves and not self.pid
+    def ended_unexpectedly(self) -> bool:
+        """Return whether the process has ended without an order."""
+        return self._is_serving and not self.pid
 
-    # --- what is done to it ---
+    # --- actions ---
 
     def leave(self) -> None:
-        """SIGTERM."""
-        self._serves = False
+        """Send SIGTERM."""
+        self._is_serving = False
         self._process.signal(signal.SIGTERM)
 
     def crash(self) -> None:
-        """SIGKILL."""
-        self._serves = False
+        """Send SIGKILL."""
+        self._is_serving = False
         self._process.signal(signal.SIGKILL)
 
     async def restart(self) -> None:
-        """Start it once more; a process that does not end when told to is killed."""
+        """Start the program again; the previous process is killed if it does not end in time."""
         process = self._process.world.process
         assert process is not None
         try:
-            async with asyncio.timeout(END_BY):
+            async with asyncio.timeout(EXIT_TIMEOUT_S):
                 await process.wait()
         except TimeoutError:
             kill(process)
             await process.wait()
-        self._cpu_ended += self._cpu
-        self._cpu = 0
-        self.traffic()  # what it wrote at its end
-        self._ended = [old + new for old, new in zip(self._ended, self._present, strict=True)]
-        self._present, self._changes_seen = [0] * len(COUNTERS), 0
+        self._earlier_cpu_ns += self._current_cpu_ns
+        self._current_cpu_ns = 0
+        self.traffic()  # reads the counters logged at the end of the process
+        self._earlier_bytes = [old + new for old, new in zip(self._earlier_bytes, self._current_bytes, strict=True)]
+        self._current_bytes, self._changes_seen = [0] * len(TRAFFIC_COUNTERS), 0
         world = self._process.world
         joins = len(world.joins)
         await world.spawn()
         await eventually(lambda: len(world.joins) > joins)
-        self._serves = True
+        self._is_serving = True
 
-    # --- what is seen of it ---
+    # --- observations ---
 
-    _cpu = 0  # nanoseconds of the present life, when it was last looked at
+    _current_cpu_ns = 0  # nanoseconds of the current process at the last measurement
 
     def cpu_ns(self) -> int:
-        """CPU time of all its lives."""
-        self._cpu = max(self._cpu, cpu_ns(self.pid) if self.pid else 0)
-        return self._cpu_ended + self._cpu
+        """Return the CPU time of all processes of this member in nanoseconds."""
+        self._current_cpu_ns = max(self._current_cpu_ns, cpu_ns(self.pid) if self.pid else 0)
+        return self._earlier_cpu_ns + self._current_cpu_ns
 
-    def ask_for_counters(self) -> None:
-        """It writes them to its log. One that has not begun to work would be ended by the signal."""
-        if self._serves:
+    def request_counters(self) -> None:
+        """Make the process log its counters. Before its handlers are installed, SIGUSR1 would end the process."""
+        if self._is_serving:
             self._process.signal(signal.SIGUSR1)
 
     def traffic(self) -> list[int]:
-        """Bytes of all its lives as it last wrote them, in the order of `COUNTERS`."""
+        """Return the last logged bytes of all processes of this member, in the order of `TRAFFIC_COUNTERS`."""
         with open(self._log, "rb") as log:
             log.seek(self._read_up_to)
             text = log.read()
-        whole, newline, _ = text.rpartition(b"\n")
-        self._read_up_to += len(whole) + len(newline)
-        for line in whole.decode(errors="replace").splitlines():
+        complete_lines, newline, _ = text.rpartition(b"\n")
+        self._read_up_to += len(complete_lines) + len(newline)
+        for line in complete_lines.decode(errors="replace").splitlines():
             if line.startswith("chutepin: counters "):
                 values = dict(field.partition("=")[::2] for field in line.split()[2:])
-                self._present = [int(values.get(name, 0)) for name in COUNTERS.values()]
-        return [old + new for old, new in zip(self._ended, self._present, strict=True)]
+                self._current_bytes = [int(values.get(name, 0)) for name in TRAFFIC_COUNTERS.values()]
+        return [old + new for old, new in zip(self._earlier_bytes, self._current_bytes, strict=True)]
 
     async def view(self) -> ViewSummary | None:
-        """What it shows of its view; None where it shows nothing."""
-        digest = digest_shown("\n".join(await self._process.ask("view")))
+        """Return the summary of the program's view, or None if the program does not answer."""
+        digest = parse_view_digest("\n".join(await self._process.ask("view")))
         members = await self._process.ask("members")
         if not digest or not members or not members[0].startswith("SUCCESS total"):
             return None
@@ -137,7 +137,7 @@
         return ViewSummary(digest, live)
 
     async def deaths(self) -> list[Death]:
-        """The deaths that it has told of since it was last asked."""
+        """Return the deaths that the program reported since the last call."""
         found = []
         for line in (await self._process.ask("changes"))[1:-1]:
             number, age, what, subject, incarnation, *fields = line.split()
@@ -150,6 +150,6 @@
         return found
 
     async def close(self) -> None:
-        """End it."""
+        """Kill the process."""
         with contextlib.suppress(ProcessLookupError):
             await self._process.world.kill()
--- a/chutepin/testbench/scale/traffic.py
+++ b/chutepin/testbench/scale/traffic.py
@@ -1,6 +1,6 @@
-"""Counts of bytes and of CPU time for each member and second, and their statistics over members and windows.
+"""Bytes and CPU time of each member by second, and their statistics over members and windows.
 
-A byte is one of a UDP payload or of a TCP stream; headers of IP, UDP and TCP are not counted."""
+Counted are the bytes of UDP payloads and TCP streams, without the headers of IP, UDP and TCP."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from dataclasses import dataclass
 from enum import Enum
 
-WINDOW = 10.0  # seconds over which a rate is taken
+WINDOW_S = 10.0  # window over which a rate is computed
 
 
 class Direction(Enum):
-    """Whether the member sent the bytes or received them."""
+    """The direction of bytes, seen from the member."""
 
     SENT = "sent"
     RECEIVED = "received"
 
 
 class Kind(Enum):
-    """How the bytes were carried."""
+    """The transport of bytes."""
 
     DATAGRAM = "datagram"
     STREAM = "stream"
@@ -32,24 +32,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """A sample's mean and its 99th percentile."""
+    """Mean and 99th percentile of a sample."""
 
     mean: float
     p99: float
 
     def as_json(self) -> dict[str, float]:
-        """For a report."""
+        """Return the figures as JSON for a report."""
         return {"mean": round(self.mean, 3), "p99": round(self.p99, 3)}
 
 
-def quantile(values: Iterable[float], part: float) -> float:
-    """The least value that at least this part of the sample does not exceed (nearest rank); NaN of no sample."""
+def quantile(values: Iterable[float], fraction: float) -> float:
+    """Return the nearest-rank quantile at a `fraction` between 0 and 1, or NaN for an empty sample."""
     ordered = sorted(values)
-    return ordered[max(0, math.ceil(part * len(ordered)) - 1)] if ordered else math.nan
+    return ordered[max(0, math.ceil(fraction * len(ordered)) - 1)] if ordered else math.nan
 
 
-def figures(values: Sequence[float]) -> Figures:
-    """Mean and 99th percentile; NaN of no sample."""
+def summarize(values: Sequence[float]) -> Figures:
+    """Return the mean and the 99th percentile, NaN for an empty sample."""
     if not values:
         return Figures(math.nan, math.nan)
     return Figures(math.fsum(values) / len(values), quantile(values, 0.99))
@@ -57,13 +57,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """A time of measurement, in whole seconds."""
+    """A period of measurement in whole seconds, without its end."""
 
     begin: int
     end: int
 
-    def windows(self, width: float = WINDOW) -> list[Span]:
-        """The whole windows in it; the span itself where it is shorter than one."""
+    def windows(self, width: float = WINDOW_S) -> list[Span]:
+        """Return the whole windows in the span, or the span itself if it is shorter than one window."""
         step = int(width)
         if self.end - self.begin < step:
             return [self]
@@ -71,12 +71,12 @@
 
     @property
     def seconds(self) -> int:
-        """Its length."""
+        """Return the length in seconds."""
         return self.end - self.begin
 
 
 class TrafficMeter:
-    """Bytes by member, second, direction and kind; CPU seconds by member and second."""
+    """Counters of bytes by member, second, direction and kind, and of CPU time by member and second."""
 
     def __init__(self) -> None:
         self._bytes: dict[tuple[Direction, Kind], defaultdict[str, Counter[int]]] = {
@@ -85,20 +85,20 @@
         self._cpu: defaultdict[str, Counter[int]] = defaultdict(Counter)
 
     def count(self, member: str, at: float, direction: Direction, kind: Kind, size: int) -> None:
-        """Some bytes were sent or received."""
+        """Count bytes that a member sent or received."""
         self._bytes[direction, kind][member][int(at)] += size
 
-    def carried(self, sender: str, receiver: str, at: float, kind: Kind, size: int) -> None:
-        """Some bytes went from one member to another at once."""
+    def count_transfer(self, sender: str, receiver: str, at: float, kind: Kind, size: int) -> None:
+        """Count bytes that one member sent and another received at the same time."""
         self.count(sender, at, Direction.SENT, kind, size)
         self.count(receiver, at, Direction.RECEIVED, kind, size)
 
-    def spend(self, member: str, at: float, nanoseconds: int) -> None:
-        """Some CPU time was used."""
+    def count_cpu(self, member: str, at: float, nanoseconds: int) -> None:
+        """Count CPU time that a member used."""
         self._cpu[member][int(at)] += nanoseconds
 
     def total(self, direction: Direction, *kinds: Kind) -> int:
-        """Bytes of all members over all time; of all kinds if none is given."""
+        """Return the bytes of all members over the whole run; without `kinds`, of all kinds."""
         return sum(
             size
             for kind in kinds or KINDS
@@ -107,9 +107,9 @@
         )
 
     def rates(
-        self, members: Iterable[str], span: Span, direction: Direction, *kinds: Kind, width: float = WINDOW
+        self, members: Iterable[str], span: Span, direction: Direction, *kinds: Kind, width: float = WINDOW_S
     ) -> list[float]:
-        """Bytes per second of each member in each window; of all kinds if none is given."""
+        """Return bytes per second of each member in each window; without `kinds`, of all kinds."""
         tables = [self._bytes[direction, kind] for kind in kinds or KINDS]
         windows = span.windows(width)
         return [
@@ -118,15 +118,15 @@
             for window in windows
         ]
 
-    def cpu(self, members: Iterable[str], span: Span, width: float = WINDOW) -> list[float]:
-        """CPU milliseconds per second of each member in each window."""
+    def cpu(self, members: Iterable[str], span: Span, width: float = WINDOW_S) -> list[float]:
+        """Return CPU milliseconds per second of each member in each window."""
         windows = span.windows(width)
         return [
             _within(self._cpu.get(member), window) / 1e6 / window.seconds for member in members for window in windows
         ]
 
     def peak(self, span: Span, width: float) -> float:
-        """The most bytes per second, sent or received, of any member in any window of this width."""
+        """Return the maximum bytes per second, sent or received, of any member in any window of this width."""
         members = {member for table in self._bytes.values() for member in table}
         return max(
             (rate for direction in Direction for rate in self.rates(members, span, direction, width=width)), default=0.0
@@ -134,7 +134,7 @@
 
 
 def _within(seconds: Counter[int] | None, window: Span) -> int:
-    """What was counted in a window."""
+    """Return the sum of the seconds in a window."""
     if seconds is None:
         return 0
     return sum(seconds[second] for second in range(window.begin, window.end))
--- a/chutepin/testbench/scale/virtual.py
+++ b/chutepin/testbench/scale/virtual.py
@@ -1,4 +1,4 @@
-"""A scale run in the simulator: the nodes' own code in virtual time."""
+"""Scale runs in the simulator: the production node code in virtual time."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from typing import Any
 
 from chutepin.testbench.faults.schedule import Schedule
-from chutepin.testbench.scale.report import Observed, ScaleReport, commit, report
+from chutepin.testbench.scale.report import RunResult, ScaleReport, current_commit, report
 from chutepin.testbench.scale.traffic import TrafficMeter
-from chutepin.testbench.scale.workload import LINGER, REGIONS, Load, plan
+from chutepin.testbench.scale.workload import REGIONS, SHUTDOWN_S, Load, plan
 from chutepin.testbench.simulators.membership import EPOCH_MS, Simulator
 
-LOOK = 0.25  # seconds between looks at whether all views are equal
-STABLE = 5.0  # seconds for which views are equal until a run may end
-Progress = Callable[[float], None]  # takes the part of the run that is done
+VIEW_CHECK_INTERVAL_S = 0.25  # between comparisons of all views
+STABLE_VIEWS_S = 5.0  # time for which all views must stay equal before a run may end early
+Progress = Callable[[float], None]  # receives the completed fraction of the run
 
 
 class ScaleSimulator(Simulator):
-    """A simulator that looks, after the last fault, whether all views are equal."""
+    """A simulator that measures the time from the last fault until all views are equal."""
 
     def __init__(
         self, schedule: Schedule, seed: int, meter: TrafficMeter, settings: dict[str, Any], progress: Progress
@@ -29,12 +29,12 @@
         super().__init__(
             schedule,
             seed,
-            show=LOOK,
+            show=VIEW_CHECK_INTERVAL_S,
             known=True,
             seeds=REGIONS,
             settings={"members": 2 * schedule.members, **settings},
             meter=meter,
-            shutdown_s=LINGER,
+            shutdown_s=SHUTDOWN_S,
         )
         self._progress = progress
         self._last_fault = max((fault.at for fault in schedule.faults), default=0.0)
@@ -42,7 +42,7 @@
 
     @property
     def views_equal_s(self) -> float:
-        """Seconds from the last fault until views were equal and stayed so; NaN if they never did."""
+        """Return the seconds from the last fault until the views became and stayed equal, or NaN."""
         return self._equal_since - self._last_fault if self._equal_since < math.inf else math.nan
 
     def _observe(self) -> None:
@@ -53,16 +53,16 @@
             self._equal_since = math.inf
         elif self._equal_since == math.inf:
             self._equal_since = self.now
-        elif self.now >= self._equal_since + STABLE:
-            self._events.clear()  # nothing more will happen
+        elif self.now >= self._equal_since + STABLE_VIEWS_S:
+            self._events.clear()  # ends the run: the views are stable
 
     def _introduce(self) -> None:
         super()._introduce()
         gc.collect()
-        gc.freeze()  # the views of all members are too much to be looked through again and again
+        gc.freeze()  # excludes the many records of all views from further garbage collections
 
     def _views_equal(self) -> bool:
-        """All that run show the same: those that run, and no others."""
+        """Return whether the views of all running members hold exactly the running members."""
         views = [
             host.detector.view
             for host in self.hosts.values()
@@ -74,22 +74,22 @@
 def simulate(
     load: Load, progress: Progress = lambda _: None, settings: dict[str, Any] | None = None
 ) -> tuple[ScaleReport, ScaleSimulator]:
-    """Play a load; its report, and the simulator as it ended. `settings`: further fields of `ClusterSetup`."""
-    begun, text = time.monotonic(), commit()
+    """Run a load; return its report and the simulator in its final state. `settings`: fields of `ClusterSetup`."""
+    started_at, commit_id = time.monotonic(), current_commit()
     meter = TrafficMeter()
     simulator = ScaleSimulator(plan(load), load.seed, meter, settings or {}, progress)
     try:
         history = simulator.run()
     finally:
         gc.unfreeze()
-    observed = Observed(
+    result = RunResult(
         load,
         history,
         meter,
         EPOCH_MS,
         simulator.views_equal_s,
         resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
-        time.monotonic() - begun,
-        text,
+        time.monotonic() - started_at,
+        commit_id,
     )
-    return report(observed, "simulator"), simulator
+    return report(result, "simulator"), simulator
--- a/chutepin/testbench/scale/worker.py
+++ b/chutepin/testbench/scale/worker.py
@@ -1,6 +1,7 @@
-"""A process full of hollow nodes: `python -m chutepin.testbench.scale.worker`, steered over its standard input.
+"""Worker process that runs many hollow nodes: `python -m chutepin.testbench.scale.worker`.
 
-It ends with its input, and after the seconds of its job at the latest."""
+The worker reads its job and its commands from standard input. It ends at the end of the input, and at the latest after
+the seconds of its job."""
 
 from __future__ import annotations
 
@@ -9,11 +10,11 @@
 import time
 
 from chutepin.testbench.scale.hollow import Death, HollowNode, ViewSummary, platform_config
-from chutepin.testbench.scale.messages import Action, Command, Job, Sample, read_command, read_job, sample_line
+from chutepin.testbench.scale.messages import Action, Command, Job, Sample, encode_sample, parse_command, parse_job
 
-SAMPLE_EVERY = 0.5  # seconds
-START_EVERY = 0.02  # seconds between members at the start, lest the seeds are asked by all at once
-LINE = 2**24  # bytes of the longest line: a job with all its members
+SAMPLE_INTERVAL_S = 0.5
+START_INTERVAL_S = 0.02  # between starts of members, so that not all contact the seeds at once
+MAX_LINE_BYTES = 2**24  # longest line: a job with all its members
 
 
 class Worker:
@@ -25,20 +26,20 @@
         self._nodes = {place.name: HollowNode(place, config, self._deaths.append) for place in job.places}
 
     async def run(self, commands: asyncio.StreamReader) -> None:
-        """Start all, and do as told until the input ends."""
-        sampling = asyncio.ensure_future(self._sample_on())
+        """Start all nodes, and execute commands until the input ends."""
+        sampling = asyncio.ensure_future(self._write_samples())
         try:
             for node in self._nodes.values():
                 node.start()
-                await asyncio.sleep(START_EVERY)
+                await asyncio.sleep(START_INTERVAL_S)
             while line := await commands.readline():
-                self._do(read_command(line.decode()))
+                self._execute(parse_command(line.decode()))
         finally:
             sampling.cancel()
             for node in self._nodes.values():
                 node.crash()
 
-    def _do(self, command: Command) -> None:
+    def _execute(self, command: Command) -> None:
         node = self._nodes[command.member]
         match command.action:
             case Action.START:
@@ -48,14 +49,14 @@
             case Action.CRASH:
                 node.crash()
 
-    async def _sample_on(self) -> None:
+    async def _write_samples(self) -> None:
         while True:
-            due = time.monotonic() + SAMPLE_EVERY
-            await asyncio.sleep(SAMPLE_EVERY)
-            sys.stdout.write(sample_line(self._sample(time.monotonic() - due)))
+            due = time.monotonic() + SAMPLE_INTERVAL_S
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
+            sys.stdout.write(encode_sample(self._take_sample(time.monotonic() - due)))
             sys.stdout.flush()
 
-    def _sample(self, lag: float) -> Sample:
+    def _take_sample(self, lag: float) -> Sample:
         deaths = tuple(self._deaths)
         self._deaths.clear()
         running = [node for node in self._nodes.values() if node.running]
@@ -72,10 +73,10 @@
 
 
 async def main() -> None:
-    """Work until the input ends."""
-    commands = asyncio.StreamReader(limit=LINE)
+    """Run the worker until its input ends or the time of its job is over."""
+    commands = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await asyncio.get_running_loop().connect_read_pipe(lambda: asyncio.StreamReaderProtocol(commands), sys.stdin)
-    job = read_job((await commands.readline()).decode())
+    job = parse_job((await commands.readline()).decode())
     async with asyncio.timeout(job.seconds):
         await Worker(job).run(commands)
 
--- a/chutepin/testbench/simulators/__init__.py
+++ b/chutepin/testbench/simulators/__init__.py
@@ -1,1 +1,1 @@
-"""The nodes' own code in virtual time, under a schedule of faults."""
+"""Simulators that run the production node code in virtual time under a fault schedule."""
--- a/chutepin/testbench/simulators/consensus.py
+++ b/chutepin/testbench/simulators/consensus.py
@@ -1,7 +1,10 @@
-"""A consensus group in virtual time: the node's own participant, journal and identity on simulated disks and links.
+"""Simulator of a consensus group in virtual time.
 
-One seed gives one history, byte for byte. A crash loses what the store had not acknowledged, except for a random prefix
-of it. Each message has its own delay, so messages overtake each other, which those of a connection do not."""
+The production participant, journal and identity run on simulated disks and links.
+
+Runs are deterministic: equal seeds give byte-identical histories. A crash discards the writes that the store has not
+acknowledged, except for a random prefix of them. Each message has its own delay, so messages can be reordered, which
+a real connection does not do."""
 
 from __future__ import annotations
 
@@ -34,16 +37,16 @@
     max_log_bytes=32768,
     retained_bytes=3000,
 )
-SNAPSHOT_AFTER_BYTES = 2500  # committed, after which a snapshot is taken
+SNAPSHOT_AFTER_BYTES = 2500  # committed bytes after which a participant takes a snapshot
 WRITE_DURATION_S = (0.001, 0.006)
 LINK_DELAY_S = (0.0003, 0.002)
 REQUEST_TIMEOUT_S = 3.0
 ANNOUNCE_INTERVAL_S = 0.3
-KEY_COUNT = 4  # keys that clients set and read
+KEY_COUNT = 4  # number of distinct keys that clients set and read
 
 
 class Simulator:
-    """One run."""
+    """One simulated run of a consensus group under a fault schedule."""
 
     def __init__(
         self,
@@ -58,9 +61,10 @@
         settings: RaftSettings = SETTINGS,
         write: tuple[float, float] = WRITE_DURATION_S,
     ) -> None:
-        """`every`: seconds between requests, on average; `changes`: between changes of voters (0: none).
+        """Initialize the simulator.
 
-        `wire`: messages are encoded and decoded."""
+        `every`: mean seconds between client requests. `changes`: mean seconds between changes of the voter set (0:
+        none). `wire`: encode and decode every message. `write`: range of the duration of a disk write in seconds."""
         self.schedule, self._parts, self._every, self._changes, self._wire = schedule, parts, every, changes, wire
         self._settings, self._write = settings, write
         self._rng = random.Random(seed)
@@ -68,34 +72,34 @@
         self.truth = Truth(schedule)
         self.history = ConsensusHistory()
         self._events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self._count, self._values = itertools.count(), itertools.count()
+        self._event_numbers, self._value_numbers = itertools.count(), itertools.count()
         self.hosts = {name: SimulatedHost(name) for name in schedule.names()}
         self.voters = tuple(schedule.names()[:voters])
         self.messages = self.writes = 0
 
-    def _at(self, at: float, work: Callable[..., None], *arguments: Any) -> None:
-        heapq.heappush(self._events, (at, next(self._count), work, arguments))
+    def _schedule_event(self, at: float, callback: Callable[..., None], *arguments: Any) -> None:
+        heapq.heappush(self._events, (at, next(self._event_numbers), callback, arguments))
 
     def run(self) -> ConsensusHistory:
-        """Play the schedule under requests of clients; return the history."""
+        """Run the schedule with client requests and return the history."""
         for host in self.hosts.values():
             self._start(host)
         for fault in self.schedule.faults:
-            self._at(fault.at, self._fault, fault)
-        self._at(1.0, self._issue_request)
+            self._schedule_event(fault.at, self._inject_fault, fault)
+        self._schedule_event(1.0, self._issue_request)
         if self._changes:
-            self._at(5.0, self._change_membership)
+            self._schedule_event(5.0, self._change_membership)
         last = max((fault.at for fault in self.schedule.faults), default=0.0)
         self.history.settled_at = max(last, 5.0) + 10.0
-        still = 0
+        events_without_progress = 0
         while self._events:
-            at, _, work, arguments = heapq.heappop(self._events)
+            at, _, callback, arguments = heapq.heappop(self._events)
             if at > self.schedule.seconds:
                 break
-            still = still + 1 if at <= self.now else 0
-            assert still < 20_000, "time stands still"
+            events_without_progress = events_without_progress + 1 if at <= self.now else 0
+            assert events_without_progress < 20_000, "virtual time does not advance"
             self.now = max(self.now, at)
-            work(*arguments)
+            callback(*arguments)
         return self.history
 
     def _start(self, host: SimulatedHost) -> None:
@@ -113,7 +117,7 @@
         self._announce(host, host.incarnation)
 
     def _write_identity(self, host: SimulatedHost) -> None:
-        """Write the identity, durable at once."""
+        """Write the identity to the disk and sync it immediately."""
         assert host.identity is not None
         identity = host.identity
         host.disk.write(
@@ -133,7 +137,7 @@
             return
         for name in host.identity.awaited:
             self._send(host, name, StoreAnnouncement(host.name, host.identity.store_id))
-        self._at(self.now + ANNOUNCE_INTERVAL_S, self._announce, host, incarnation)
+        self._schedule_event(self.now + ANNOUNCE_INTERVAL_S, self._announce, host, incarnation)
 
     def _join(self, host: SimulatedHost) -> None:
         assert host.identity is not None
@@ -152,10 +156,10 @@
             self._settings,
             self._parts.raft,
         )
-        self._pump(host)
+        self._process_effects(host)
 
-    def _fault(self, fault: Fault) -> None:
-        self.truth.do(fault)
+    def _inject_fault(self, fault: Fault) -> None:
+        self.truth.apply(fault)
         self.history.disturbances.append(self.now)
         for name in fault.members if fault.what in ("crash", "leave", "restart", "wake", "wipe") else ():
             host = self.hosts[name]
@@ -178,7 +182,7 @@
             (frozen_share := self.truth.slow.get(host.name, 0.0)) > 0 and self.now % 1.0 < frozen_share
         )
 
-    def _pump(self, host: SimulatedHost) -> None:
+    def _process_effects(self, host: SimulatedHost) -> None:
         member = host.participant
         if member is None or host.busy:
             return
@@ -200,26 +204,26 @@
                     self._carry_out(host, queue)
                     queue = []
                 done = self.now + self._rng.uniform(*self._write)
-                self._at(done, self._written, host, host.incarnation, len(operations), queue)
+                self._schedule_event(done, self._on_write_completed, host, host.incarnation, len(operations), queue)
                 break
             self._carry_out(host, queue)
-        self._arm(host)
+        self._schedule_tick(host)
 
-    def _arm(self, host: SimulatedHost) -> None:
+    def _schedule_tick(self, host: SimulatedHost) -> None:
         assert host.participant is not None
         host.timer += 1
-        self._at(max(self.now + 0.0005, host.participant.next_deadline()), self._tick, host, host.timer)
+        self._schedule_event(max(self.now + 0.0005, host.participant.next_deadline()), self._tick, host, host.timer)
 
-    def _written(self, host: SimulatedHost, incarnation: int, count: int, queue: list[Effect]) -> None:
+    def _on_write_completed(self, host: SimulatedHost, incarnation: int, count: int, queue: list[Effect]) -> None:
         if host.incarnation != incarnation:
             return
         host.disk.sync(count)
-        if self._is_frozen(host):  # the disk has it, the process does not know yet
-            self._at(self.now + 0.05, self._written, host, incarnation, 0, queue)
+        if self._is_frozen(host):  # the write is durable; the frozen process handles its completion later
+            self._schedule_event(self.now + 0.05, self._on_write_completed, host, incarnation, 0, queue)
             return
         host.busy = False
         self._carry_out(host, queue)
-        self._pump(host)
+        self._process_effects(host)
 
     def _carry_out(self, host: SimulatedHost, queue: list[Effect]) -> None:
         member = host.participant
@@ -260,14 +264,14 @@
             return
         if self._is_frozen(host):
             if host.name not in self.truth.stopped:
-                self._at(int(self.now) + self.truth.slow[host.name] + 0.001, self._tick, host, timer)
+                self._schedule_event(int(self.now) + self.truth.slow[host.name] + 0.001, self._tick, host, timer)
             return
         member = host.participant
         member.set_alive(tuple(sorted(self.truth.up)))
         member.tick(self.now)
-        self._pump(host)
+        self._process_effects(host)
         if host.busy:
-            self._arm(host)
+            self._schedule_tick(host)
 
     def _send(self, host: SimulatedHost, to: str, message: WireMessage) -> None:
         assert host.identity is not None
@@ -280,23 +284,23 @@
         for _ in range(1 + (self._rng.random() < self.truth.duplicate)):
             if self._rng.random() >= self.truth.loss:
                 delay = self._rng.uniform(*LINK_DELAY_S) + self.truth.delay * self._rng.random()
-                self._at(self.now + delay, self._arrive, target, host.identity.identity, message)
+                self._schedule_event(self.now + delay, self._deliver, target, host.identity.identity, message)
 
-    def _arrive(self, host: SimulatedHost, sender: str, message: WireMessage) -> None:
+    def _deliver(self, host: SimulatedHost, sender: str, message: WireMessage) -> None:
         if host.name not in self.truth.up:
             return
         if self._is_frozen(host):
             if len(host.waiting) < 256:
                 host.waiting.append((sender, message))
             if host.name not in self.truth.stopped:
-                self._at(int(self.now) + self.truth.slow[host.name] + 0.001, self._thaw, host)
+                self._schedule_event(int(self.now) + self.truth.slow[host.name] + 0.001, self._on_thaw, host)
             return
         self._receive(host, sender, message)
 
-    def _thaw(self, host: SimulatedHost) -> None:
+    def _on_thaw(self, host: SimulatedHost) -> None:
         messages, host.waiting = host.waiting, []
         for sender, message in messages:
-            self._arrive(host, sender, message)
+            self._deliver(host, sender, message)
 
     def _receive(self, host: SimulatedHost, sender: str, message: WireMessage) -> None:
         if isinstance(message, StoreAnnouncement | StoreAcknowledgement):
@@ -304,7 +308,7 @@
         elif host.participant is not None and not isinstance(message, Hello):
             host.participant.directory.record(sender, 1)
             host.participant.receive(self.now, sender, message)
-            self._pump(host)
+            self._process_effects(host)
 
     def _receive_identity(
         self, host: SimulatedHost, sender: str, message: StoreAnnouncement | StoreAcknowledgement
@@ -320,20 +324,20 @@
             self._send(host, sender, answer)
 
     def _issue_request(self) -> None:
-        self._at(self.now + self._every * 2 * self._rng.random(), self._issue_request)
+        self._schedule_event(self.now + self._every * 2 * self._rng.random(), self._issue_request)
         if self.truth.loss or self.truth.slow or self.truth.delay:
             self.history.disturbances.append(self.now)
         name = self._rng.choice(list(self.hosts))
         if self.now <= self.schedule.seconds - REQUEST_TIMEOUT_S - 1.0:
-            self._request(self.hosts[name], self._rng.choice(("set", "set", "get")))
+            self._issue_request_to(self.hosts[name], self._rng.choice(("set", "set", "get")))
 
-    def _request(self, host: SimulatedHost, operation: str) -> None:
+    def _issue_request_to(self, host: SimulatedHost, operation: str) -> None:
         member = host.participant
         if member is None or self._is_frozen(host):
             return
         name = f"k{self._rng.randrange(KEY_COUNT)}"
         request = ClientRequest(
-            operation, host.name, name, f"v{next(self._values)}" if operation == "set" else "", self.now
+            operation, host.name, name, f"v{next(self._value_numbers)}" if operation == "set" else "", self.now
         )
         self.history.requests.append(request)
         if operation == "get":
@@ -345,12 +349,12 @@
             data = pack_assignment(name, request.value.encode())
             ticket = member.propose(self.now, id, data, self.now + REQUEST_TIMEOUT_S)
             host.tickets[ticket] = lambda outcome: self._proposal_completed(host, request, id, data, outcome)
-        self._pump(host)
+        self._process_effects(host)
 
     def _read_completed(self, host: SimulatedHost, request: ClientRequest, outcome: Outcome) -> None:
         if outcome.state is OutcomeState.COMMITTED and host.participant is not None:
             stored = host.machine.values.get(request.key)
-            request.up_to_index = host.participant.state.applied_index  # it may show more than the read asked for
+            request.up_to_index = host.participant.state.applied_index  # may be newer than the index of the read
             if stored is not None:
                 request.value, request.at_index, request.times_set = (
                     stored.value.decode(),
@@ -362,30 +366,32 @@
     def _proposal_completed(
         self, host: SimulatedHost, request: ClientRequest, id: bytes, data: bytes, outcome: Outcome
     ) -> None:
-        """Record the outcome; a client that does not know it retries, in half of the cases at another node."""
+        """Record the outcome; on an unknown outcome the client retries, in half of the cases at a random node."""
         if outcome.state is OutcomeState.UNKNOWN and request.began < self.schedule.seconds - 4 * REQUEST_TIMEOUT_S:
             other = host if self._rng.random() < 0.5 else self._rng.choice(list(self.hosts.values()))
-            self._at(self.now + 0.5 * self._rng.random(), self._retry, other, request, id, data)
+            self._schedule_event(self.now + 0.5 * self._rng.random(), self._retry, other, request, id, data)
             return
         request.ended, request.outcome, request.at_index = self.now, outcome.state.name.lower(), outcome.at_index
 
     def _retry(self, host: SimulatedHost, request: ClientRequest, id: bytes, data: bytes) -> None:
         member = host.participant
         if member is None or self._is_frozen(host):
-            self._at(self.now + 1.0, self._retry, self._rng.choice(list(self.hosts.values())), request, id, data)
+            self._schedule_event(
+                self.now + 1.0, self._retry, self._rng.choice(list(self.hosts.values())), request, id, data
+            )
             return
         void = self._rng.random() < 0.3
         ticket = member.propose(
             self.now, id, b"" if void else data, self.now + REQUEST_TIMEOUT_S, repeated=True, void=void
         )
         host.tickets[ticket] = lambda outcome: self._proposal_completed(host, request, id, data, outcome)
-        self._pump(host)
+        self._process_effects(host)
 
     def _change_membership(self) -> None:
-        """Have an operator add or remove a voter."""
+        """Add or remove a voter, as an operator would."""
         if self.now > self.history.settled_at - 5.0:
-            return  # the history must settle: also a leadership transfer rejects proposals for a moment
-        self._at(self.now + self._changes * (0.5 + self._rng.random()), self._change_membership)
+            return  # the group must settle: a leadership transfer, too, rejects proposals for a moment
+        self._schedule_event(self.now + self._changes * (0.5 + self._rng.random()), self._change_membership)
         for host in self.hosts.values():
             member = host.participant
             if member is None or member.raft.role is not Role.LEADER or self._is_frozen(host):
@@ -403,11 +409,11 @@
             if len(new.voters) < 3:
                 continue
             try:
-                if member.name not in new.voters:  # a leader transfers its leadership first
+                if member.name not in new.voters:  # a leader transfers its leadership before it is removed
                     member.transfer_leadership(self.now, next(iter(member.raft.voters_by_lag())))
                 else:
                     member.change_membership(self.now, new)
             except RejectedError:
                 continue
             self.history.disturbances.append(self.now)
-            self._pump(host)
+            self._process_effects(host)
--- a/chutepin/testbench/simulators/consensus_hosts.py
+++ b/chutepin/testbench/simulators/consensus_hosts.py
@@ -1,4 +1,4 @@
-"""The machines of a simulated consensus group: their disks, and what runs on them."""
+"""Simulated hosts of a consensus group, their disks, and the product types that run on them."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 
 
 class Disk:
-    """The store's promise: after a crash what was acknowledged is there, and a prefix of the other writes."""
+    """A disk with the store's guarantee: acknowledged writes and a prefix of the pending ones survive a crash."""
 
     def __init__(self) -> None:
         self.durable: dict[bytes, bytes] = {}
         self.pending: list[Operation] = []
 
     def get(self, key: bytes) -> bytes | None:
-        """Return a durable value."""
+        """Return the durable value of a key, or None."""
         return self.durable.get(key)
 
     def write(self, operations: list[Operation]) -> None:
-        """Write; not durable before `sync`."""
+        """Append operations to the pending writes, which become durable on `sync`."""
         self.pending += operations
 
     def sync(self, count: int) -> None:
-        """Make the oldest pending writes durable."""
+        """Make the `count` oldest pending writes durable."""
         for key, value in self.pending[:count]:
             if value is None:
                 self.durable.pop(key, None)
@@ -41,13 +41,13 @@
         del self.pending[:count]
 
     def crash(self, rng: random.Random) -> None:
-        """End the process or the power: a random prefix of the pending writes survives."""
+        """Simulate a process crash or power loss: a random prefix of the pending writes survives."""
         self.sync(rng.randint(0, len(self.pending)))
         self.pending.clear()
 
 
 class SimulatedHost:
-    """One machine: its disk stays, all else is of one incarnation of the process."""
+    """A machine: the disk survives restarts, all other state belongs to one incarnation of the process."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -60,19 +60,19 @@
         self.busy = False
         self.incarnation = 0
         self.timer = 0
-        self.waiting: list[tuple[str, WireMessage]] = []  # messages that came while it was stopped
+        self.waiting: list[tuple[str, WireMessage]] = []  # messages received while the process was frozen
         self.tickets: dict[int, Callable[[Outcome], None]] = {}
 
 
 @dataclass(frozen=True, slots=True)
 class Parts:
-    """The types that a run is made of; a mutation takes the place of one."""
+    """The product types that a run uses; mutation tests replace one of them."""
 
     raft: type[RaftNode] = RaftNode
     participant: type[Participant] = Participant
     journal: type[Journal] = Journal
     identity: type[Identity] = Identity
-    acknowledges_early: bool = False  # effects behind a write are carried out before it is durable
+    acknowledges_early: bool = False  # mutation: effects that depend on a write are executed before it is durable
 
 
 PRODUCT_PARTS = Parts()
--- a/chutepin/testbench/simulators/heartbeat_baseline.py
+++ b/chutepin/testbench/simulators/heartbeat_baseline.py
@@ -1,6 +1,6 @@
-"""Heartbeats of each to each with a fixed time-out, a failure detector for comparison.
+"""Baseline failure detector for comparison: all-to-all heartbeats with a fixed timeout.
 
-It has the detector's interface, so that the simulator runs it under the same faults."""
+The baseline implements the interface of `Detector`, so the simulator runs both under the same faults."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from chutepin.cluster.records import Status
 from chutepin.config.cluster import ClusterSetup
 
-INTERVAL_S = 0.5  # as the probes of the detector
-TIMEOUT_S = 3.0  # in which the detector is to detect a crash
+INTERVAL_S = 0.5  # equal to the probe interval of the detector
+TIMEOUT_S = 3.0  # time within which the detector must detect a crash
 
 
-class Heartbeats(Detector):
-    """A member that sends heartbeats to all others."""
+class HeartbeatDetector(Detector):
+    """A detector that sends heartbeats to all other members."""
 
     def __init__(self, setup: ClusterSetup, name: str, incarnation: int, now: float, rng: random.Random) -> None:
         super().__init__(setup, name, incarnation, now, rng)
-        self._next = now + INTERVAL_S * rng.random()
+        self._next_heartbeat_at = now + INTERVAL_S * rng.random()
 
     def receive(self, now: float, packet: Packet, stream: bool = False) -> None:
-        """Note that the sender is alive."""
+        """Record that the sender is alive."""
         member = self.view.table.members.get(packet.sender.name)
         if member is None:
             return
@@ -35,8 +35,8 @@
             )
 
     def tick(self, now: float) -> None:
-        """Send heartbeats, and declare members dead that were not heard within the time-out."""
-        self._next = now + INTERVAL_S
+        """Send heartbeats, and declare members dead whose last heartbeat is older than the timeout."""
+        self._next_heartbeat_at = now + INTERVAL_S
         for name, member in self.view.table.members.items():
             self.send_queue.send(name, Gossip())
             if member.record.live and now - max(member.last_heard, 0.0) > TIMEOUT_S:
@@ -45,11 +45,11 @@
             self.view.queue.remove(self.view.table.members[name].record)
 
     def wake_at(self) -> float:
-        """Return when the next heartbeats are due."""
-        return self._next
+        """Return the time at which the next heartbeats are due."""
+        return self._next_heartbeat_at
 
     def drain_effects(self) -> list[Effect]:
-        """Return the effects; heartbeats carry no updates."""
+        """Return the pending effects, with datagrams replaced by heartbeats without updates."""
         return [
             effect
             if not isinstance(effect, Send)
--- a/chutepin/testbench/simulators/membership.py
+++ b/chutepin/testbench/simulators/membership.py
@@ -1,7 +1,8 @@
-"""A simulator: the detector in virtual time under a schedule of faults. One seed gives one history, byte for byte.
+"""Simulator of the failure detector in virtual time under a fault schedule.
 
-The network is modelled link by link: delay, loss, duplication, cuts. A stopped member neither reads nor fires timers;
-its datagrams wait in a buffer of bounded size. An exchange over TCP works where both directions do."""
+Runs are deterministic: equal seeds give byte-identical histories. The network model has delay, loss, duplication and
+cuts for each link. A stopped member neither reads datagrams nor fires timers; its datagrams wait in a bounded buffer.
+A TCP exchange succeeds only if the link works in both directions."""
 
 from __future__ import annotations
 
@@ -24,82 +25,82 @@
 from chutepin.testbench.faults.schedule import Fault, Schedule
 from chutepin.testbench.scale.traffic import Direction, Kind, Span, TrafficMeter
 
-BUFFER_DATAGRAMS = 256  # of a stopped member
-LENGTH_BYTES = 4  # before a frame over TCP
-MAX_PACKETS_PER_SECOND = 500  # of each member, on average; beyond that the run ends
-EPOCH_MS = 1_700_000_000_000  # where the system's clocks begin
+BUFFER_DATAGRAMS = 256  # receive buffer of a stopped member
+LENGTH_BYTES = 4  # length prefix of a TCP frame
+MAX_PACKETS_PER_SECOND = 500  # mean per member; the run ends when it is exceeded
+EPOCH_MS = 1_700_000_000_000  # Unix time of the hosts' system clocks at virtual time 0
 
-Make = Callable[[ClusterSetup, str, int, float, random.Random], Detector]
+DetectorFactory = Callable[[ClusterSetup, str, int, float, random.Random], Detector]
 
 
 class _Host:
-    """The machine of one member."""
+    """The simulated machine of one member."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.detector: Detector | None = None
         self.waiting: deque[Packet] = deque(maxlen=BUFFER_DATAGRAMS)
-        self.timer = 0  # the number of the timer that counts
-        self.clock = 0.0  # seconds by which the system's clock is off
+        self.timer = 0  # number of the latest timer; older timers are ignored
+        self.clock = 0.0  # offset of the system clock in seconds
         self.persisted = 0
 
 
 class WireMeter:
-    """Counts the bytes and the CPU time of members in a `TrafficMeter`; without one it does nothing."""
+    """Recorder of the members' bytes and CPU time in a `TrafficMeter`; without a meter all methods do nothing."""
 
     def __init__(self, meter: TrafficMeter | None, cluster: bytes) -> None:
         self._meter = meter
         self._cluster = cluster
 
     def cpu_ns(self) -> int:
-        """Return the CPU time so far in nanoseconds, if it is counted."""
+        """Return the CPU time of this process in nanoseconds, or 0 without a meter."""
         return time.process_time_ns() if self._meter is not None else 0
 
-    def spend(self, member: str, now: float, began: int) -> None:
-        """Count the CPU time that a member has used since `began`."""
+    def count_cpu(self, member: str, now: float, began: int) -> None:
+        """Record the CPU time used by a member since `began`."""
         if self._meter is not None:
-            self._meter.spend(member, now, time.process_time_ns() - began)
+            self._meter.count_cpu(member, now, time.process_time_ns() - began)
 
     def datagram_sent(self, member: str, now: float, packet: Packet) -> bytes:
-        """Count a datagram that a member sends, and return its frame; empty without a meter."""
+        """Record a datagram sent by a member and return its frame; empty without a meter."""
         if self._meter is None:
             return b""
         began = self.cpu_ns()
         frame = encode(packet, self._cluster)
-        self.spend(member, now, began)
+        self.count_cpu(member, now, began)
         self._meter.count(member, now, Direction.SENT, Kind.DATAGRAM, len(frame))
         return frame
 
     def datagram_read(self, member: str, now: float, frame: bytes) -> None:
-        """Count a datagram that a member reads, and the CPU time of decoding it."""
+        """Record a datagram read by a member and the CPU time of decoding it."""
         if self._meter is None:
             return
         self._meter.count(member, now, Direction.RECEIVED, Kind.DATAGRAM, len(frame))
         began = self.cpu_ns()
         decode(frame, self._cluster, False)
-        self.spend(member, now, began)
+        self.count_cpu(member, now, began)
 
     def stream(self, sender: str, receiver: str, now: float, packet: Packet) -> None:
-        """Count one direction of an exchange over TCP, and the CPU time of encoding and decoding it."""
+        """Record one direction of a TCP exchange and the CPU time of encoding and decoding its frame."""
         if self._meter is None:
             return
         began = self.cpu_ns()
         frame = stream_frame(packet, self._cluster)
-        self.spend(sender, now, began)
-        self._meter.carried(sender, receiver, now, Kind.STREAM, len(frame))
+        self.count_cpu(sender, now, began)
+        self._meter.count_transfer(sender, receiver, now, Kind.STREAM, len(frame))
         began = self.cpu_ns()
         decode(frame[LENGTH_BYTES:], self._cluster, True)
-        self.spend(receiver, now, began)
+        self.count_cpu(receiver, now, began)
 
 
 class Simulator:
-    """One run of a schedule."""
+    """One simulated run of a cluster under a fault schedule."""
 
     def __init__(
         self,
         schedule: Schedule,
         seed: int,
-        make: Make = Detector,
+        make: DetectorFactory = Detector,
         *,
         wire: bool = False,
         show: float = 1.0,
@@ -111,12 +112,12 @@
         meter: TrafficMeter | None = None,
         shutdown_s: float = 0.0,
     ) -> None:
-        """`wire`: encode and decode every packet.
+        """Initialize the simulator.
 
-        `show`: seconds between observations of what members show. `persistent`: incarnations are stored. `delay`:
-        seconds of a link at the most. `known`: all know each other from the start, which saves the joining of many.
-        `meter`: counts the bytes of datagrams and exchanges and the CPU time of each member; it does not change the
-        history. `shutdown_s`: for which a member that leaves goes on."""
+        `wire`: encode and decode every packet. `show`: seconds between recorded views. `delay`: maximum link delay in
+        seconds. `persistent`: hosts store incarnations. `known`: every view holds all members from the start, which
+        saves the join phase of a large cluster. `meter`: counts the bytes of datagrams and exchanges and the CPU time
+        of each member, without an effect on the history. `shutdown_s`: seconds that a member runs after leaving."""
         self.schedule = schedule
         self._make = make
         self._wire = wire
@@ -135,7 +136,7 @@
         self._cluster = cluster_id("fleet")
         self._wire_meter = WireMeter(meter, self._cluster)
         self._events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self._count = itertools.count()
+        self._event_numbers = itertools.count()
         self.hosts = {name: _Host(name) for name in schedule.names()}
         self._by_address = {self._address(name): host for name, host in self.hosts.items()}
         self._sent_updates: Counter[tuple[str, Any]] = Counter()
@@ -145,30 +146,30 @@
     def _address(name: str) -> str:
         return f"10.0.0.{name[1:]}:7301"
 
-    def _at(self, at: float, work: Callable[..., None], *arguments: Any) -> None:
-        heapq.heappush(self._events, (at, next(self._count), work, arguments))
+    def _schedule_event(self, at: float, callback: Callable[..., None], *arguments: Any) -> None:
+        heapq.heappush(self._events, (at, next(self._event_numbers), callback, arguments))
 
     def run(self) -> History:
-        """Play the schedule and return the history."""
+        """Run the schedule and return the history."""
         for number, name in enumerate(self.hosts):
-            self._at(0.0 if self.schedule.together else 0.2 * number, self._start, name)
+            self._schedule_event(0.0 if self.schedule.together else 0.2 * number, self._start, name)
         for fault in self.schedule.faults:
-            self._at(fault.at, self._fault, fault)
+            self._schedule_event(fault.at, self._inject_fault, fault)
         at = self._show
         while at <= self.schedule.seconds:
-            self._at(at, self._observe)
+            self._schedule_event(at, self._observe)
             at += self._show
-        still = 0
+        events_without_progress = 0
         if self._known:
-            self._at(0.0, self._introduce)
+            self._schedule_event(0.0, self._introduce)
         while self._events:
-            at, _, work, arguments = heapq.heappop(self._events)
+            at, _, callback, arguments = heapq.heappop(self._events)
             if at > self.schedule.seconds:
                 break
-            still = still + 1 if at <= self.now else 0
-            assert still < 100_000, "time stands still: a member asks to be woken again and again"
+            events_without_progress = events_without_progress + 1 if at <= self.now else 0
+            assert events_without_progress < 100_000, "virtual time does not advance: a timer is always due"
             self.now = at
-            work(*arguments)
+            callback(*arguments)
         self.history.repeats = max(self._sent_updates.values(), default=0)
         if self._meter is not None:
             span = Span(0, int(self.schedule.seconds))
@@ -190,7 +191,7 @@
         self._carry_out(host, None)
 
     def _introduce(self) -> None:
-        """Let all members know all others."""
+        """Fill the view of every member with all other members."""
         records = [host.detector.me for host in self.hosts.values() if host.detector is not None]
         for host in self.hosts.values():
             if host.detector is not None:
@@ -199,8 +200,8 @@
                     if record.name != host.name:
                         host.detector.view.table.put(self.now, record)
 
-    def _fault(self, fault: Fault) -> None:
-        self.truth.do(fault)
+    def _inject_fault(self, fault: Fault) -> None:
+        self.truth.apply(fault)
         self.history.done.append(fault)
         for name in fault.members if fault.what in ("crash", "leave", "restart", "wake", "clock") else ():
             host = self.hosts[name]
@@ -215,22 +216,22 @@
                     host.detector.leave(self.now)
                     self._carry_out(host, None)
                 if fault.what == "leave" and self._shutdown_s:
-                    self._at(self.now + self._shutdown_s, self._terminate, host, host.detector)
+                    self._schedule_event(self.now + self._shutdown_s, self._terminate, host, host.detector)
                 else:
                     host.detector = None
 
     def _terminate(self, host: _Host, detector: Detector) -> None:
-        """End a process that has left."""
+        """End the process of a member after its leave."""
         if host.detector is detector:
             host.detector = None
 
     def _resume(self, host: _Host) -> None:
-        """Resume a member: it reads what waited, then its timer fires, late."""
+        """Resume a member: deliver the buffered datagrams, then fire its overdue timer."""
         while host.waiting and host.detector is not None:
             self._receive(host, host.waiting.popleft(), False)
         self._tick(host, host.timer)
 
-    def _frozen(self, host: _Host) -> bool:
+    def _is_frozen(self, host: _Host) -> bool:
         return host.name in self.truth.stopped or (
             (share := self.truth.slow.get(host.name, 0.0)) > 0 and self.now % 1.0 < share
         )
@@ -238,25 +239,25 @@
     def _tick(self, host: _Host, timer: int) -> None:
         if host.detector is None or timer != host.timer:
             return
-        if self._frozen(host):
+        if self._is_frozen(host):
             if host.name not in self.truth.stopped:
-                self._at(self._thaws(host), self._resume, host)
+                self._schedule_event(self._thaw_time(host), self._resume, host)
             return
         began = self._wire_meter.cpu_ns()
         host.detector.tick(self.now)
-        self._wire_meter.spend(host.name, self.now, began)
+        self._wire_meter.count_cpu(host.name, self.now, began)
         self._carry_out(host, None)
 
-    def _thaws(self, host: _Host) -> float:
+    def _thaw_time(self, host: _Host) -> float:
         return int(self.now) + self.truth.slow[host.name] + 1e-6
 
     def _receive(self, host: _Host, packet: Packet, stream: bool) -> Packet | None:
-        """Deliver a packet to a member; return the answer to one over TCP."""
+        """Deliver a packet to a member; return the answer if the packet arrived over TCP."""
         if host.detector is None:
             return None
         began = self._wire_meter.cpu_ns()
         host.detector.receive(self.now, packet, stream)
-        self._wire_meter.spend(host.name, self.now, began)
+        self._wire_meter.count_cpu(host.name, self.now, began)
         return self._carry_out(host, packet if stream else None)
 
     def _carry_out(self, host: _Host, stream: Packet | None) -> Packet | None:
@@ -265,14 +266,14 @@
         answer = None
         began = self._wire_meter.cpu_ns()
         effects, due = detector.drain_effects(), detector.wake_at()
-        self._wire_meter.spend(host.name, self.now, began)
+        self._wire_meter.count_cpu(host.name, self.now, began)
         for effect in effects:
-            answer = self._effect(host, effect) or answer
+            answer = self._carry_out_effect(host, effect) or answer
         host.timer += 1
-        self._at(max(self.now, due), self._tick, host, host.timer)
+        self._schedule_event(max(self.now, due), self._tick, host, host.timer)
         return answer if stream is not None else None
 
-    def _effect(self, host: _Host, effect: Effect) -> Packet | None:
+    def _carry_out_effect(self, host: _Host, effect: Effect) -> Packet | None:
         match effect:
             case Send():
                 self._send(host, effect)
@@ -302,31 +303,33 @@
         if send.stream:
             if self.truth.round_trip(host.name, target.name):
                 at = self.now + self._transit_time() * 3 + self.truth.loss * self._rng.random()
-                self._at(at, self._exchange, host, target, send.packet)
+                self._schedule_event(at, self._exchange, host, target, send.packet)
             return
         self.history.packets += 1
         if self.history.packets > MAX_PACKETS_PER_SECOND * self.schedule.members * self.schedule.seconds:
-            self._events.clear()  # the run ends; the invariant of traffic reports it
+            self._events.clear()  # ends the run; the invariant traffic_is_bounded reports the excess
         self.sent[host.name] += 1
         for update in send.packet.updates:
-            if self._says_alive(update) and isinstance(send.packet.body, Gossip):
+            if self._is_alive_update(update) and isinstance(send.packet.body, Gossip):
                 self._sent_updates[host.name, update] += 1
         frame = self._wire_meter.datagram_sent(host.name, self.now, send.packet)
         if (host.name, target.name) in self.truth.cuts:
             return
         for _ in range(1 + (self._rng.random() < self.truth.duplicate)):
             if self._rng.random() >= self.truth.loss:
-                self._at(self.now + self._transit_time(), self._arrive, target, self._through(send.packet), frame)
+                self._schedule_event(
+                    self.now + self._transit_time(), self._deliver, target, self._through_wire(send.packet), frame
+                )
 
     @staticmethod
-    def _says_alive(update: Update) -> bool:
+    def _is_alive_update(update: Update) -> bool:
         return isinstance(update, (Record, ShortRecord)) and update.status is Status.ALIVE
 
     def _transit_time(self) -> float:
         return self._delay * (0.2 + 0.8 * self._rng.random()) + self.truth.delay * self._rng.random()
 
-    def _through(self, packet: Packet) -> Packet:
-        """Return the packet after encoding and decoding."""
+    def _through_wire(self, packet: Packet) -> Packet:
+        """Return the packet, encoded and decoded if `wire` is set."""
         if not self._wire:
             return packet
         data = encode(packet, self._cluster)
@@ -334,18 +337,18 @@
         self.history.longest = max(self.history.longest, len(data))
         return decode(data, self._cluster, False)
 
-    def _arrive(self, host: _Host, packet: Packet, frame: bytes) -> None:
+    def _deliver(self, host: _Host, packet: Packet, frame: bytes) -> None:
         if host.detector is None:
             return
         self._wire_meter.datagram_read(host.name, self.now, frame)
-        if self._frozen(host):
+        if self._is_frozen(host):
             host.waiting.append(packet)
         else:
             self._receive(host, packet, False)
 
     def _exchange(self, host: _Host, target: _Host, packet: Packet) -> None:
-        """Deliver a request over TCP and send the answer back."""
-        if not self.truth.round_trip(host.name, target.name) or target.detector is None or self._frozen(target):
+        """Deliver a TCP request and schedule the delivery of its answer."""
+        if not self.truth.round_trip(host.name, target.name) or target.detector is None or self._is_frozen(target):
             return
         self._wire_meter.stream(host.name, target.name, self.now, packet)
         answer = self._receive(target, packet, True)
@@ -353,20 +356,20 @@
             self._wire_meter.stream(target.name, host.name, self.now, answer)
             if isinstance(answer.body, BucketRecords):
                 self.history.repairs.append(Repair(self.now, host.name, len(answer.updates)))
-            self._at(self.now + self._transit_time(), self._answered, host, answer)
+            self._schedule_event(self.now + self._transit_time(), self._deliver_answer, host, answer)
 
-    def _answered(self, host: _Host, answer: Packet) -> None:
-        if host.detector is not None and not self._frozen(host):
+    def _deliver_answer(self, host: _Host, answer: Packet) -> None:
+        if host.detector is not None and not self._is_frozen(host):
             self._receive(host, answer, True)
 
     def _observe(self) -> None:
         for host in self.hosts.values():
-            if host.detector is not None and not self._frozen(host):
+            if host.detector is not None and not self._is_frozen(host):
                 self.history.shown.append(shown(self.now, host.detector))
 
 
 def shown(now: float, detector: Detector) -> Shown:
-    """Return what a member shows to operators."""
+    """Return the view that a member shows to operators."""
     view = detector.view
     records = [view.me, *(member.record for member in view.table.members.values())]
     live = {record.name for record in records if record.live}
--- a/tests/test_cluster_detector.py
+++ b/tests/test_cluster_detector.py
@@ -310,8 +310,8 @@
 def test_replayed_datagram_is_dropped() -> None:
     simulator = Simulator(make_schedule(10), 1)
     captured: list[Packet] = []
-    deliver = simulator._through
-    simulator._through = lambda packet: captured.append(packet) or deliver(packet)  # type: ignore[method-assign, func-returns-value]
+    deliver = simulator._through_wire
+    simulator._through_wire = lambda packet: captured.append(packet) or deliver(packet)  # type: ignore[method-assign, func-returns-value]
     simulator.run()
     detector = simulator.hosts["n1"].detector
     assert detector is not None
--- a/tests/test_consensus_model_checker.py
+++ b/tests/test_consensus_model_checker.py
@@ -84,7 +84,7 @@
 
 def test_invariants_hold_in_the_first_states_of_a_larger_scope() -> None:
     """Two elections; the complete scope of about 20,000 states is explored by `lab explore`."""
-    result = explore(Scope(elections=2, proposals=0), most=3000)
+    result = explore(Scope(elections=2, proposals=0), max_states=3000)
     assert not result.broken and result.states >= 3000
 
 
@@ -93,7 +93,7 @@
     [
         (SendsBeforePersist, Scope(elections=2, proposals=0, crashes=1), "lead in term"),
         (DoesNotPersistVote, Scope(elections=2, proposals=0, crashes=1), "lead in term"),
-        (VotesForAnyLog, Scope(elections=2, proposals=0), "without an agreed entry"),
+        (VotesForAnyLog, Scope(elections=2, proposals=0), "without a committed entry"),
         (VotesTwiceInATerm, Scope(elections=2, proposals=0), "lead in term"),
     ],
 )
--- a/tests/test_consensus_simulator.py
+++ b/tests/test_consensus_simulator.py
@@ -175,9 +175,9 @@
             simulator.now, host.participant.new_proposal_id(), b"", simulator.now + 2.0, 2
         )
         host.tickets[ticket] = outcomes.append
-        simulator._pump(host)
+        simulator._process_effects(host)
 
-    simulator._at(8.0, propose)
+    simulator._schedule_event(8.0, propose)
     simulator.run()
     assert [(outcome.state, outcome.reason) for outcome in outcomes] == [
         (OutcomeState.REJECTED, "n1 does not know version 2")
