--- a/chutepin/testbench/simulators/consensus.py
+++ b/chutepin/testbench/simulators/consensus.py
@@ -65,8 +65,14 @@
 
         `every`: mean seconds between client requests. `changes`: mean seconds between changes of the voter set (0:
         none). `wire`: encode and decode every message. `write`: range of the duration of a disk write in seconds."""
-        self.schedule, self._parts, self._every, self._changes, self._wire = schedule, parts, every, changes, wire
-        self._settings, self._write = settings, write
+        self.schedule, self._parts, self._request_interval_s, self._change_interval_s, self._wire = (
+            schedule,
+            parts,
+            every,
+            changes,
+            wire,
+        )
+        self._settings, self._write_duration_s = settings, write
         self._rng = random.Random(seed)
         self.now = 0.0
         self.truth = Truth(schedule)
@@ -87,7 +93,7 @@
         for fault in self.schedule.faults:
             self._schedule_event(fault.at, self._inject_fault, fault)
         self._schedule_event(1.0, self._issue_request)
-        if self._changes:
+        if self._change_interval_s:
             self._schedule_event(5.0, self._change_membership)
         last = max((fault.at for fault in self.schedule.faults), default=0.0)
         self.history.settled_at = max(last, 5.0) + 10.0
@@ -104,7 +110,13 @@
 
     def _start(self, host: SimulatedHost) -> None:
         host.incarnation += 1
-        host.queue, host.busy, host.participant, host.waiting, host.tickets = [], False, None, [], {}
+        host.pending_effects, host.is_writing, host.participant, host.buffered_messages, host.tickets = (
+            [],
+            False,
+            None,
+            [],
+            {},
+        )
         store_id = f"{self._rng.getrandbits(32):08x}"
         stored = host.disk.get(b"who")
         if stored is not None:
@@ -172,7 +184,7 @@
             elif fault.what == "restart" and host.participant is None:
                 self._start(host)
             elif fault.what == "wake":
-                messages, host.waiting = host.waiting, []
+                messages, host.buffered_messages = host.buffered_messages, []
                 for sender, message in messages:
                     self._receive(host, sender, message)
                 self._tick(host, host.timer)
@@ -183,30 +195,32 @@
         )
 
     def _process_effects(self, host: SimulatedHost) -> None:
-        member = host.participant
-        if member is None or host.busy:
+        participant = host.participant
+        if participant is None or host.is_writing:
             return
         while True:
-            if member.raft.log.bytes_since_snapshot > SNAPSHOT_AFTER_BYTES:
-                member.compact(self.now)
-            host.queue += member.drain_effects()
-            if not host.queue:
+            if participant.raft.log.bytes_since_snapshot > SNAPSHOT_AFTER_BYTES:
+                participant.compact(self.now)
+            host.pending_effects += participant.drain_effects()
+            if not host.pending_effects:
                 break
-            queue, host.queue = host.queue, []
+            pending_effects, host.pending_effects = host.pending_effects, []
             operations = [
-                part for effect in queue if isinstance(effect, Persist) for part in host.journal.write(effect)
+                part for effect in pending_effects if isinstance(effect, Persist) for part in host.journal.write(effect)
             ]
             if operations:
                 self.writes += 1
-                host.busy = True
+                host.is_writing = True
                 host.disk.write(operations)
                 if self._parts.acknowledges_early:
-                    self._carry_out(host, queue)
-                    queue = []
-                done = self.now + self._rng.uniform(*self._write)
-                self._schedule_event(done, self._on_write_completed, host, host.incarnation, len(operations), queue)
+                    self._carry_out(host, pending_effects)
+                    pending_effects = []
+                completed_at = self.now + self._rng.uniform(*self._write_duration_s)
+                self._schedule_event(
+                    completed_at, self._on_write_completed, host, host.incarnation, len(operations), pending_effects
+                )
                 break
-            self._carry_out(host, queue)
+            self._carry_out(host, pending_effects)
         self._schedule_tick(host)
 
     def _schedule_tick(self, host: SimulatedHost) -> None:
@@ -214,26 +228,28 @@
         host.timer += 1
         self._schedule_event(max(self.now + 0.0005, host.participant.next_deadline()), self._tick, host, host.timer)
 
-    def _on_write_completed(self, host: SimulatedHost, incarnation: int, count: int, queue: list[Effect]) -> None:
+    def _on_write_completed(
+        self, host: SimulatedHost, incarnation: int, count: int, pending_effects: list[Effect]
+    ) -> None:
         if host.incarnation != incarnation:
             return
         host.disk.sync(count)
         if self._is_frozen(host):  # the write is durable; the frozen process handles its completion later
-            self._schedule_event(self.now + 0.05, self._on_write_completed, host, incarnation, 0, queue)
+            self._schedule_event(self.now + 0.05, self._on_write_completed, host, incarnation, 0, pending_effects)
             return
-        host.busy = False
-        self._carry_out(host, queue)
+        host.is_writing = False
+        self._carry_out(host, pending_effects)
         self._process_effects(host)
 
-    def _carry_out(self, host: SimulatedHost, queue: list[Effect]) -> None:
-        member = host.participant
-        assert member is not None
-        for effect in queue:
+    def _carry_out(self, host: SimulatedHost, pending_effects: list[Effect]) -> None:
+        participant = host.participant
+        assert participant is not None
+        for effect in pending_effects:
             match effect:
                 case Send():
                     self._send(host, effect.to, effect.message)
                 case Apply() | Restore() | ReadReady():
-                    member.carry_out(self.now, effect)
+                    participant.carry_out(self.now, effect)
                     self._observe(host)
                 case RequestCompleted():
                     if (complete := host.tickets.pop(effect.ticket, None)) is not None:
@@ -243,17 +259,17 @@
         self._observe(host)
 
     def _observe(self, host: SimulatedHost) -> None:
-        member = host.participant
-        assert member is not None
-        role = member.raft.role.name.lower() if member.receives_log else "observer"
+        participant = host.participant
+        assert participant is not None
+        role = participant.raft.role.name.lower() if participant.receives_log else "observer"
         observation = Observation(
             self.now,
             host.name,
             host.incarnation,
             role,
-            member.raft.term,
-            member.state.applied_index,
-            member.state.log_digest.hex(),
+            participant.raft.term,
+            participant.state.applied_index,
+            participant.state.log_digest.hex(),
         )
         last = self.history.observations[-1] if self.history.observations else None
         if last is None or replace(observation, at=0.0) != replace(last, at=0.0):
@@ -266,11 +282,11 @@
             if host.name not in self.truth.stopped:
                 self._schedule_event(int(self.now) + self.truth.slow[host.name] + 0.001, self._tick, host, timer)
             return
-        member = host.participant
-        member.set_alive(tuple(sorted(self.truth.up)))
-        member.tick(self.now)
+        participant = host.participant
+        participant.set_alive(tuple(sorted(self.truth.up)))
+        participant.tick(self.now)
         self._process_effects(host)
-        if host.busy:
+        if host.is_writing:
             self._schedule_tick(host)
 
     def _send(self, host: SimulatedHost, to: str, message: WireMessage) -> None:
@@ -290,15 +306,15 @@
         if host.name not in self.truth.up:
             return
         if self._is_frozen(host):
-            if len(host.waiting) < 256:
-                host.waiting.append((sender, message))
+            if len(host.buffered_messages) < 256:
+                host.buffered_messages.append((sender, message))
             if host.name not in self.truth.stopped:
                 self._schedule_event(int(self.now) + self.truth.slow[host.name] + 0.001, self._on_thaw, host)
             return
         self._receive(host, sender, message)
 
     def _on_thaw(self, host: SimulatedHost) -> None:
-        messages, host.waiting = host.waiting, []
+        messages, host.buffered_messages = host.buffered_messages, []
         for sender, message in messages:
             self._deliver(host, sender, message)
 
@@ -324,7 +340,7 @@
             self._send(host, sender, answer)
 
     def _issue_request(self) -> None:
-        self._schedule_event(self.now + self._every * 2 * self._rng.random(), self._issue_request)
+        self._schedule_event(self.now + self._request_interval_s * 2 * self._rng.random(), self._issue_request)
         if self.truth.loss or self.truth.slow or self.truth.delay:
             self.history.disturbances.append(self.now)
         name = self._rng.choice(list(self.hosts))
@@ -332,8 +348,8 @@
             self._issue_request_to(self.hosts[name], self._rng.choice(("set", "set", "get")))
 
     def _issue_request_to(self, host: SimulatedHost, operation: str) -> None:
-        member = host.participant
-        if member is None or self._is_frozen(host):
+        participant = host.participant
+        if participant is None or self._is_frozen(host):
             return
         name = f"k{self._rng.randrange(KEY_COUNT)}"
         request = ClientRequest(
@@ -341,13 +357,13 @@
         )
         self.history.requests.append(request)
         if operation == "get":
-            host.tickets[member.read(self.now, self.now + REQUEST_TIMEOUT_S)] = lambda outcome: self._read_completed(
-                host, request, outcome
+            host.tickets[participant.read(self.now, self.now + REQUEST_TIMEOUT_S)] = lambda outcome: (
+                self._read_completed(host, request, outcome)
             )
         else:
-            id = member.new_proposal_id()
+            id = participant.new_proposal_id()
             data = pack_assignment(name, request.value.encode())
-            ticket = member.propose(self.now, id, data, self.now + REQUEST_TIMEOUT_S)
+            ticket = participant.propose(self.now, id, data, self.now + REQUEST_TIMEOUT_S)
             host.tickets[ticket] = lambda outcome: self._proposal_completed(host, request, id, data, outcome)
         self._process_effects(host)
 
@@ -368,20 +384,20 @@
     ) -> None:
         """Record the outcome; on an unknown outcome the client retries, in half of the cases at a random node."""
         if outcome.state is OutcomeState.UNKNOWN and request.began < self.schedule.seconds - 4 * REQUEST_TIMEOUT_S:
-            other = host if self._rng.random() < 0.5 else self._rng.choice(list(self.hosts.values()))
-            self._schedule_event(self.now + 0.5 * self._rng.random(), self._retry, other, request, id, data)
+            retry_host = host if self._rng.random() < 0.5 else self._rng.choice(list(self.hosts.values()))
+            self._schedule_event(self.now + 0.5 * self._rng.random(), self._retry, retry_host, request, id, data)
             return
         request.ended, request.outcome, request.at_index = self.now, outcome.state.name.lower(), outcome.at_index
 
     def _retry(self, host: SimulatedHost, request: ClientRequest, id: bytes, data: bytes) -> None:
-        member = host.participant
-        if member is None or self._is_frozen(host):
+        participant = host.participant
+        if participant is None or self._is_frozen(host):
             self._schedule_event(
                 self.now + 1.0, self._retry, self._rng.choice(list(self.hosts.values())), request, id, data
             )
             return
         void = self._rng.random() < 0.3
-        ticket = member.propose(
+        ticket = participant.propose(
             self.now, id, b"" if void else data, self.now + REQUEST_TIMEOUT_S, repeated=True, void=void
         )
         host.tickets[ticket] = lambda outcome: self._proposal_completed(host, request, id, data, outcome)
@@ -391,28 +407,29 @@
         """Add or remove a voter, as an operator would."""
         if self.now > self.history.settled_at - 5.0:
             return  # the group must settle: a leadership transfer, too, rejects proposals for a moment
-        self._schedule_event(self.now + self._changes * (0.5 + self._rng.random()), self._change_membership)
+        self._schedule_event(self.now + self._change_interval_s * (0.5 + self._rng.random()), self._change_membership)
         for host in self.hosts.values():
-            member = host.participant
-            if member is None or member.raft.role is not Role.LEADER or self._is_frozen(host):
+            participant = host.participant
+            if participant is None or participant.raft.role is not Role.LEADER or self._is_frozen(host):
                 continue
-            members = member.raft.membership
-            identities = [node.identity for node in member.directory.known.values()]
-            outside = [identity for identity in identities if identity not in members.all_members]
+            members = participant.raft.membership
+            identities = [node.identity for node in participant.directory.known.values()]
+            non_members = [identity for identity in identities if identity not in members.all_members]
             if members.learners:
-                new = Membership((*members.voters, members.learners[0]), members.learners[1:])
-            elif len(members.voters) > 3 or not outside:
+                new_membership = Membership((*members.voters, members.learners[0]), members.learners[1:])
+            elif len(members.voters) > 3 or not non_members:
                 removed = self._rng.choice(members.voters)
-                new = Membership(tuple(name for name in members.voters if name != removed), members.learners)
+                new_membership = Membership(tuple(name for name in members.voters if name != removed), members.learners)
             else:
-                new = Membership(members.voters, (self._rng.choice(outside),))
-            if len(new.voters) < 3:
+                new_membership = Membership(members.voters, (self._rng.choice(non_members),))
+            if len(new_membership.voters) < 3:
                 continue
             try:
-                if member.name not in new.voters:  # a leader transfers its leadership before it is removed
-                    member.transfer_leadership(self.now, next(iter(member.raft.voters_by_lag())))
+                # A leader transfers its leadership before it is removed.
+                if participant.name not in new_membership.voters:
+                    participant.transfer_leadership(self.now, next(iter(participant.raft.voters_by_lag())))
                 else:
-                    member.change_membership(self.now, new)
+                    participant.change_membership(self.now, new_membership)
             except RejectedError:
                 continue
             self.history.disturbances.append(self.now)
--- a/chutepin/testbench/simulators/consensus_hosts.py
+++ b/chutepin/testbench/simulators/consensus_hosts.py
@@ -56,11 +56,11 @@
         self.identity: Identity | None = None
         self.journal = Journal()
         self.machine = KeyValueMachine()
-        self.queue: list[Effect] = []
-        self.busy = False
+        self.pending_effects: list[Effect] = []
+        self.is_writing = False
         self.incarnation = 0
         self.timer = 0
-        self.waiting: list[tuple[str, WireMessage]] = []  # messages received while the process was frozen
+        self.buffered_messages: list[tuple[str, WireMessage]] = []  # messages received while the process was frozen
         self.tickets: dict[int, Callable[[Outcome], None]] = {}
 
 
--- a/chutepin/testbench/simulators/membership.py
+++ b/chutepin/testbench/simulators/membership.py
@@ -39,10 +39,10 @@
     def __init__(self, name: str) -> None:
         self.name = name
         self.detector: Detector | None = None
-        self.waiting: deque[Packet] = deque(maxlen=BUFFER_DATAGRAMS)
+        self.buffered_packets: deque[Packet] = deque(maxlen=BUFFER_DATAGRAMS)
         self.timer = 0  # number of the latest timer; older timers are ignored
-        self.clock = 0.0  # offset of the system clock in seconds
-        self.persisted = 0
+        self.clock_offset_s = 0.0  # offset of the system clock
+        self.stored_incarnation = 0
 
 
 class WireMeter:
@@ -121,7 +121,7 @@
         self.schedule = schedule
         self._make = make
         self._wire = wire
-        self._show = show
+        self._view_interval_s = show
         self._persistent = persistent
         self._known = known
         self._meter = meter
@@ -155,10 +155,10 @@
             self._schedule_event(0.0 if self.schedule.together else 0.2 * number, self._start, name)
         for fault in self.schedule.faults:
             self._schedule_event(fault.at, self._inject_fault, fault)
-        at = self._show
+        at = self._view_interval_s
         while at <= self.schedule.seconds:
             self._schedule_event(at, self._observe)
-            at += self._show
+            at += self._view_interval_s
         events_without_progress = 0
         if self._known:
             self._schedule_event(0.0, self._introduce)
@@ -183,11 +183,11 @@
         setup = ClusterSetup(
             "fleet", self.schedule.region(name), self.schedule.zone(name), listen, seeds, **self._settings
         )
-        incarnation = EPOCH_MS + int(1000 * (self.now + host.clock))
+        incarnation = EPOCH_MS + int(1000 * (self.now + host.clock_offset_s))
         if self._persistent:
-            incarnation = max(incarnation, host.persisted + 1)
+            incarnation = max(incarnation, host.stored_incarnation + 1)
         host.detector = self._make(setup, name, incarnation, self.now, random.Random(self._rng.random()))
-        host.waiting.clear()
+        host.buffered_packets.clear()
         self._carry_out(host, None)
 
     def _introduce(self) -> None:
@@ -208,7 +208,7 @@
             if fault.what == "restart" and host.detector is None:
                 self._start(name)
             elif fault.what == "clock":
-                host.clock += fault.value
+                host.clock_offset_s += fault.value
             elif fault.what == "wake" and host.detector is not None:
                 self._resume(host)
             elif fault.what in ("crash", "leave") and host.detector is not None:
@@ -227,8 +227,8 @@
 
     def _resume(self, host: _Host) -> None:
         """Resume a member: deliver the buffered datagrams, then fire its overdue timer."""
-        while host.waiting and host.detector is not None:
-            self._receive(host, host.waiting.popleft(), False)
+        while host.buffered_packets and host.detector is not None:
+            self._receive(host, host.buffered_packets.popleft(), False)
         self._tick(host, host.timer)
 
     def _is_frozen(self, host: _Host) -> bool:
@@ -280,7 +280,7 @@
             case Answer():
                 return effect.packet
             case PersistIncarnation():
-                host.persisted = effect.incarnation
+                host.stored_incarnation = effect.incarnation
             case MembershipEvent():
                 fields = effect.fields
                 number = fields.get("incarnation", 0)
@@ -342,7 +342,7 @@
             return
         self._wire_meter.datagram_read(host.name, self.now, frame)
         if self._is_frozen(host):
-            host.waiting.append(packet)
+            host.buffered_packets.append(packet)
         else:
             self._receive(host, packet, False)
 
