--- a/benchmarks/capacity/measure/log.py
+++ b/benchmarks/capacity/measure/log.py
@@ -105,7 +105,7 @@
     schedule = Schedule(observers + VOTERS, SECONDS)
     simulator = MeteredSimulator(schedule, seed, voters=VOTERS, every=WRITE_FRACTION / rate, settings=settings)
     if values is not None:
-        simulator._values = values
+        simulator._value_numbers = values
     history = simulator.run()
     if problems := violations(history):
         raise RuntimeError(f"{observers} observers, seed {seed}: violated guarantees: {sorted(problems)}")
--- a/benchmarks/consensus.py
+++ b/benchmarks/consensus.py
@@ -201,8 +201,8 @@
                     pack_assignment("k", b"%d" % state["made"]),
                     simulator.now + 3.0,
                 )
-            simulator._pump(host)
-        simulator._at(simulator.now + 0.02, propose)
+            simulator._process_effects(host)
+        simulator._schedule_event(simulator.now + 0.02, propose)
 
     def check_progress() -> None:
         host = simulator.hosts["n4"]
@@ -216,11 +216,11 @@
             and host.participant.state.applied_index >= max(others) - 5
         ):
             state["done"] = simulator.now
-        simulator._at(simulator.now + 0.005, check_progress)
+        simulator._schedule_event(simulator.now + 0.005, check_progress)
 
     simulator._send = count_and_send  # type: ignore[method-assign]
-    simulator._at(3.0, propose)
-    simulator._at(45.0, check_progress)
+    simulator._schedule_event(3.0, propose)
+    simulator._schedule_event(45.0, check_progress)
     started = time.process_time()
     simulator.run()
     return [
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -24,13 +24,13 @@
 from chutepin.testbench.checks.membership_invariants import broken
 from chutepin.testbench.faults.fleet import Fleet
 from chutepin.testbench.faults.schedule import Fault, Schedule, split
-from chutepin.testbench.simulators.heartbeat_baseline import Heartbeats
-from chutepin.testbench.simulators.membership import Make, Simulator
+from chutepin.testbench.simulators.heartbeat_baseline import HeartbeatDetector
+from chutepin.testbench.simulators.membership import DetectorFactory, Simulator
 
 from .parts import Part, Row, quantile, run_parts
 
 SEEDS = 20
-DETECTORS: dict[str, Make] = {"detector": Detector, "heartbeats": Heartbeats}
+DETECTORS: dict[str, DetectorFactory] = {"detector": Detector, "heartbeats": HeartbeatDetector}
 
 
 def run_in_processes(work: Callable[..., Row], jobs: Iterable[tuple[Any, ...]]) -> list[Row]:
--- a/chutepin/testbench/faults/fleet.py
+++ b/chutepin/testbench/faults/fleet.py
@@ -247,7 +247,7 @@
         for name in fault.members:
             await self._to_process(stack, self.processes[name], fault)
         injected = Fault(self.now, fault.what, fault.members, fault.value, fault.groups)
-        self.truth.do(injected)
+        self.truth.apply(injected)
         self.history.done.append(injected)
 
     async def _to_process(self, stack: AsyncExitStack, process: Process, fault: Fault) -> None:
