--- a/chutepin/consensus/change_reports.py
+++ b/chutepin/consensus/change_reports.py
@@ -1,4 +1,4 @@
-"""Log events and counters about changes of the leader and of the membership."""
+"""Log events and counters for changes of the leader and of the membership."""
 
 from __future__ import annotations
 
@@ -9,43 +9,43 @@
 from .outbox import Outbox
 
 
-class LeaderView(NamedTuple):
-    """Whether this node leads, and who does as far as it knows."""
+class LeaderStatus(NamedTuple):
+    """The leader known to this node, and whether it is this node."""
 
-    leads: bool
+    is_leader: bool
     leader: str
 
 
-class ChangeReports:
-    """Reports each change once."""
+class ChangeReporter:
+    """A reporter of changes of leader and membership, each of which is logged once."""
 
     def __init__(self, outbox: Outbox, membership: Membership) -> None:
         self._outbox = outbox
         self._membership = membership
-        self._view = LeaderView(False, "")
+        self._leader_status = LeaderStatus(False, "")
         self.counts: Counter[str] = Counter()
 
     @property
     def leader(self) -> str:
-        """The leader as it was last reported."""
-        return self._view.leader
+        """The last reported leader."""
+        return self._leader_status.leader
 
-    def report_leader(self, view: LeaderView, term: int) -> None:
-        """Report the leader, if that has changed."""
-        if view == self._view:
+    def report_leader(self, status: LeaderStatus, term: int) -> None:
+        """Log and count the leader if it has changed."""
+        if status == self._leader_status:
             return
-        self._view = view
-        if view.leads:
+        self._leader_status = status
+        if status.is_leader:
             event = "leader_elected"
-        elif view.leader:
+        elif status.leader:
             event = "following_leader"
         else:
             event = "no_leader"
         self.counts[event] += 1
-        self._outbox.log(event, {"leader": view.leader, "term": term})
+        self._outbox.log(event, {"leader": status.leader, "term": term})
 
     def report_membership(self, membership: Membership) -> None:
-        """Report the membership, if that has changed."""
+        """Log the membership if it has changed."""
         if membership == self._membership:
             return
         self._membership = membership
--- a/chutepin/handover_host.py
+++ b/chutepin/handover_host.py
@@ -1,4 +1,4 @@
-"""The node as a hand-over to or from its other process sees it."""
+"""Implements `handover.HandoverHost` on top of the broker, the listeners and the subsystems of a node."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class NodeHandoverHost:
-    """The node as the hand-over sees it (`handover.HandoverHost`)."""
+    """The node's side of a hand-over between its two processes (`handover.HandoverHost`)."""
 
     def __init__(
         self,
@@ -25,7 +25,7 @@
         descriptors: DescriptorBudget,
         max_descriptors: int,
     ) -> None:
-        """`max_descriptors`: of both processes together."""
+        """Create the host. `max_descriptors`: the limit of both processes together."""
         self._broker = broker
         self._front = front
         self._subsystems = subsystems
@@ -38,58 +38,58 @@
         return list(self._broker.keys.records.values())
 
     def is_current(self, record: IdempotencyRecord) -> bool:
-        """The record is still in the table."""
+        """Return whether the record is still in the table."""
         return self._broker.keys.records.get(record.key) is record
 
     def peer_record_changed(self, record: IdempotencyRecord) -> None:
-        """Apply a record of the other process."""
+        """Apply a record of the peer process."""
         self._broker.peer_exchange.peer_record_changed(record)
 
     def peer_key_removed(self, key: str) -> None:
-        """Apply the removal of a key by the other process."""
+        """Apply the removal of a key by the peer process."""
         self._broker.peer_exchange.peer_key_removed(key)
 
     def peer_requests_key(self, request: KeyRequest) -> bool:
-        """Decide whether the other process may take a key."""
+        """Return whether the peer process may take a key."""
         return self._broker.peer_exchange.peer_requests_key(request)
 
     def key_replied(self, request_id: str, key: str, is_granted: bool) -> None:
-        """Go on with a request that waits for its key."""
+        """Resume a request that waits for its key, or reject it."""
         self._broker.peer_exchange.key_replied(request_id, key, is_granted)
 
     def peer_lost(self) -> None:
-        """Settle what the other process held."""
+        """Process the end of the peer: its keys, unfinished runs and usage."""
         self._broker.peer_exchange.peer_lost()
 
     def learned_statistics(self) -> dict[str, object]:
-        """Return what the decision module has learned."""
+        """Return the learned statistics of this process's decision module."""
         return self._broker.peer_exchange.learned()
 
     def adopt_statistics(self, statistics: dict[str, object]) -> None:
-        """Begin with what the predecessor's decision module had learned."""
+        """Adopt the learned statistics of the predecessor's decision module."""
         self._broker.peer_exchange.adopt(statistics)
 
     def usage(self) -> ProcessUsage:
-        """Return what this process uses of the node's limits."""
+        """Return the share of the node's limits that this process uses: runs, memory and descriptors."""
         running, memory_kb = self._broker.peer_exchange.usage
         descriptors = self._descriptors.in_use + self._descriptors.unattributed
         return ProcessUsage(running, memory_kb, descriptors)
 
     def set_peer_usage(self, usage: ProcessUsage) -> None:
-        """Leave room for what the other process uses."""
+        """Deduct the usage of the peer process from this process's limits."""
         self._descriptors.limit = self._max_descriptors - usage.descriptors
         self._broker.peer_exchange.set_peer_usage(usage.running, usage.memory_kb)
 
     def yield_ownership(self) -> None:
-        """Stop accepting: a successor serves."""
+        """Stop accepting and finish open requests, since the successor serves."""
         self._lifecycle.apply(Transition.SUCCESSOR_READY)
         self._front.yield_ownership()
-        for part in self._subsystems:
-            part.yield_ownership()
+        for subsystem in self._subsystems:
+            subsystem.yield_ownership()
 
     def resume_ownership(self) -> None:
-        """Accept again: the successor has gone."""
+        """Accept again after the end of the successor."""
         self._lifecycle.apply(Transition.SUCCESSOR_LOST)
         self._front.resume_ownership()
-        for part in self._subsystems:
-            part.resume_ownership()
+        for subsystem in self._subsystems:
+            subsystem.resume_ownership()
